--- a/bench/ticks.py
+++ b/bench/ticks.py
@@ -22,7 +22,7 @@
     due_reports,
     update_targets,
 )
-from godwitladder.scheduler.role import RENEW_S, PoolRole
+from godwitladder.scheduler.role import RENEWAL_INTERVAL_S, PoolRole
 from godwitladder.scheduler.rows import RequestRow, Tables
 from godwitladder.scheduler.systems import add_request, run_systems
 
@@ -103,10 +103,11 @@
     hosts = [f"h{index}" for index in range(HOSTS)]
     now, times = 1.0, []
     for number in range(1, ROUNDS + 1):
-        now += RENEW_S
+        now += RENEWAL_INTERVAL_S
         for host in hosts:
             rows = tuple(
-                replace(line, request=f"{host}-{line.request}") for line in report.lines
+                replace(line, request=f"{host}-{line.request}")
+                for line in report.demands
             )
             news = replace(
                 report,
@@ -114,8 +115,8 @@
                 number=number,
                 sent_s=now,
                 term=role.term,
-                seen=number - 1,
-                lines=rows,
+                acked_offer=number - 1,
+                demands=rows,
             )
             role.take_report(news, now)
         times.append(timed(partial(role.run, hosts, now)))
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -11,7 +11,7 @@
 
 Thresholds
 ----------
-LONGEST_LOOK_S : a queue that has lasted for some seconds is taken to last as
+MAX_CONTENTION_S : a queue that has lasted for some seconds is taken to last as
     long again, up to this: callers who come back sooner are refused again.
 MISSES : a tier is left after this many requests in a row that fit no target;
     looking at all of a thousand costs several milliseconds a run, and the
@@ -24,31 +24,31 @@
 
 from godwitladder.decisions.admission import Flow
 from godwitladder.decisions.backlog import Backlog, Group
-from godwitladder.decisions.capacity import Capacity, Room, is_long
+from godwitladder.decisions.capacity import PoolCapacity, TargetCapacity, is_long
 from godwitladder.decisions.fairness import TierQueue
-from godwitladder.decisions.shares import Precedence, Timeliness, serving_order
+from godwitladder.decisions.late_refusal import refuse_late_starts
+from godwitladder.decisions.precedence import Precedence, Timeliness, serving_order
 from godwitladder.decisions.shedding import (
-    give_up,
-    give_up_below,
-    offer_elsewhere,
+    make_shed_decision,
     refuse_early,
-    was_possible,
+    select_spill,
+    shed_below_rank,
+    was_feasible,
 )
 from godwitladder.decisions.types import (
     Allocation,
-    DemandLine,
-    Entry,
-    GivenUp,
     Placement,
     PoolView,
+    QueueEntry,
+    RequestDemand,
+    ShedDecision,
     ShedReason,
     WorkspaceView,
 )
-from godwitladder.decisions.untimely import refuse_untimely
 from godwitladder.ids import RequestId, ServiceName, WorkspaceName
 
 MISSES = 32
-LONGEST_LOOK_S = 4.0
+MAX_CONTENTION_S = 4.0
 
 
 def allocate(pool: PoolView, now: float) -> Allocation:
@@ -61,16 +61,16 @@
     run.place_all()
     run.drop_expired()
     run.follow_others()
-    refuse = refuse_early if pool.policy.is_strict else refuse_untimely
+    refuse = refuse_early if pool.policy.is_strict else refuse_late_starts
     run.drop(refuse(run.backlog, pool, now), ShedReason.OVERLOAD)
     run.summarize()
-    pool.memory.admission.look(now, pool.behind_s)
+    pool.state.admission.update(now, pool.staleness_s)
     return run.allocation
 
 
-def flow_of(entry: Entry) -> Flow:
+def flow_of(entry: QueueEntry) -> Flow:
     """Return whose calls of which service ``entry`` is one of."""
-    return entry.row.line.service, entry.row.line.workspace
+    return entry.waiting.demand.service, entry.waiting.demand.workspace
 
 
 class _Run:
@@ -79,14 +79,14 @@
     def __init__(self, pool: PoolView, now: float) -> None:
         self.pool = pool
         self.now = now
-        self.capacity = Capacity(pool)
+        self.capacity = PoolCapacity(pool)
         self.allocation = Allocation()
-        sizes = pool.memory.sizes if pool.policy.least_share else None
+        sizes = pool.state.sizes if pool.policy.min_share else None
         self.backlog = Backlog(self.capacity, sizes)
-        pool.memory.fade(now)
+        pool.state.decay(now)
         for entry in self.backlog.sort(list(pool.waiting.values()), now):
-            pool.memory.admission.asked[flow_of(entry)] += 1
-            if not entry.row.returned:
+            pool.state.admission.requested[flow_of(entry)] += 1
+            if not entry.waiting.is_retry:
                 self.count_offered(entry, 1.0)
         self.placed_s = 0.0
         self.promised: Counter[WorkspaceName] = Counter()
@@ -94,9 +94,9 @@
             name: view.running for name, view in pool.workspaces.items() if view.quota
         }
 
-    def count_offered(self, entry: Entry, number: float) -> None:
+    def count_offered(self, entry: QueueEntry, number: float) -> None:
         """Add ``number`` to what lately came with the precedence of ``entry``."""
-        offered = self.pool.memory.offered
+        offered = self.pool.state.offered
         offered[entry.precedence] = offered.get(entry.precedence, 0.0) + number
 
     def place_all(self) -> None:
@@ -108,26 +108,28 @@
             groups = [g for g in self.backlog.at(precedence) if g.service in free]
             placed = self.place_groups(groups, free)
             for group in groups:
-                kept = [e for e in group.entries if e.row.line.request not in placed]
+                kept = [
+                    e for e in group.entries if e.waiting.demand.request not in placed
+                ]
                 if len(kept) < len(group.entries):
-                    group.keep(kept)
-        if self.pool.policy.measures_flow:
-            self.note_flow()
+                    group.retain(kept)
+        if self.pool.policy.uses_measured_throughput:
+            self.record_throughput()
 
     def turns(self) -> list[Precedence]:
         """Return what waits by precedence, the first to be served first."""
-        least = self.pool.policy.least_share
+        least = self.pool.policy.min_share
         waiting = self.backlog.precedences()
         if not least:
             return waiting
-        shares = {each: self.pool.memory.share(each) for each in waiting}
+        shares = {each: self.pool.state.share(each) for each in waiting}
         return serving_order(waiting, shares, least)
 
-    def note_flow(self) -> None:
+    def record_throughput(self) -> None:
         """Remember how much was started while more waited."""
         waits = any(group.entries for group in self.backlog.groups.values())
-        slots = sum(room.view.limit for room in self.capacity.rooms)
-        self.pool.memory.note_flow(self.placed_s, waits, slots, self.now)
+        slots = sum(room.view.limit for room in self.capacity.targets)
+        self.pool.state.record_throughput(self.placed_s, waits, slots, self.now)
 
     def place_groups(
         self, groups: list[Group], free: set[ServiceName]
@@ -135,17 +137,17 @@
         """Place what fits of one precedence's groups and return it."""
         entries = [entry for group in groups for entry in group.entries]
         queue = TierQueue(
-            entries, self.pool.workspaces, self.pool.memory.spent, self.now
+            entries, self.pool.workspaces, self.pool.state.spent, self.now
         )
         placed: set[RequestId] = set()
         blocked: set[ServiceName] = set()
         misses = 0
         while free and misses < MISSES and (entry := queue.pop()):
-            line = entry.row.line
+            line = entry.waiting.demand
             if line.service not in free:
                 continue
             if self.at_quota(line.workspace):
-                queue.drop(line.workspace)
+                queue.remove_workspace(line.workspace)
             elif (wait_s := self.quota_wait_s(line)) > 0:
                 # Waiting for its quota or refused, it is no part of the pool's load.
                 placed.add(line.request)
@@ -165,15 +167,15 @@
             self.capacity.of(service).hold_roomiest()
         return placed
 
-    def place(self, entry: Entry) -> bool:
+    def place(self, entry: QueueEntry) -> bool:
         """Place one request if a target takes it."""
-        line = entry.row.line
+        line = entry.waiting.demand
         part = self.capacity.of(line.service)
-        long = is_long(entry.slot_s, self.pool.memory.typical_s)
+        long = is_long(entry.slot_s, self.pool.state.typical_s)
         if long and not part.takes_long():
             return False
-        budget_s = entry.row.deadline - self.now
-        room = part.choose(line, budget_s, entry.row.avoided, self.aim_s(entry))
+        budget_s = entry.waiting.deadline - self.now
+        room = part.choose(line, budget_s, entry.waiting.avoided, self.aim_s(entry))
         if room is None:
             return False
         tokens = line.prompt_tokens + line.predicted_tokens
@@ -187,47 +189,53 @@
         )
         return True
 
-    def aim_s(self, entry: Entry) -> float | None:
+    def aim_s(self, entry: QueueEntry) -> float | None:
         """Return the seconds left for the first output; None if any will do."""
-        if not self.pool.policy.keeps_pace:
+        if not self.pool.policy.enforces_latency:
             return None
         in_time = entry.precedence_at(self.now).timeliness is Timeliness.IN_TIME
-        return entry.row.aim - self.now if in_time else math.inf
+        return entry.waiting.ttft_deadline - self.now if in_time else math.inf
 
-    def quota_wait_s(self, line: DemandLine) -> float:
+    def quota_wait_s(self, line: RequestDemand) -> float:
         """Return the seconds until the workspace's tokens allow ``line``."""
         promised = self.promised[line.workspace]
         return self.pool.quotas.wait_s(line.workspace, line.charge, self.now, promised)
 
-    def patience_s(self, entry: Entry) -> float:
+    def patience_s(self, entry: QueueEntry) -> float:
         """Return the seconds for which ``entry`` may wait for its quota.
 
         A quota fills all the time: refused at once, a caller who could be served in
         time by the next second's tokens is sent away for as many seconds as it is
         told, and comes back late. Without an aim nobody can tell what is in time.
         """
-        if math.isinf(entry.aim):
+        if math.isinf(entry.ttft_latest_start):
             return 0.0
-        until = entry.aim if self.now <= entry.aim else entry.latest
+        until = (
+            entry.ttft_latest_start
+            if self.now <= entry.ttft_latest_start
+            else entry.latest_start
+        )
         return until - self.now
 
-    def refuse_quota(self, entry: Entry, wait_s: float) -> None:
+    def refuse_quota(self, entry: QueueEntry, wait_s: float) -> None:
         """Refuse what is beyond its workspace's tokens: nobody is owed it."""
-        if not entry.row.returned:
+        if not entry.waiting.is_retry:
             self.count_offered(entry, -1.0)
-        row = GivenUp(entry.row.line.request, ShedReason.QUOTA, wait_s)
-        self.allocation.given_up.append(row)
+        row = ShedDecision(entry.waiting.demand.request, ShedReason.QUOTA, wait_s)
+        self.allocation.sheds.append(row)
 
-    def note(self, entry: Entry, room: Room, long: bool) -> None:
+    def note(self, entry: QueueEntry, room: TargetCapacity, long: bool) -> None:
         """Remember a placement for the next runs."""
-        line = entry.row.line
-        memory = self.pool.memory
+        line = entry.waiting.demand
+        memory = self.pool.state
         memory.admission.served[flow_of(entry)] += 1
-        memory.note(entry.precedence_at(self.now), line.workspace, entry.slot_s)
+        memory.record_placement(
+            entry.precedence_at(self.now), line.workspace, entry.slot_s
+        )
         self.placed_s += entry.slot_s
         if long:
             end = self.now + room.seconds(line)
-            self.pool.memory.note_long(room.view.name, end)
+            self.pool.state.note_long(room.view.name, end)
 
     def at_quota(self, workspace: WorkspaceName) -> bool:
         """Return whether ``workspace`` runs as much as it may."""
@@ -238,18 +246,18 @@
         """Give up what ran out of time, and what is kept below it."""
         lost: dict[int, set[ServiceName]] = {}
         for entry in self.backlog.expired:
-            line = entry.row.line
+            line = entry.waiting.demand
             if self.at_quota(line.workspace):
                 self.drop([entry], ShedReason.QUOTA)
                 continue
             self.drop([entry], ShedReason.DEADLINE)
-            if was_possible(entry) and self.capacity.of(line.service).slots:
+            if was_feasible(entry) and self.capacity.of(line.service).slots:
                 lost.setdefault(line.tier_rank, set()).add(line.service)
         if not self.pool.policy.is_strict:
             return
         for rank, services in sorted(lost.items()):
             self.note_shed(rank)
-            below = give_up_below(self.backlog, rank, services)
+            below = shed_below_rank(self.backlog, rank, services)
             self.drop(below, ShedReason.OVERLOAD)
 
     def follow_others(self) -> None:
@@ -257,26 +265,28 @@
         if not self.pool.shed_ranks or not self.pool.policy.is_strict:
             return
         rank = min(self.pool.shed_ranks.values())
-        below = give_up_below(self.backlog, rank, self.capacity.services)
+        below = shed_below_rank(self.backlog, rank, self.capacity.services)
         self.drop(below, ShedReason.OVERLOAD)
 
-    def drop(self, entries: Iterable[Entry], reason: ShedReason) -> None:
+    def drop(self, entries: Iterable[QueueEntry], reason: ShedReason) -> None:
         """Give ``entries`` up for ``reason``."""
         waits: dict[tuple[ServiceName, Precedence], float] = {}
         for entry in entries:
-            line = entry.row.line
+            line = entry.waiting.demand
             key = line.service, entry.precedence
             if key not in waits:
                 waits[key] = max(
                     self.backlog.wait_s(*key),
-                    min(self.pool.memory.contended_s(), LONGEST_LOOK_S),
+                    min(self.pool.state.contended_s(), MAX_CONTENTION_S),
                 )
             if reason is ShedReason.OVERLOAD:
                 self.note_shed(line.tier_rank)
             if reason is not ShedReason.QUOTA:
-                self.pool.memory.admission.shed[flow_of(entry)] += 1
-            self.pool.memory.callers.note(line.body, entry.row.asked, self.now)
-            self.allocation.given_up.append(give_up(entry, reason, waits[key]))
+                self.pool.state.admission.shed[flow_of(entry)] += 1
+            self.pool.state.callers.note(
+                line.body, entry.waiting.first_arrived, self.now
+            )
+            self.allocation.sheds.append(make_shed_decision(entry, reason, waits[key]))
 
     def note_shed(self, rank: int) -> None:
         """Remember the most important tier that was shed."""
@@ -289,7 +299,7 @@
         ranks = [precedence.rank for precedence in waiting]
         self.allocation.floor = max(ranks, default=None)
         if self.pool.floors:
-            self.allocation.spill = offer_elsewhere(self.backlog)
+            self.allocation.spill = select_spill(self.backlog)
         if waiting:
             self.allocation.backlog_s = max(
                 self.backlog.wait_s(group.service, waiting[-1])
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -40,9 +40,9 @@
 from godwitladder.decisions.backoff import retry_after_s
 from godwitladder.decisions.fairness import TierQueue
 from godwitladder.decisions.types import (
-    Entry,
-    GivenUp,
     PoolView,
+    QueueEntry,
+    ShedDecision,
     ShedReason,
 )
 from godwitladder.ids import RequestId, ServiceName
@@ -53,27 +53,27 @@
 SPILL_MOST = 64
 
 
-def was_possible(entry: Entry) -> bool:
+def was_feasible(entry: QueueEntry) -> bool:
     """Return whether an idle pool could have served it in time."""
-    return entry.row.arrived <= entry.latest
+    return entry.waiting.arrived <= entry.latest_start
 
 
-def is_time_to_refuse(pool: PoolView, now: float) -> bool:
+def is_refusal_scan_due(pool: PoolView, now: float) -> bool:
     """Return whether the queue is to be looked through again, and note it."""
-    if now - pool.memory.refused_at < REFUSE_EVERY_S:
+    if now - pool.state.last_refusal_check < REFUSE_EVERY_S:
         return False
-    pool.memory.refused_at = now
+    pool.state.last_refusal_check = now
     return True
 
 
-def refuse_early(backlog: Backlog, pool: PoolView, now: float) -> list[Entry]:
+def refuse_early(backlog: Backlog, pool: PoolView, now: float) -> list[QueueEntry]:
     """Take out and return what can't start in time, of the lowest tier.
 
     When all of that tier is gone the next one is looked at, and so on up.
     """
-    if not is_time_to_refuse(pool, now):
+    if not is_refusal_scan_due(pool, now):
         return []
-    refused: list[Entry] = []
+    refused: list[QueueEntry] = []
     lowest_elsewhere = max(pool.floors.values(), default=-1)
     for precedence in reversed(backlog.precedences()):
         if precedence.rank < lowest_elsewhere:
@@ -88,22 +88,22 @@
 
 def refuse_late(
     group: Group, backlog: Backlog, pool: PoolView, now: float
-) -> list[Entry]:
+) -> list[QueueEntry]:
     """Take out and return the requests of ``group`` that can't start in time."""
     slots = left_for(group, pool)
     if not slots:
         return []
     ahead_s = backlog.work_s(group.service, group.precedence) - group.work_s
-    if now + (ahead_s + group.work_s) / slots <= group.soonest:
+    if now + (ahead_s + group.work_s) / slots <= group.earliest_safe_start:
         return []
-    queue = TierQueue(group.entries, pool.workspaces, pool.memory.spent, now)
+    queue = TierQueue(group.entries, pool.workspaces, pool.state.spent, now)
     first = group.precedence == backlog.precedences()[0]
     kept, late = project(queue, ahead_s, slots, now, first)
     if pool.floors:
-        fresh = [e for e in late if now - e.row.arrived < SPILL_AFTER_S]
+        fresh = [e for e in late if now - e.waiting.arrived < SPILL_AFTER_S]
         kept += fresh
-        late = [e for e in late if now - e.row.arrived >= SPILL_AFTER_S]
-    group.keep(kept)
+        late = [e for e in late if now - e.waiting.arrived >= SPILL_AFTER_S]
+    group.retain(kept)
     return late
 
 
@@ -113,13 +113,13 @@
     They will go on coming: counted only as what waits, a low tier looks as
     if it had the whole pool as soon as the last of them has started.
     """
-    slots = group.part.slots
-    return max(slots * LEAST_LEFT, slots - pool.memory.slots_before(group.precedence))
+    slots = group.capacity.slots
+    return max(slots * LEAST_LEFT, slots - pool.state.slots_before(group.precedence))
 
 
 def project(
     queue: TierQueue, ahead_s: float, slots: float, now: float, first: bool
-) -> tuple[list[Entry], list[Entry]]:
+) -> tuple[list[QueueEntry], list[QueueEntry]]:
     """Split requests into those that can start in time and those that can't.
 
     Parameters
@@ -133,10 +133,10 @@
         when half of its kind would be late: nothing better can use its slot.
         With the safe time it was refused while slots came free.
     """
-    kept: list[Entry] = []
-    late: list[Entry] = []
+    kept: list[QueueEntry] = []
+    late: list[QueueEntry] = []
     for entry in queue.ordered():
-        if now + ahead_s / slots <= (entry.latest if first else entry.safe):
+        if now + ahead_s / slots <= (entry.latest_start if first else entry.safe_start):
             kept.append(entry)
             ahead_s += entry.slot_s
         else:
@@ -144,46 +144,50 @@
     return kept, late
 
 
-def give_up_below(
+def shed_below_rank(
     backlog: Backlog, rank: int, services: Iterable[ServiceName]
-) -> list[Entry]:
+) -> list[QueueEntry]:
     """Take out and return what waits below ``rank`` for targets of ``services``."""
-    given_up: list[Entry] = []
+    given_up: list[QueueEntry] = []
     rivals = find_rivals(backlog, services)
     for group in backlog.groups.values():
         if group.precedence.rank > rank and group.service in rivals:
             given_up += group.entries
-            group.keep([])
+            group.retain([])
     return given_up
 
 
 def find_rivals(backlog: Backlog, services: Iterable[ServiceName]) -> set[ServiceName]:
     """Return all services that share a target with any of ``services``."""
     capacity = backlog.capacity
-    targets = {room.view.name for name in services for room in capacity.of(name).rooms}
+    targets = {
+        room.view.name for name in services for room in capacity.of(name).targets
+    }
     return {
         name
         for name, part in capacity.services.items()
-        if any(room.view.name in targets for room in part.rooms)
+        if any(room.view.name in targets for room in part.targets)
     }
 
 
-def offer_elsewhere(backlog: Backlog) -> list[RequestId]:
+def select_spill(backlog: Backlog) -> list[RequestId]:
     """Return the requests that another zone should be asked for."""
     offered: list[RequestId] = []
     for precedence in backlog.precedences():
-        late: list[Entry] = []
+        late: list[QueueEntry] = []
         for group in backlog.at(precedence):
             if backlog.wait_s(group.service, precedence) > SPILL_AFTER_S:
                 late += group.entries
         room = SPILL_MOST - len(offered)
-        soonest = heapq.nsmallest(room, late, key=lambda entry: entry.latest)
-        offered += [entry.row.line.request for entry in soonest]
+        soonest = heapq.nsmallest(room, late, key=lambda entry: entry.latest_start)
+        offered += [entry.waiting.demand.request for entry in soonest]
     return offered
 
 
-def give_up(entry: Entry, reason: ShedReason, backlog_s: float) -> GivenUp:
+def make_shed_decision(
+    entry: QueueEntry, reason: ShedReason, backlog_s: float
+) -> ShedDecision:
     """Return the refusal of ``entry``."""
-    line = entry.row.line
-    wait = retry_after_s(backlog_s, line.request, line.repeats)
-    return GivenUp(line.request, reason, wait)
+    line = entry.waiting.demand
+    wait = retry_after_s(backlog_s, line.request, line.prior_refusals)
+    return ShedDecision(line.request, reason, wait)
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -12,15 +12,15 @@
 from godwitladder.configuration.state import ConfigState
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.affinity import PrefixHints
-from godwitladder.decisions.allocation import LONGEST_LOOK_S, allocate
-from godwitladder.decisions.easing import TargetEasing
-from godwitladder.decisions.forecast import ReadingForecast
-from godwitladder.decisions.memory import AllocatorMemory
-from godwitladder.decisions.policy import ASKED, STRICT
-from godwitladder.decisions.quotas import QuotaBook
-from godwitladder.decisions.reports import LoadReports
+from godwitladder.decisions.allocation import MAX_CONTENTION_S, allocate
+from godwitladder.decisions.allocator_state import AllocatorState
+from godwitladder.decisions.forecast import PrefillForecast
+from godwitladder.decisions.load_reports import LoadReports
+from godwitladder.decisions.policy import ROUTED, STRICT
+from godwitladder.decisions.quotas import TokenQuotas
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import standing_grants
+from godwitladder.decisions.throttling import TargetThrottles
 from godwitladder.decisions.types import (
     Allocation,
     Grant,
@@ -28,7 +28,7 @@
     PoolView,
     Shed,
     TargetView,
-    Waiting,
+    WaitingRequest,
 )
 from godwitladder.ids import (
     HostId,
@@ -52,28 +52,28 @@
     FloorReport,
     GrantOffer,
     PoolReport,
-    Stretch,
+    ThroughputSample,
 )
 from godwitladder.scheduler.pools import Pool
 from godwitladder.scheduler.quotas import token_rates
 from godwitladder.scheduler.views import pool_view, take_line, target_views
 
-LAPSE_S = 2.5
+OFFER_LIFETIME_S = 2.5
 """An allowance outlives a lost renewal, and lapses before a host that lost
 its allocator helps itself to its fixed share."""
 
-RENEW_S = 1.0
+RENEWAL_INTERVAL_S = 1.0
 """Longest time between two offers to a host that reports: what idle hosts cost
 their allocator grows with their number."""
 
-ANSWER_S = 0.2
+ANSWER_INTERVAL_S = 0.2
 """Longest time between two offers to a host that asks for requests, also if
 nothing was decided: it then knows that its allocator can be reached."""
 
 SILENT_S = 3.0
 """Demand of a host that was silent for so long is no longer answered."""
 
-FORGET_S = 5.0
+HOST_TIMEOUT_S = 5.0
 """Use of a silent host counts for so long: its requests may still run. After
 that the targets' own load reports have had time to show them."""
 
@@ -82,7 +82,7 @@
 soon as they see the change, and heartbeats bring it to all within two periods;
 everything stands still meanwhile."""
 
-UNREAD_S = 0.06
+MAX_PENDING_PREFILL_S = 0.06
 """Where each dispatch is asked for, a target gets no further prompt while it has
 more than this to read of those it was sent. It admits in order of arrival and
 reads in chunks between the output of all that it runs: what is sent early
@@ -131,8 +131,8 @@
         self, pool: Pool, me: HostId, term: int, now: float, standing: bool = True
     ) -> None:
         self.has_standing = standing
-        self.unread_s = math.inf if standing else UNREAD_S
-        self.policy = STRICT if standing else ASKED
+        self.unread_s = math.inf if standing else MAX_PENDING_PREFILL_S
+        self.policy = STRICT if standing else ROUTED
         self.pool = pool
         self.me = me
         self.term = term
@@ -145,12 +145,12 @@
         self.first_number = 1
         self.floors: dict[PoolName, Floor] = {}
         self.speeds = TargetSpeeds()
-        self.easing = TargetEasing()
+        self.throttles = TargetThrottles()
         self.hints = PrefixHints()
-        self.forecast = ReadingForecast()
-        self.memory = AllocatorMemory()
-        self.quotas = QuotaBook()
-        self.rows: dict[RequestId, Waiting] = {}
+        self.forecast = PrefillForecast()
+        self.state = AllocatorState()
+        self.quotas = TokenQuotas()
+        self.rows: dict[RequestId, WaitingRequest] = {}
         self.loads = LoadReports()
         self.delays = ReportDelays()
         self.shed_rank = NO_RANK
@@ -163,7 +163,7 @@
         for name in self.pool.targets - pool.targets:
             for learned in (
                 self.speeds,
-                self.easing,
+                self.throttles,
                 self.loads,
                 self.hints,
                 self.forecast,
@@ -173,7 +173,7 @@
         self.quotas.rates = token_rates(config)
         for name in pool.targets:
             target = config.targets[name]
-            self.speeds.expect(name, target.prefill_tps, target.decode_tps)
+            self.speeds.set_configured(name, target.prefill_tps, target.decode_tps)
 
     def take_report(self, report: PoolReport, now: float) -> bool:
         """Take in a host's report; return whether it calls for a run at once."""
@@ -184,16 +184,16 @@
         if account is None:
             account = HostAccount(*key, next_number=self.first_number)
             self.accounts[key] = account
-        seen = report.seen if report.term == self.term else 0
+        seen = report.acked_offer if report.term == self.term else 0
         if not account.take(report, seen, now):
             return False
         self.take_lines(account, report, now - delay_s)
-        self.quotas.recall(report.host, report.spent, report.known_s, now)
+        self.quotas.add_history(report.host, report.spent, report.known_s, now)
         for row in report.completions:
-            self.learn(row)
-        for stretch in report.stretches:
-            self.watch(stretch, now)
-        wanted = any(row.lines or row.more_waiting for row in self.accounts.values())
+            self.observe_completion(row)
+        for stretch in report.throughput_samples:
+            self.observe_throughput(stretch, now)
+        wanted = any(row.demands or row.more_waiting for row in self.accounts.values())
         return wanted or account.offered == float("-inf")
 
     def take_lines(
@@ -204,23 +204,23 @@
         Counted from the moment in which a report is taken in, what a caller has
         left would grow by the delay, and places would go to calls that have left.
         """
-        for line in report.lines:
-            if account.lines.get(line.request) is line:
+        for line in report.demands:
+            if account.demands.get(line.request) is line:
                 before = self.rows.get(line.request)
                 row = take_line(self, account.host, line, told_at, before)
                 self.rows[line.request] = row
 
-    def watch(self, row: Stretch, now: float) -> None:
+    def observe_throughput(self, row: ThroughputSample, now: float) -> None:
         """Take in how fast a target works while requests run."""
-        if not self.speeds.known(row.target):
+        if not self.speeds.is_calibrated(row.target):
             return
         expected_s = self.speeds.expected_s(
             row.target, row.prompt_tokens, row.output_tokens
         )
-        if not row.open or row.taken_s > expected_s:
-            self.easing.observe(row.target, expected_s, row.taken_s, now)
+        if not row.in_progress or row.taken_s > expected_s:
+            self.throttles.observe(row.target, expected_s, row.taken_s, now)
 
-    def learn(self, row: Completion) -> None:
+    def observe_completion(self, row: Completion) -> None:
         """Take in the speed at which a request was completed."""
         if row.target not in self.speeds.learned:
             return
@@ -257,26 +257,26 @@
             The live hosts of the zone.
         """
         self.forget(now)
-        self.quotas.settle(now)
+        self.quotas.apply_rates(now)
         if not self.warm(expected, now):
             return []
         if self.is_quiet(now):
             # With nothing left to decide, a flood's shares would stay as they are.
-            self.memory.admission.look(now, 0.0)
+            self.state.admission.update(now, 0.0)
             return []
-        self.quotas.hosts = len(expected)
+        self.quotas.expected_hosts = len(expected)
         view = pool_view(self, now)
         allocation = allocate(view, now)
         offerings = self.collect(allocation, view, now)
         for host, offering in offerings.items():
             self.count_grants(self.account(host, now), offering)
-        contended = any(row.lines or row.more_waiting for row in self.current(now))
+        contended = any(row.demands or row.more_waiting for row in self.current(now))
         return self.make_offers(offerings, contended, expected, now)
 
     def is_quiet(self, now: float) -> bool:
         """Return whether nothing waits and no host is due for an offer."""
         return not any(
-            row.lines or row.more_waiting or self.is_due(row, False, now)
+            row.demands or row.more_waiting or self.is_due(row, False, now)
             for row in self.current(now)
         )
 
@@ -284,7 +284,7 @@
         """Drop hosts that are gone, and floors that nobody repeats."""
         self.listed_at = None
         for key, account in list(self.accounts.items()):
-            if now - account.heard > FORGET_S:
+            if now - account.heard > HOST_TIMEOUT_S:
                 # A host that comes back still knows the last offer's number,
                 # and would take those from one on for late ones.
                 self.first_number = max(self.first_number, account.next_number)
@@ -326,14 +326,14 @@
                 host=waiting.host,
                 target=row.target,
                 request=row.request,
-                tier_rank=waiting.line.tier_rank,
+                tier_rank=waiting.demand.tier_rank,
                 reserved_tokens=row.reserved_tokens,
-                lapse_s=LAPSE_S,
+                valid_for_s=OFFER_LIFETIME_S,
             )
-            self.hints.note_dispatch(row.target, waiting.line.prefix, now)
-            self.note_reading(row.target, waiting.line.prompt_tokens, now)
+            self.hints.record_dispatch(row.target, waiting.demand.prefix, now)
+            self.note_reading(row.target, waiting.demand.prompt_tokens, now)
             offerings.setdefault(waiting.host, Offering()).grants.append(grant)
-        for row in allocation.given_up:
+        for row in allocation.sheds:
             waiting = view.waiting[row.request]
             shed = Shed(
                 waiting.host,
@@ -352,8 +352,8 @@
 
     def note_reading(self, target: TargetName, tokens: int, now: float) -> None:
         """Foretell when a prompt is read that has just been granted."""
-        _, read_s = self.speeds.reading(target)
-        self.forecast.note(target, tokens, tokens * read_s, now)
+        _, read_s = self.speeds.prefill_cost(target)
+        self.forecast.record_grant(target, tokens, tokens * read_s, now)
 
     def note_shed(self, rank: int, now: float) -> None:
         """Remember the most important tier shed within the last seconds."""
@@ -363,20 +363,20 @@
 
     def count_grants(self, account: HostAccount, offering: Offering) -> None:
         """Count grants against a host before any allowance is worked out."""
-        until_s = account.sent_s + LAPSE_S
+        expires_s = account.sent_s + OFFER_LIFETIME_S
         for grant in offering.grants:
-            line = account.lines.pop(grant.request)
+            line = account.demands.pop(grant.request)
             account.note_grant(
                 SentGrant(
                     account.next_number,
-                    until_s,
+                    expires_s,
                     grant,
                     line.workspace,
                     line.prompt_tokens,
                 )
             )
         for shed in offering.sheds:
-            account.lines.pop(shed.request, None)
+            account.demands.pop(shed.request, None)
 
     def make_offers(
         self,
@@ -408,7 +408,7 @@
         if not self.has_standing and account.echoed == account.received:
             return False
         taken_back = contended and account.holds_allowances()
-        longest_s = ANSWER_S if account.lines else RENEW_S
+        longest_s = ANSWER_INTERVAL_S if account.demands else RENEWAL_INTERVAL_S
         return taken_back or now - account.offered >= longest_s
 
     def standing(
@@ -418,7 +418,7 @@
         views = target_views(self, now)
         running = self.running()
         for name, target in views.items():
-            target.used = running.get(name, NOTHING).running + self.loads.others(name)
+            target.used = running.get(name, NOTHING).running + self.loads.external(name)
         standing: dict[HostId, list[TargetView]] = {}
         for grant in standing_grants(PoolView(targets=views), home):
             standing.setdefault(grant.host, []).append(views[grant.target])
@@ -446,7 +446,7 @@
             name = target.name
             own, used = counted.get(name, NOTHING), running.get(name, NOTHING)
             all_counted = total.get(name, NOTHING)
-            others = all_counted.running - own.running + self.loads.others(name)
+            others = all_counted.running - own.running + self.loads.external(name)
             if others + used.running >= target.limit:
                 continue
             free = target.memory_tokens - all_counted.tokens + own.tokens - used.tokens
@@ -469,8 +469,8 @@
         number, account.next_number = account.next_number, account.next_number + 1
         account.offered = now
         account.echoed = account.received
-        until_s = account.sent_s + LAPSE_S
-        account.note_allowances(SentAllowances(number, until_s, allowances))
+        expires_s = account.sent_s + OFFER_LIFETIME_S
+        account.note_allowances(SentAllowances(number, expires_s, allowances))
         return GrantOffer(
             host=account.host,
             incarnation=account.incarnation,
@@ -478,9 +478,9 @@
             pool=self.pool.name,
             term=self.term,
             number=number,
-            echo=account.received,
-            until_s=until_s,
-            urgent=not before <= set(allowances),
+            acked_report=account.received,
+            expires_s=expires_s,
+            report_now=not before <= set(allowances),
             allowances=tuple(allowances.values()),
             grants=tuple(offering.grants),
             sheds=tuple(offering.sheds),
@@ -491,10 +491,10 @@
 
     def admission_shares(self) -> tuple[AdmissionShare, ...]:
         """Return of whose calls hosts are to ask for a part only."""
-        memory = self.memory
+        memory = self.state
         if self.policy.is_strict or not memory.admission.shares:
             return ()
-        backlog_s = min(memory.contended_s(), LONGEST_LOOK_S)
+        backlog_s = min(memory.contended_s(), MAX_CONTENTION_S)
         return tuple(
             AdmissionShare(service, workspace, share, backlog_s)
             for (service, workspace), share in memory.admission.shares.items()
@@ -503,7 +503,7 @@
     def floor_report(self, to: PoolName, now: float) -> FloorReport:
         """Return what to tell the allocator of pool ``to``."""
         ranks = [
-            line.tier_rank for row in self.current(now) for line in row.lines.values()
+            line.tier_rank for row in self.current(now) for line in row.demands.values()
         ]
         shed = self.shed_rank if now - self.shed_at <= FLOOR_S else NO_RANK
         return FloorReport(self.pool.name, to, max(ranks, default=NO_RANK), shed)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING
 
 from godwitladder.configuration.model import TargetState
-from godwitladder.decisions.forecast import Unread
+from godwitladder.decisions.forecast import PendingPrefill
 from godwitladder.decisions.types import (
-    DemandLine,
     PoolView,
+    RequestDemand,
     TargetView,
-    Waiting,
+    WaitingRequest,
     WorkspaceView,
 )
 from godwitladder.ids import HostId, TargetName, WorkspaceName
@@ -28,17 +28,17 @@
     view = PoolView(
         targets=target_views(role, now),
         workspaces=workspace_views(role, now),
-        memory=role.memory,
+        state=role.state,
         quotas=role.quotas,
         policy=role.policy,
-        behind_s=role.delays.lately_s(now),
+        staleness_s=role.delays.lately_s(now),
     )
     for account in role.current(now):
-        for line in account.lines.values():
+        for line in account.demands.values():
             # Kept from run to run: a row that is new is weighed anew, and its
             # deadline would move on with each run between two reports.
             row = role.rows.get(line.request)
-            if row is None or row.line is not line:
+            if row is None or row.demand is not line:
                 row = take_line(role, account.host, line, now, row)
             row.avoided = account.avoided
             view.waiting[line.request] = row
@@ -53,10 +53,10 @@
 def take_line(
     role: "PoolRole",
     host: HostId,
-    line: DemandLine,
+    line: RequestDemand,
     now: float,
-    before: Waiting | None,
-) -> Waiting:
+    before: WaitingRequest | None,
+) -> WaitingRequest:
     """Return a demand line as of ``now``, with its times by the allocator's clock.
 
     The aim counts from when the caller first asked, also if it was refused
@@ -69,27 +69,27 @@
         each report, a request that waits for long looked like many that came.
     """
     arrived = now - line.waited_s
-    known = role.memory.callers.first_asked(line.body, now)
+    known = role.state.callers.first_arrival(line.body, now)
     asked = arrived if known is None else min(known, arrived)
     if before is not None:
-        entitled = before.entitled
+        entitled = before.within_quota
     else:
         # One that has come back was counted when it first came.
-        entitled = known is not None or role.memory.entitlements.take(
+        entitled = known is not None or role.state.entitlements.take(
             line.workspace,
             line.charge,
             role.quotas.rate_of(line.workspace, now),
             now,
         )
-    return Waiting(
+    return WaitingRequest(
         host,
         line,
-        now + line.slack_s,
+        now + line.time_to_deadline_s,
         arrived,
-        aim=asked + line.waited_s + line.aim_s,
-        start_by=now + line.start_s,
-        asked=asked,
-        entitled=entitled,
+        ttft_deadline=asked + line.waited_s + line.ttft_budget_s,
+        start_by=now + line.start_within_s,
+        first_arrived=asked,
+        within_quota=entitled,
         counted=before is not None and before.counted,
     )
 
@@ -106,11 +106,11 @@
         if target.address in role.leaving or name in unreachable:
             continue
         count = counted.get(name, NOTHING)
-        role.loads.note_ours(name, running.get(name, NOTHING).running, now)
+        role.loads.record_own(name, running.get(name, NOTHING).running, now)
         speed = role.speeds.learned[name]
-        told = Unread(count.unread, count.unread_requests)
-        unread = role.forecast.unread(name, told, now)
-        first_s, read_s = role.speeds.reading(name)
+        told = PendingPrefill(count.unread, count.unread_requests)
+        unread = role.forecast.pending(name, told, now)
+        first_s, read_s = role.speeds.prefill_cost(name)
         views[name] = TargetView(
             name=name,
             services=frozenset(target.services),
@@ -118,23 +118,27 @@
             memory_tokens=target.memory_tokens,
             prefill_tps=speed.prefill_tps,
             decode_tps=speed.decode_tps,
-            used=count.running + role.loads.others(name),
+            used=count.running + role.loads.external(name),
             reserved_tokens=count.tokens,
             limit=limit_of(role, name, target.slots, now),
             prefixes=role.hints.prefixes(name, now),
-            unread_tokens=unread.tokens,
-            unread_requests=unread.requests,
+            pending_prefill_tokens=unread.tokens,
+            pending_prefill_requests=unread.requests,
             first_s=first_s,
             read_s=read_s,
-            unread_s=role.unread_s,
-            place=target.place,
+            max_pending_prefill_s=role.unread_s,
+            availability_zone=target.place,
         )
     return views
 
 
 def limit_of(role: "PoolRole", name: TargetName, slots: int, now: float) -> int:
     """Return how many requests a target may run at once."""
-    return role.easing.limit(name, slots, now) if role.policy.eases_off else slots
+    return (
+        role.throttles.limit(name, slots, now)
+        if role.policy.throttles_slow_targets
+        else slots
+    )
 
 
 def unreachable_targets(role: "PoolRole", now: float) -> set[TargetName]:
@@ -145,7 +149,7 @@
     """
     current = role.current(now)
     avoiding = Counter(name for row in current for name in row.avoided)
-    hosts = max(len(current), role.quotas.hosts)
+    hosts = max(len(current), role.quotas.expected_hosts)
     return {name for name, count in avoiding.items() if count * 2 >= hosts}
 
 
@@ -154,7 +158,7 @@
     names = {
         line.workspace
         for account in role.current(now)
-        for line in account.lines.values()
+        for line in account.demands.values()
     }
     views = {}
     for name in names & set(role.config.workspaces):
--- a/godwitladder/serving/losses.py
+++ b/godwitladder/serving/losses.py
@@ -8,10 +8,10 @@
 from godwitladder.clock import Clock
 from godwitladder.decisions.losses import LossTable
 from godwitladder.ids import BodyDigest, TargetName
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.codec import peer_message
 
-log = part_logger("losses")
+log = component_logger("losses")
 
 
 @peer_message
@@ -51,7 +51,7 @@
         """Take in a loss."""
         with self.lock:
             now = self.clock.monotonic()
-            self.table.note(message.digest, message.target, now)
+            self.table.record_loss(message.digest, message.target, now)
 
     def held_s(self, digest: BodyDigest) -> float:
         """Return for how many more seconds a call is held back; 0 for not."""
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -7,15 +7,19 @@
 
 from godwitladder.decisions.affinity import HINT_S, PrefixHints
 from godwitladder.decisions.backoff import retry_after_s
-from godwitladder.decisions.cancel import CallerGone, on_caller_gone
-from godwitladder.decisions.easing import TargetEasing
-from godwitladder.decisions.prediction import OutputPredictor, grow
+from godwitladder.decisions.cancel import DisconnectAction, disconnect_action
+from godwitladder.decisions.early_retries import RefusedRequests
+from godwitladder.decisions.load_reports import LoadReports
+from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
 from godwitladder.decisions.rendezvous import choose_host
-from godwitladder.decisions.repeats import RefusedRequests
-from godwitladder.decisions.reports import LoadReports
-from godwitladder.decisions.returns import KEPT, KEPT_S, RefusedCallers
+from godwitladder.decisions.returning_callers import (
+    MAX_CALLERS,
+    RETENTION_S,
+    RefusedCallers,
+)
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import fixed_share, standing_grants
+from godwitladder.decisions.throttling import TargetThrottles
 from tests.decisions.pools import add, make_pool, make_target
 
 HOSTS = [f"host-{n}" for n in range(14)]
@@ -34,17 +38,17 @@
     reserved = predictor.predict("w", "s", 4096)
     covered = sum(output <= reserved for output in lengths(100, 1000, seed=2))
     assert 800 <= covered <= 980
-    assert 60 <= predictor.likely("w", "s", 4096) <= 170
+    assert 60 <= predictor.predict_median("w", "s", 4096) <= 170
     for output in lengths(1000, 60):
         predictor.observe("w", "s", 4096, output)
-    assert predictor.likely("w", "s", 4096) > 500
+    assert predictor.predict_median("w", "s", 4096) > 500
 
 
 def test_a_new_workspace_starts_from_its_service():
     predictor = OutputPredictor()
     for output in lengths(100, 100):
         predictor.observe("old", "s", 4096, output)
-    assert predictor.likely("new", "s", 4096) < 300
+    assert predictor.predict_median("new", "s", 4096) < 300
 
 
 def test_cut_answers_count_as_long_ones():
@@ -63,7 +67,7 @@
 def test_a_reservation_grows_a_few_times_up_to_the_declared_limit():
     reserved, grown = 100, 0
     for produced in range(1, 4097):
-        after = grow(reserved, produced, 4096)
+        after = grow_reservation(reserved, produced, 4096)
         grown += after != reserved
         reserved = after
         assert produced <= reserved <= 4096
@@ -72,12 +76,12 @@
 
 def test_speeds_are_learned_from_completions():
     speeds = TargetSpeeds()
-    speeds.expect("t", 4000.0, 40.0)
-    assert not speeds.known("t")
+    speeds.set_configured("t", 4000.0, 40.0)
+    assert not speeds.is_calibrated("t")
     for _ in range(60):
         speeds.observe("t", 1000, 101, first_token_s=0.5, total_s=5.5)
     assert speeds.expected_s("t", 1000, 100) == pytest.approx(5.5, rel=0.05)
-    assert speeds.known("t")
+    assert speeds.is_calibrated("t")
 
 
 def observe_seconds(easing, ratio, start, count, streams=4):
@@ -96,7 +100,7 @@
     three seconds, keep one as a probe, and get them back one by one, since a
     herd on its first good second would slow it down again.
     """
-    easing = TargetEasing()
+    easing = TargetThrottles()
     assert observe_seconds(easing, 1.0, 0, 10) == [8] * 10
     slow = observe_seconds(easing, 6.0, 10, 20)
     assert slow[2] <= 2 and min(slow) >= 1 and slow[-1] <= 2
@@ -107,7 +111,7 @@
 
 
 def test_one_late_stretch_changes_nothing():
-    easing = TargetEasing()
+    easing = TargetThrottles()
     easing.observe("t", 1.0, 2.9, 0.0)
     assert easing.limit("t", 8, 0.0) == 8
 
@@ -121,11 +125,11 @@
 
 def test_a_repeat_that_comes_too_early_is_known():
     refused = RefusedRequests()
-    assert refused.early_s("w", "body", 0.0) == 0.0
+    assert refused.retry_wait_s("w", "body", 0.0) == 0.0
     refused.note("w", "body", 10.0, now=0.0)
-    assert refused.early_s("w", "body", 4.0) == 6.0
-    assert refused.early_s("other", "body", 4.0) == 0.0
-    assert refused.early_s("w", "body", 11.0) == 0.0
+    assert refused.retry_wait_s("w", "body", 4.0) == 6.0
+    assert refused.retry_wait_s("other", "body", 4.0) == 0.0
+    assert refused.retry_wait_s("w", "body", 11.0) == 0.0
     assert refused.count("w", "body", 11.0) == 1
     assert refused.count("w", "body", 1000.0) == 0
 
@@ -133,28 +137,28 @@
 @pytest.mark.parametrize(
     ("running", "idempotent", "keyed", "produced", "outcome"),
     [
-        (False, False, True, 0, CallerGone.DROP),
-        (True, False, False, 5, CallerGone.FINISH),
-        (True, True, False, 95, CallerGone.CANCEL),
-        (True, True, True, 95, CallerGone.FINISH),
-        (True, True, True, 20, CallerGone.CANCEL),
+        (False, False, True, 0, DisconnectAction.DROP),
+        (True, False, False, 5, DisconnectAction.FINISH),
+        (True, True, False, 95, DisconnectAction.CANCEL),
+        (True, True, True, 95, DisconnectAction.FINISH),
+        (True, True, True, 20, DisconnectAction.CANCEL),
     ],
 )
 def test_work_of_a_caller_that_is_gone(running, idempotent, keyed, produced, outcome):
-    assert on_caller_gone(running, idempotent, keyed, produced, 100) is outcome
+    assert disconnect_action(running, idempotent, keyed, produced, 100) is outcome
 
 
 def test_cache_hints_follow_events_and_fade():
     """Events come late and some are lost: a "dropped" may never arrive."""
     hints = PrefixHints()
-    hints.note_dispatch("t", "a", 0.0)
+    hints.record_dispatch("t", "a", 0.0)
     hints.take_event("t", "b", kept=True, now=1.0)
     hints.take_event("t", "b", kept=False, now=2.0)
     hints.take_event("t", "never-seen", kept=False, now=2.0)
     assert hints.prefixes("t", 3.0) == {"a"}
     assert hints.prefixes("t", HINT_S + 1.0) == set()
     for n in range(1000):
-        hints.note_dispatch("t", f"p{n}", 0.0)
+        hints.record_dispatch("t", f"p{n}", 0.0)
     assert len(hints.prefixes("t", 0.0)) <= 128
 
 
@@ -196,10 +200,10 @@
     ours = [4 + (3 if second // 3 % 2 else -3) for second in range(120)]
     shown = []
     for second in range(lag, 120):
-        loads.note_ours("t", ours[second], float(second))
+        loads.record_own("t", ours[second], float(second))
         outside = 3 if second - lag >= 60 else 0
         loads.observe("t", ours[second - lag] + outside)
-        shown.append(loads.others("t"))
+        shown.append(loads.external("t"))
     assert set(shown[10:55]) <= {0, 1}
     assert set(shown[-20:]) <= {2, 3, 4}
 
@@ -211,7 +215,7 @@
     way there and the engine's own step. Taken for slowness, the first two
     questions of the day left each target one slot of four.
     """
-    easing = TargetEasing()
+    easing = TargetThrottles()
     for second in range(10):
         easing.observe("t", 0.001, 0.02, float(second))
     assert easing.limit("t", 4, 10.0) == 4
@@ -223,21 +227,21 @@
     callers = RefusedCallers()
     callers.note("b1", 1.0, 1.2)
     callers.note("b1", 4.0, 4.2)
-    assert callers.first_asked("b1", 5.0) == 1.0
-    assert callers.first_asked("b2", 5.0) is None
-    assert callers.first_asked("b1", 1.0 + KEPT_S + 0.1) is None
+    assert callers.first_arrival("b1", 5.0) == 1.0
+    assert callers.first_arrival("b2", 5.0) is None
+    assert callers.first_arrival("b1", 1.0 + RETENTION_S + 0.1) is None
 
 
 def test_calls_without_a_body_of_their_own_are_all_new():
     callers = RefusedCallers()
     callers.note("", 1.0, 1.2)
-    assert callers.first_asked("", 1.3) is None
+    assert callers.first_arrival("", 1.3) is None
 
 
 def test_refused_callers_are_kept_within_bounds():
     callers = RefusedCallers()
-    for number in range(KEPT + 10):
+    for number in range(MAX_CALLERS + 10):
         callers.note(f"b{number}", 1.0, 1.0)
-    assert len(callers.asked) == KEPT
+    assert len(callers.first_arrivals) == MAX_CALLERS
     callers.note("new", 100.0, 100.0)
-    assert list(callers.asked) == ["new"]
+    assert list(callers.first_arrivals) == ["new"]
--- a/tests/scheduler/test_changes.py
+++ b/tests/scheduler/test_changes.py
@@ -8,7 +8,7 @@
 from godwitladder.scheduler.reports import HEARTBEAT_S, due_reports, take_offer
 from godwitladder.scheduler.systems import run_systems
 from tests.scheduler.desk import START, make_request, submit
-from tests.scheduler.test_returns import make_asked
+from tests.scheduler.test_returns import make_host_and_role
 
 ROUND_S = 0.05
 SMALL_BYTES = 600
@@ -19,7 +19,7 @@
     """A host and its allocator, with a way between them that may lose messages."""
 
     def __init__(self) -> None:
-        self.tables, self.role = make_asked()
+        self.tables, self.role = make_host_and_role()
         self.now = START + 1.0
         self.count = 0
         self.offers: list = []
@@ -46,7 +46,7 @@
 
     def lines(self) -> set:
         (account,) = self.role.current(self.now)
-        return set(account.lines)
+        return set(account.demands)
 
     def play(self, event: str) -> None:
         self.now += ROUND_S
@@ -64,11 +64,11 @@
     for _ in range(30):
         pair.submit()
     (whole,) = pair.report()
-    assert len(whole.lines) == 30
+    assert len(whole.demands) == 30
     pair.now += ROUND_S
     pair.submit()
     (change,) = pair.report()
-    assert [line.request for line in change.lines] == ["r31"]
+    assert [line.request for line in change.demands] == ["r31"]
     assert len(encode(change)) <= SMALL_BYTES
     assert len(pair.lines()) == 31
 
@@ -88,7 +88,7 @@
     assert list(pair.tables.waiting) == ["r1"]
     pair.now += ROUND_S
     (report,) = pair.report()
-    assert report.changes
+    assert report.incremental
     assert pair.lines() == {"r1"}
 
 
--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from godwitladder.decisions.speeds import KNOWN
+from godwitladder.decisions.speeds import MIN_OBSERVATIONS
 from godwitladder.ids import RequestId
 from godwitladder.outcomes import RequestState
-from godwitladder.scheduler.exchange import Completion, Stretch
+from godwitladder.scheduler.exchange import Completion, ThroughputSample
 from godwitladder.scheduler.stretches import note_progress
 from godwitladder.scheduler.systems import (
     dispatch_request,
@@ -74,20 +74,20 @@
     run_systems(desk.hosts["h1"], now)
     assert row.state is RequestState.DISPATCHED
     progress(desk, row, 1, now + 0.02)
-    role.speeds.learned["e0"].count = KNOWN
+    role.speeds.learned["e0"].count = MIN_OBSERVATIONS
 
     def work(now):
         if speed:
             progress(desk, row, row.produced_tokens + int(tps * speed / 2), now)
 
     now = run_for(desk, now, 8.0, work)
-    assert role.easing.limit("e0", 8, now) <= 4
+    assert role.throttles.limit("e0", 8, now) <= 4
 
     def work_well(now):
         progress(desk, row, row.produced_tokens + int(tps / 2), now)
 
     now = run_for(desk, now, 30.0, work_well)
-    assert role.easing.limit("e0", 8, now) == 8
+    assert role.throttles.limit("e0", 8, now) == 8
 
 
 @pytest.mark.parametrize("factor", [0.0, 0.1], ids=["silent", "slow"])
@@ -99,7 +99,7 @@
     """
     desk, now = settled({"e0": 8})
     role, tps = desk.roles["h0"], desk.config.targets["e0"].decode_tps
-    role.speeds.learned["e0"].count = KNOWN
+    role.speeds.learned["e0"].count = MIN_OBSERVATIONS
     lengths = {"declared_tokens": 9000, "predicted_tokens": 900, "likely_tokens": 90}
     rows = [make_request(f"r{n}", now, **lengths) for n in range(3)]
     for row in rows:
@@ -116,7 +116,7 @@
                 progress(desk, row, row.produced_tokens + made, now)
 
     now = run_for(desk, now, 12.0, work)
-    assert role.easing.limit("e0", 8, now) == 8
+    assert role.throttles.limit("e0", 8, now) == 8
 
 
 def test_a_target_of_unknown_speed_is_not_called_slow():
@@ -126,17 +126,17 @@
     """
     desk, now = settled({"e0": 8})
     role = desk.roles["h0"]
-    for _ in range(KNOWN - 1):
-        role.learn(Completion("e0", "w", "chat", 10, 10, 5.0, 50.0))
-        role.watch(Stretch("e0", 0, 64, 60.0), now)
-    assert role.easing.limit("e0", 8, now) == 8
+    for _ in range(MIN_OBSERVATIONS - 1):
+        role.observe_completion(Completion("e0", "w", "chat", 10, 10, 5.0, 50.0))
+        role.observe_throughput(ThroughputSample("e0", 0, 64, 60.0), now)
+    assert role.throttles.limit("e0", 8, now) == 8
 
 
 def test_grants_follow_the_prefix_that_a_target_was_sent():
     """Two engines are alike; the second letter shares the start of the first."""
     desk, now = settled({"e0": 1, "e1": 1})
     role = desk.roles["h0"]
-    role.hints.note_dispatch("e1", "start", now)
+    role.hints.record_dispatch("e1", "start", now)
     assert target_views(role, now)["e1"].prefixes == {"start"}
     assert target_views(role, now)["e0"].prefixes == set()
 
@@ -163,7 +163,7 @@
     prefix, and then granted nothing.
     """
     desk, now = settled({"e0": 1, "e1": 1}, hosts=("h0", "h1", "h2"))
-    desk.roles["h0"].hints.note_dispatch("e0", "start", now)
+    desk.roles["h0"].hints.record_dispatch("e0", "start", now)
     host = desk.hosts["h1"]
     for name in ("e0", "e1"):
         host.targets[name].avoided_until = now + 1.0 if name == "e0" else 0.0
