--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -328,7 +328,7 @@
                 request=row.request,
                 tier_rank=waiting.demand.tier_rank,
                 reserved_tokens=row.reserved_tokens,
-                lapse_s=OFFER_LIFETIME_S,
+                valid_for_s=OFFER_LIFETIME_S,
             )
             self.hints.note_dispatch(row.target, waiting.demand.prefix, now)
             self.note_reading(row.target, waiting.demand.prompt_tokens, now)
