--- a/godwitladder/decisions/returns.py
+++ b/godwitladder/decisions/returns.py
@@ -24,7 +24,7 @@
 from godwitladder.ids import BodyDigest
 
 KEPT_S = 30.0
-KEPT = 25_000
+MAX_CALLERS = 25_000
 
 
 class RefusedCallers:
@@ -49,4 +49,4 @@
     def is_old(self, now: float) -> bool:
         """Return whether the oldest is to be forgotten."""
         oldest = next(iter(self.asked.values()))
-        return now - oldest > KEPT_S or len(self.asked) > KEPT
+        return now - oldest > KEPT_S or len(self.asked) > MAX_CALLERS
