--- a/godwitladder/decisions/returns.py
+++ b/godwitladder/decisions/returns.py
@@ -15,7 +15,7 @@
 
 Thresholds
 ----------
-KEPT_S : twice the longest time that callers wait, who come back within it.
+RETENTION_S : twice the longest time that callers wait, who come back within it.
 KEPT : callers refused in that time at 1,500 requests a second, half of them.
 """
 
@@ -23,7 +23,7 @@
 
 from godwitladder.ids import BodyDigest
 
-KEPT_S = 30.0
+RETENTION_S = 30.0
 MAX_CALLERS = 25_000
 
 
@@ -44,9 +44,9 @@
     def first_asked(self, body: BodyDigest, now: float) -> float | None:
         """Return when a caller that was refused before first asked."""
         asked = self.asked.get(body)
-        return None if asked is None or now - asked > KEPT_S else asked
+        return None if asked is None or now - asked > RETENTION_S else asked
 
     def is_old(self, now: float) -> bool:
         """Return whether the oldest is to be forgotten."""
         oldest = next(iter(self.asked.values()))
-        return now - oldest > KEPT_S or len(self.asked) > MAX_CALLERS
+        return now - oldest > RETENTION_S or len(self.asked) > MAX_CALLERS
