--- a/godwitladder/decisions/returns.py
+++ b/godwitladder/decisions/returns.py
@@ -41,7 +41,7 @@
         while self.first_arrivals and self.is_old(now):
             self.first_arrivals.popitem(last=False)
 
-    def first_asked(self, body: BodyDigest, now: float) -> float | None:
+    def first_arrival(self, body: BodyDigest, now: float) -> float | None:
         """Return when a caller that was refused before first asked."""
         asked = self.first_arrivals.get(body)
         return None if asked is None or now - asked > RETENTION_S else asked
