--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -8,7 +8,7 @@
 from godwitladder.decisions.policy import ROUTED
 from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.decisions.quotas import LOWERED_AFTER_S, TokenQuotas, TokenRate
-from godwitladder.decisions.repeat_budget import KEEP, RepeatBounds, RetryBudget
+from godwitladder.decisions.repeat_budget import KEEP, RetryBudget, RetryLimits
 from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import ShedReason
@@ -246,7 +246,7 @@
 
 def test_repeats_are_a_share_of_the_requests():
     """Half of the targets fail each request; sent again, all of it comes twice."""
-    budget = RetryBudget(RepeatBounds(0.2, 30.0, 10.0))
+    budget = RetryBudget(RetryLimits(0.2, 30.0, 10.0))
     for _ in range(100):
         budget.note_request("s", 0.0)
     taken = sum(budget.take("s", 3, 1.0) for _ in range(100))
