--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -60,9 +60,9 @@
 
 def is_refusal_scan_due(pool: PoolView, now: float) -> bool:
     """Return whether the queue is to be looked through again, and note it."""
-    if now - pool.memory.refused_at < REFUSE_EVERY_S:
+    if now - pool.state.refused_at < REFUSE_EVERY_S:
         return False
-    pool.memory.refused_at = now
+    pool.state.refused_at = now
     return True
 
 
@@ -96,7 +96,7 @@
     ahead_s = backlog.work_s(group.service, group.precedence) - group.work_s
     if now + (ahead_s + group.work_s) / slots <= group.soonest:
         return []
-    queue = TierQueue(group.entries, pool.workspaces, pool.memory.spent, now)
+    queue = TierQueue(group.entries, pool.workspaces, pool.state.spent, now)
     first = group.precedence == backlog.precedences()[0]
     kept, late = project(queue, ahead_s, slots, now, first)
     if pool.floors:
@@ -114,7 +114,7 @@
     if it had the whole pool as soon as the last of them has started.
     """
     slots = group.part.slots
-    return max(slots * LEAST_LEFT, slots - pool.memory.slots_before(group.precedence))
+    return max(slots * LEAST_LEFT, slots - pool.state.slots_before(group.precedence))
 
 
 def project(
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -188,7 +188,7 @@
     aimed(pool, "now", 0, aim=0.8, charge=500)
     aimed(pool, "soon", 0, aim=0.8, charge=400)
     allocate(pool, 0.0)
-    assert pool.memory.flow == 0.0
+    assert pool.state.flow == 0.0
 
 
 def test_a_lowered_quota_binds_when_most_of_a_window_has_passed():
@@ -299,7 +299,7 @@
     """Return how many of twelve verdicts are refused after what was ``started``."""
     pool = make_pool(make_target(limit=10, used=10))
     pool.policy = ROUTED
-    pool.memory.started = dict(started)
+    pool.state.started = dict(started)
     for number in range(12):
         aimed(pool, f"v{number:02}", 4, aim=4.0, predicted_tokens=20)
     return len(given_up(allocate(pool, 0.0)))
