--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -188,7 +188,7 @@
     aimed(pool, "now", 0, aim=0.8, charge=500)
     aimed(pool, "soon", 0, aim=0.8, charge=400)
     allocate(pool, 0.0)
-    assert pool.state.flow == 0.0
+    assert pool.state.throughput == 0.0
 
 
 def test_a_lowered_quota_binds_when_most_of_a_window_has_passed():
