--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -229,7 +229,9 @@
         line = entry.waiting.demand
         memory = self.pool.state
         memory.admission.served[flow_of(entry)] += 1
-        memory.note(entry.precedence_at(self.now), line.workspace, entry.slot_s)
+        memory.record_placement(
+            entry.precedence_at(self.now), line.workspace, entry.slot_s
+        )
         self.placed_s += entry.slot_s
         if long:
             end = self.now + room.seconds(line)
--- a/godwitladder/decisions/allocator_state.py
+++ b/godwitladder/decisions/allocator_state.py
@@ -115,7 +115,7 @@
             while ends and ends[0] <= now:
                 heapq.heappop(ends)
 
-    def note(
+    def record_placement(
         self, precedence: Precedence, workspace: WorkspaceName, slot_s: float
     ) -> None:
         """A request was placed."""
