--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -83,7 +83,7 @@
         self.allocation = Allocation()
         sizes = pool.state.sizes if pool.policy.min_share else None
         self.backlog = Backlog(self.capacity, sizes)
-        pool.state.fade(now)
+        pool.state.decay(now)
         for entry in self.backlog.sort(list(pool.waiting.values()), now):
             pool.state.admission.requested[flow_of(entry)] += 1
             if not entry.waiting.is_retry:
--- a/godwitladder/decisions/allocator_state.py
+++ b/godwitladder/decisions/allocator_state.py
@@ -94,7 +94,7 @@
     entitlements: Entitlements = field(default_factory=Entitlements)
     admission: AdmissionController = field(default_factory=AdmissionController)
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Let everything fade up to ``now``."""
         elapsed_s = max(0.0, now - self.faded)
         self.faded = now
