--- a/godwitladder/decisions/allocator_state.py
+++ b/godwitladder/decisions/allocator_state.py
@@ -55,7 +55,7 @@
         where they no longer count as long.
     long_ends : dict
         For each target, when its long requests are expected to end: a heap.
-    refused_at : float
+    last_refusal_check : float
         When the queue was last looked through for early refusals.
     flow : float
         Slot seconds started in each second while more waited; 0 while nothing
@@ -80,7 +80,7 @@
     spent: dict[WorkspaceName, float] = field(default_factory=dict)
     typical_s: float = 0.0
     long_ends: dict[TargetName, list[float]] = field(default_factory=dict)
-    refused_at: float = float("-inf")
+    last_refusal_check: float = float("-inf")
     faded: float = 0.0
     throughput: float = 0.0
     flow_at: float = float("-inf")
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -60,9 +60,9 @@
 
 def is_refusal_scan_due(pool: PoolView, now: float) -> bool:
     """Return whether the queue is to be looked through again, and note it."""
-    if now - pool.state.refused_at < REFUSE_EVERY_S:
+    if now - pool.state.last_refusal_check < REFUSE_EVERY_S:
         return False
-    pool.state.refused_at = now
+    pool.state.last_refusal_check = now
     return True
 
 
