--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -24,7 +24,7 @@
 
 from godwitladder.decisions.admission import Flow
 from godwitladder.decisions.backlog import Backlog, Group
-from godwitladder.decisions.capacity import Capacity, Room, is_long
+from godwitladder.decisions.capacity import Capacity, TargetCapacity, is_long
 from godwitladder.decisions.fairness import TierQueue
 from godwitladder.decisions.shares import Precedence, Timeliness, serving_order
 from godwitladder.decisions.shedding import (
@@ -224,7 +224,7 @@
         row = ShedDecision(entry.waiting.demand.request, ShedReason.QUOTA, wait_s)
         self.allocation.sheds.append(row)
 
-    def note(self, entry: QueueEntry, room: Room, long: bool) -> None:
+    def note(self, entry: QueueEntry, room: TargetCapacity, long: bool) -> None:
         """Remember a placement for the next runs."""
         line = entry.waiting.demand
         memory = self.pool.state
