--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -24,7 +24,7 @@
 
 from godwitladder.decisions.admission import Flow
 from godwitladder.decisions.backlog import Backlog, Group
-from godwitladder.decisions.capacity import Capacity, TargetCapacity, is_long
+from godwitladder.decisions.capacity import PoolCapacity, TargetCapacity, is_long
 from godwitladder.decisions.fairness import TierQueue
 from godwitladder.decisions.shares import Precedence, Timeliness, serving_order
 from godwitladder.decisions.shedding import (
@@ -79,7 +79,7 @@
     def __init__(self, pool: PoolView, now: float) -> None:
         self.pool = pool
         self.now = now
-        self.capacity = Capacity(pool)
+        self.capacity = PoolCapacity(pool)
         self.allocation = Allocation()
         sizes = pool.state.sizes if pool.policy.min_share else None
         self.backlog = Backlog(self.capacity, sizes)
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -16,7 +16,7 @@
 
 from dataclasses import dataclass, field
 
-from godwitladder.decisions.capacity import Capacity, ServiceCapacity
+from godwitladder.decisions.capacity import PoolCapacity, ServiceCapacity
 from godwitladder.decisions.shares import Precedence, Timeliness
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import Pace, QueueEntry, WaitingRequest
@@ -68,7 +68,7 @@
         Those that can no longer start in time.
     """
 
-    def __init__(self, capacity: Capacity, sizes: CallSizes | None = None) -> None:
+    def __init__(self, capacity: PoolCapacity, sizes: CallSizes | None = None) -> None:
         self.capacity = capacity
         self.sizes = sizes
         self.groups: dict[tuple[Precedence, ServiceName], Group] = {}
--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -248,7 +248,7 @@
         return used / max(1, self.slots) + AFFINITY_SLACK
 
 
-class Capacity:
+class PoolCapacity:
     """What is left of a pool, by service."""
 
     def __init__(self, pool: PoolView) -> None:
