--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -40,7 +40,7 @@
 
     precedence: Precedence
     service: ServiceName
-    part: ServiceCapacity
+    capacity: ServiceCapacity
     entries: list[QueueEntry] = field(default_factory=list)
     work_s: float = 0.0
     soonest: float = float("inf")
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -113,7 +113,7 @@
     They will go on coming: counted only as what waits, a low tier looks as
     if it had the whole pool as soon as the last of them has started.
     """
-    slots = group.part.slots
+    slots = group.capacity.slots
     return max(slots * LEAST_LEFT, slots - pool.state.slots_before(group.precedence))
 
 
--- a/godwitladder/decisions/untimely.py
+++ b/godwitladder/decisions/untimely.py
@@ -40,7 +40,7 @@
 
 def take_untimely(group: Group, pool: PoolView, now: float) -> list[QueueEntry]:
     """Take out and return the requests of ``group`` that will not start in time."""
-    if not group.part.slots:
+    if not group.capacity.slots:
         return []
     rate = max(left_over(group, pool), pool.state.rate(group.precedence), LEAST_RATE)
     kept: list[QueueEntry] = []
@@ -62,8 +62,8 @@
 
     Before work has waited for a while, all slots are taken to come free.
     """
-    flow = pool.state.throughput or group.part.slots
-    return min(flow, group.part.slots) - pool.state.rate_before(group.precedence)
+    flow = pool.state.throughput or group.capacity.slots
+    return min(flow, group.capacity.slots) - pool.state.rate_before(group.precedence)
 
 
 def start_limit(entry: QueueEntry, group: Group) -> float:
