--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -43,13 +43,13 @@
     capacity: ServiceCapacity
     entries: list[QueueEntry] = field(default_factory=list)
     work_s: float = 0.0
-    soonest: float = float("inf")
+    earliest_safe_start: float = float("inf")
 
     def keep(self, entries: list[QueueEntry]) -> None:
         """Replace the requests by ``entries``, which are some of them."""
         self.entries = entries
         self.work_s = sum(entry.slot_s for entry in entries)
-        self.soonest = min(
+        self.earliest_safe_start = min(
             (entry.safe_start for entry in entries), default=float("inf")
         )
 
@@ -140,8 +140,8 @@
             self.groups[precedence, service] = group
         group.entries.append(entry)
         group.work_s += entry.slot_s
-        if entry.safe_start < group.soonest:
-            group.soonest = entry.safe_start
+        if entry.safe_start < group.earliest_safe_start:
+            group.earliest_safe_start = entry.safe_start
 
 
 def weigh(row: WaitingRequest, pace: Pace) -> QueueEntry:
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -94,7 +94,7 @@
     if not slots:
         return []
     ahead_s = backlog.work_s(group.service, group.precedence) - group.work_s
-    if now + (ahead_s + group.work_s) / slots <= group.soonest:
+    if now + (ahead_s + group.work_s) / slots <= group.earliest_safe_start:
         return []
     queue = TierQueue(group.entries, pool.workspaces, pool.state.spent, now)
     first = group.precedence == backlog.precedences()[0]
