--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -112,7 +112,7 @@
                     e for e in group.entries if e.waiting.demand.request not in placed
                 ]
                 if len(kept) < len(group.entries):
-                    group.keep(kept)
+                    group.retain(kept)
         if self.pool.policy.uses_measured_throughput:
             self.record_throughput()
 
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -45,7 +45,7 @@
     work_s: float = 0.0
     earliest_safe_start: float = float("inf")
 
-    def keep(self, entries: list[QueueEntry]) -> None:
+    def retain(self, entries: list[QueueEntry]) -> None:
         """Replace the requests by ``entries``, which are some of them."""
         self.entries = entries
         self.work_s = sum(entry.slot_s for entry in entries)
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -103,7 +103,7 @@
         fresh = [e for e in late if now - e.waiting.arrived < SPILL_AFTER_S]
         kept += fresh
         late = [e for e in late if now - e.waiting.arrived >= SPILL_AFTER_S]
-    group.keep(kept)
+    group.retain(kept)
     return late
 
 
@@ -153,7 +153,7 @@
     for group in backlog.groups.values():
         if group.precedence.rank > rank and group.service in rivals:
             given_up += group.entries
-            group.keep([])
+            group.retain([])
     return given_up
 
 
--- a/godwitladder/decisions/untimely.py
+++ b/godwitladder/decisions/untimely.py
@@ -53,7 +53,7 @@
             ahead_s += entry.slot_s
         else:
             late.append(entry)
-    group.keep(kept)
+    group.retain(kept)
     return late
 
 
