--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -36,14 +36,14 @@
 
 def without_late_last() -> contextlib.AbstractContextManager:
     """Leave late calls where they stand."""
-    whole = backlog.weigh
+    whole = backlog.make_entry
 
-    def weigh(*args):
+    def make_entry(*args):
         entry = whole(*args)
         entry.late_precedence = entry.precedence
         return entry
 
-    return patch.object(backlog, "weigh", weigh)
+    return patch.object(backlog, "weigh", make_entry)
 
 
 def without_returns() -> contextlib.AbstractContextManager:
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -85,7 +85,7 @@
                 pace = paces[service] = self.capacity.of(service).pace
             entry = row.entry
             if entry is None or entry.pace != pace:
-                entry = row.entry = self.weigh(row, pace)
+                entry = row.entry = self.make_entry(row, pace)
                 if not row.counted:
                     row.counted = True
                     fresh.append(entry)
@@ -95,9 +95,9 @@
                 self._add(entry, now)
         return fresh
 
-    def weigh(self, row: WaitingRequest, pace: Pace) -> QueueEntry:
+    def make_entry(self, row: WaitingRequest, pace: Pace) -> QueueEntry:
         """Return ``row`` with what it needs on the fastest target."""
-        entry = weigh(row, pace)
+        entry = make_entry(row, pace)
         if self.sizes is not None:
             rank = row.demand.tier_rank
             if not row.counted and not row.is_retry:
@@ -144,7 +144,7 @@
             group.earliest_safe_start = entry.safe_start
 
 
-def weigh(row: WaitingRequest, pace: Pace) -> QueueEntry:
+def make_entry(row: WaitingRequest, pace: Pace) -> QueueEntry:
     """Return ``row`` with what it needs on the fastest target."""
     line = row.demand
     prefill_s, decode_s = pace
