--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -156,7 +156,7 @@
         safe = max(row.deadline - most_s * MARGIN, row.arrived + SAFE_LEAST_S)
         safe = min(safe, latest)
     in_time = Timeliness.IN_TIME
-    late = Timeliness.CAME_BACK if row.is_retry else Timeliness.LATE
+    late = Timeliness.RETRIED if row.is_retry else Timeliness.LATE
     if not row.within_quota:
         in_time = late = Timeliness.BEYOND_QUOTA
     return QueueEntry(
--- a/godwitladder/decisions/shares.py
+++ b/godwitladder/decisions/shares.py
@@ -46,7 +46,7 @@
     """
 
     IN_TIME = 0
-    CAME_BACK = 1
+    RETRIED = 1
     LATE = 2
     BEYOND_QUOTA = 3
 
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -130,7 +130,7 @@
 
 def test_late_calls_of_any_rank_come_after_those_in_time():
     """A burst is over; late letters wait beside a verdict that has just come."""
-    back = Precedence(Timeliness.CAME_BACK, 0)
+    back = Precedence(Timeliness.RETRIED, 0)
     late = Precedence(Timeliness.LATE, 0)
     rows = [("late", late, 0.0), ("verdict", VERDICT, 1.0), ("back", back, 0.0)]
     assert order_of(rows) == ["verdict", "back", "late"]
