--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -158,7 +158,7 @@
     in_time = Timeliness.IN_TIME
     late = Timeliness.RETRIED if row.is_retry else Timeliness.LATE
     if not row.within_quota:
-        in_time = late = Timeliness.BEYOND_QUOTA
+        in_time = late = Timeliness.OVER_QUOTA
     return QueueEntry(
         row,
         slot_s,
--- a/godwitladder/decisions/shares.py
+++ b/godwitladder/decisions/shares.py
@@ -48,7 +48,7 @@
     IN_TIME = 0
     RETRIED = 1
     LATE = 2
-    BEYOND_QUOTA = 3
+    OVER_QUOTA = 3
 
 
 class Precedence(NamedTuple):
