--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -26,6 +26,7 @@
 from godwitladder.decisions.backlog import Backlog, Group
 from godwitladder.decisions.capacity import PoolCapacity, TargetCapacity, is_long
 from godwitladder.decisions.fairness import TierQueue
+from godwitladder.decisions.late_refusal import refuse_untimely
 from godwitladder.decisions.shares import Precedence, Timeliness, serving_order
 from godwitladder.decisions.shedding import (
     make_shed_decision,
@@ -44,7 +45,6 @@
     ShedReason,
     WorkspaceView,
 )
-from godwitladder.decisions.untimely import refuse_untimely
 from godwitladder.ids import RequestId, ServiceName, WorkspaceName
 
 MISSES = 32
