--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -27,7 +27,7 @@
 from godwitladder.decisions.capacity import PoolCapacity, TargetCapacity, is_long
 from godwitladder.decisions.fairness import TierQueue
 from godwitladder.decisions.late_refusal import refuse_late
-from godwitladder.decisions.shares import Precedence, Timeliness, serving_order
+from godwitladder.decisions.precedence import Precedence, Timeliness, serving_order
 from godwitladder.decisions.shedding import (
     make_shed_decision,
     refuse_early,
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, field
 
 from godwitladder.decisions.capacity import PoolCapacity, ServiceCapacity
-from godwitladder.decisions.shares import Precedence, Timeliness
+from godwitladder.decisions.precedence import Precedence, Timeliness
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import Pace, QueueEntry, WaitingRequest
 from godwitladder.ids import ServiceName
--- a/godwitladder/decisions/late_refusal.py
+++ b/godwitladder/decisions/late_refusal.py
@@ -20,7 +20,7 @@
 
 from godwitladder.decisions.backlog import Backlog, Group
 from godwitladder.decisions.fairness import TierQueue
-from godwitladder.decisions.shares import Timeliness
+from godwitladder.decisions.precedence import Timeliness
 from godwitladder.decisions.shedding import is_refusal_scan_due
 from godwitladder.decisions.types import PoolView, QueueEntry
 
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -11,8 +11,8 @@
 
 from godwitladder.decisions.allocator_state import AllocatorState
 from godwitladder.decisions.policy import Policy
+from godwitladder.decisions.precedence import Precedence
 from godwitladder.decisions.quotas import TokenQuotas
-from godwitladder.decisions.shares import Precedence
 from godwitladder.ids import (
     BodyDigest,
     HostId,
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -6,10 +6,15 @@
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.entitlement import Entitlements
 from godwitladder.decisions.policy import ROUTED
+from godwitladder.decisions.precedence import (
+    Precedence,
+    Size,
+    Timeliness,
+    serving_order,
+)
 from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.decisions.quotas import LOWERED_AFTER_S, TokenQuotas, TokenRate
 from godwitladder.decisions.retry_budget import KEEP, RetryBudget, RetryLimits
-from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import ShedReason
 from tests.decisions.pools import add, given_up, make_pool, make_target, take
