--- a/bench/policies.py
+++ b/bench/policies.py
@@ -8,8 +8,8 @@
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.early_retries import RefusedRequests
+from godwitladder.decisions.load_reports import LoadReports
 from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
-from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.throttling import TargetThrottles
 from godwitladder.decisions.types import (
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -9,9 +9,9 @@
 from godwitladder.decisions.backoff import retry_after_s
 from godwitladder.decisions.cancel import DisconnectAction, disconnect_action
 from godwitladder.decisions.early_retries import RefusedRequests
+from godwitladder.decisions.load_reports import LoadReports
 from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
 from godwitladder.decisions.rendezvous import choose_host
-from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.returning_callers import (
     MAX_CALLERS,
     RETENTION_S,
