--- a/bench/policies.py
+++ b/bench/policies.py
@@ -307,7 +307,7 @@
         while len(self.reports) > 1 and self.reports[1][0] <= now - self.lag_s:
             self.reports.popleft()
         for name, count in self.reports[0][1].items():
-            self.loads.note_ours(name, self.ours.get(name, 0), now)
+            self.loads.record_own(name, self.ours.get(name, 0), now)
             self.loads.observe(name, count)
 
     def watch_stream(self, stream: Stream, target: TargetName, now: float) -> None:
--- a/godwitladder/decisions/load_reports.py
+++ b/godwitladder/decisions/load_reports.py
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self.rows: dict[TargetName, OutsideLoad] = {}
 
-    def note_ours(self, target: TargetName, count: int, now: float) -> None:
+    def record_own(self, target: TargetName, count: int, now: float) -> None:
         """Remember how many requests of ours ``target`` has at ``now``."""
         row = self.rows.setdefault(target, OutsideLoad())
         row.ours.append((now, count))
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -106,7 +106,7 @@
         if target.address in role.leaving or name in unreachable:
             continue
         count = counted.get(name, NOTHING)
-        role.loads.note_ours(name, running.get(name, NOTHING).running, now)
+        role.loads.record_own(name, running.get(name, NOTHING).running, now)
         speed = role.speeds.learned[name]
         told = PendingPrefill(count.unread, count.unread_requests)
         unread = role.forecast.pending(name, told, now)
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -200,7 +200,7 @@
     ours = [4 + (3 if second // 3 % 2 else -3) for second in range(120)]
     shown = []
     for second in range(lag, 120):
-        loads.note_ours("t", ours[second], float(second))
+        loads.record_own("t", ours[second], float(second))
         outside = 3 if second - lag >= 60 else 0
         loads.observe("t", ours[second - lag] + outside)
         shown.append(loads.others("t"))
