--- a/bench/policies.py
+++ b/bench/policies.py
@@ -222,7 +222,7 @@
             speed = self.speeds.learned[name]
             view.prefill_tps, view.decode_tps = speed.prefill_tps, speed.decode_tps
             view.limit = self.easing.limit(name, view.slots, now)
-            view.used = self.ours.get(name, 0) + self.loads.others(name)
+            view.used = self.ours.get(name, 0) + self.loads.external(name)
             view.prefixes = self.hints.prefixes(name, now)
 
     def place(self, placement: Placement, now: float) -> tuple[RequestId, TargetName]:
--- a/godwitladder/decisions/load_reports.py
+++ b/godwitladder/decisions/load_reports.py
@@ -26,7 +26,7 @@
 class OutsideLoad:
     """Requests of others on one target, and our own counts of late."""
 
-    others: float = 0.0
+    external: float = 0.0
     ours: deque[tuple[float, int]] = field(default_factory=deque)
 
 
@@ -52,12 +52,12 @@
         row = self.rows.setdefault(target, OutsideLoad())
         counts = [count for _, count in row.ours]
         ours = sum(counts) / len(counts) if counts else 0.0
-        row.others += GAIN * (reported - ours - row.others)
+        row.external += GAIN * (reported - ours - row.external)
 
-    def others(self, target: TargetName) -> int:
+    def external(self, target: TargetName) -> int:
         """Return the requests of others to count into ``TargetView.used``."""
         row = self.rows.get(target)
-        return max(0, round(row.others)) if row else 0
+        return max(0, round(row.external)) if row else 0
 
     def forget(self, target: TargetName) -> None:
         """Drop a target that is gone."""
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -118,7 +118,7 @@
             memory_tokens=target.memory_tokens,
             prefill_tps=speed.prefill_tps,
             decode_tps=speed.decode_tps,
-            used=count.running + role.loads.others(name),
+            used=count.running + role.loads.external(name),
             reserved_tokens=count.tokens,
             limit=limit_of(role, name, target.slots, now),
             prefixes=role.hints.prefixes(name, now),
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -203,7 +203,7 @@
         loads.record_own("t", ours[second], float(second))
         outside = 3 if second - lag >= 60 else 0
         loads.observe("t", ours[second - lag] + outside)
-        shown.append(loads.others("t"))
+        shown.append(loads.external("t"))
     assert set(shown[10:55]) <= {0, 1}
     assert set(shown[-20:]) <= {2, 3, 4}
 
