--- a/godwitladder/decisions/load_reports.py
+++ b/godwitladder/decisions/load_reports.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class OutsideLoad:
+class ExternalLoad:
     """Requests of others on one target, and our own counts of late."""
 
     external: float = 0.0
@@ -34,11 +34,11 @@
     """What others run on each target."""
 
     def __init__(self) -> None:
-        self.rows: dict[TargetName, OutsideLoad] = {}
+        self.rows: dict[TargetName, ExternalLoad] = {}
 
     def record_own(self, target: TargetName, count: int, now: float) -> None:
         """Remember how many requests of ours ``target`` has at ``now``."""
-        row = self.rows.setdefault(target, OutsideLoad())
+        row = self.rows.setdefault(target, ExternalLoad())
         row.ours.append((now, count))
         while now - row.ours[0][0] > WINDOW_S:
             row.ours.popleft()
@@ -49,7 +49,7 @@
         It is compared with what we had on average in the window: our own
         ups and downs then cancel out over a few reports.
         """
-        row = self.rows.setdefault(target, OutsideLoad())
+        row = self.rows.setdefault(target, ExternalLoad())
         counts = [count for _, count in row.ours]
         ours = sum(counts) / len(counts) if counts else 0.0
         row.external += GAIN * (reported - ours - row.external)
