--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -226,13 +226,13 @@
         Speeds that these were worked out from.
     """
 
-    waiting: "Waiting"
+    waiting: "WaitingRequest"
     slot_s: float
     latest_start: float
     safe_start: float
     precedence: Precedence
     late_precedence: Precedence
-    pace: "Pace"
+    pace: "TokenTimes"
     ttft_deadline: float = float("inf")
 
     def precedence_at(self, now: float) -> Precedence:
