--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -128,7 +128,7 @@
     def record_throughput(self) -> None:
         """Remember how much was started while more waited."""
         waits = any(group.entries for group in self.backlog.groups.values())
-        slots = sum(room.view.limit for room in self.capacity.rooms)
+        slots = sum(room.view.limit for room in self.capacity.targets)
         self.pool.state.record_throughput(self.placed_s, waits, slots, self.now)
 
     def place_groups(
