--- a/examples/allocation_in_memory.py
+++ b/examples/allocation_in_memory.py
@@ -1,7 +1,7 @@
-"""Hand out a pool's slots and see who is given up, without hosts or a clock.
+"""Allocate a pool's slots and show which requests are shed, without hosts or a clock.
 
-The allocator places by tier, and gives up what can't be in time any more.
-Tokens and seconds throughout.
+The allocator places requests by tier, and sheds those that can't be in time any more.
+Amounts are in tokens and seconds.
 """
 
 from godwitladder.decisions.allocation import allocate
@@ -17,15 +17,15 @@
 
 
 def waiting(name: str, rank: int, time_to_deadline_s: float) -> WaitingRequest:
-    """Return a request for a letter of some 200 tokens."""
-    line = RequestDemand(
+    """Return a waiting request for a letter of some 200 tokens."""
+    demand = RequestDemand(
         name, "advisers", "letters", rank, 500, 200, time_to_deadline_s, 0.0
     )
-    return WaitingRequest("host-a1", line, NOW + time_to_deadline_s, NOW)
+    return WaitingRequest("host-a1", demand, NOW + time_to_deadline_s, NOW)
 
 
 def main() -> Allocation:
-    """Print and return what one run decides."""
+    """Print and return the decisions of one run."""
     services = frozenset({"letters"})
     target = TargetView(
         "engine-a1", services, 1, 100_000, prefill_tps=4000, decode_tps=40, limit=1
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -1,21 +1,21 @@
-"""Hands a pool's free capacity to the waiting requests.
+"""Allocation of a pool's free capacity to the waiting requests.
 
-Load pattern: more work waits than the pool can run. Without one place that
-sees all of it, each host dispatches its own head of queue, and a low tier's
-request on a quiet host goes before a high tier's on a busy one.
+Load pattern: more work waits than the pool can run. Without a single place that
+sees all of it, each host dispatches the head of its own queue, and a request of a
+low tier on an idle host goes before one of a high tier on a busy host.
 
-One run goes through these steps, each in a module of its own: what ran out of
-time is given up (`shedding`), free slots go by precedence
-(`shares`; `fairness` orders requests of one, `capacity` chooses the target),
-and of what still waits, the last is refused as far as it can't start in time.
+Each run takes these steps, most of them in other modules: expired requests are shed
+(`shedding`); free slots are given out by precedence (`precedence`), where `fairness`
+orders the requests of one precedence and `capacity` chooses the target; and requests
+that still wait and can't start in time are refused (`shedding`, `late_refusal`).
 
 Thresholds
 ----------
-MAX_CONTENTION_S : a queue that has lasted for some seconds is taken to last as
-    long again, up to this: callers who come back sooner are refused again.
-MISSES : a tier is left after this many requests in a row that fit no target;
-    looking at all of a thousand costs several milliseconds a run, and the
-    next run looks again.
+MAX_CONTENTION_S : a queue that has lasted for some seconds is expected to last as
+    long again, up to this: callers who retry sooner would be refused again.
+MAX_MISSES : a precedence is left after this many requests in a row that fit no
+    target. Trying all of a thousand takes several milliseconds per run, and the
+    next run tries again.
 """
 
 import math
@@ -47,33 +47,39 @@
 )
 from godwitladder.ids import RequestId, ServiceName, WorkspaceName
 
-MISSES = 32
+MAX_MISSES = 32
 MAX_CONTENTION_S = 4.0
 
 
 def allocate(pool: PoolView, now: float) -> Allocation:
     """Return placements and sheds for the requests in ``pool``.
 
-    The views in ``pool`` are not changed, but for `PoolView.memory` and
-    `Waiting.entry`; the caller accounts for what was decided.
+    Of ``pool``, only `PoolView.state`, `PoolView.quotas` and the fields
+    `WaitingRequest.entry` and `WaitingRequest.counted` are changed; the caller
+    accounts for the decisions.
+
+    Parameters
+    ----------
+    now : float
+        Time in seconds by the allocator's clock.
     """
-    run = _Run(pool, now)
+    run = _AllocationRun(pool, now)
     run.place_all()
-    run.drop_expired()
-    run.follow_others()
+    run.shed_expired()
+    run.follow_other_allocators()
     refuse = refuse_early if pool.policy.is_strict else refuse_late_starts
-    run.drop(refuse(run.backlog, pool, now), ShedReason.OVERLOAD)
+    run.shed(refuse(run.backlog, pool, now), ShedReason.OVERLOAD)
     run.summarize()
     pool.state.admission.update(now, pool.staleness_s)
     return run.allocation
 
 
 def flow_of(entry: QueueEntry) -> Flow:
-    """Return whose calls of which service ``entry`` is one of."""
+    """Return the service and workspace of ``entry``."""
     return entry.waiting.demand.service, entry.waiting.demand.workspace
 
 
-class _Run:
+class _AllocationRun:
     """One run of the allocator."""
 
     def __init__(self, pool: PoolView, now: float) -> None:
@@ -89,19 +95,19 @@
             if not entry.waiting.is_retry:
                 self.count_offered(entry, 1.0)
         self.placed_s = 0.0
-        self.promised: Counter[WorkspaceName] = Counter()
+        self.reserved_quota: Counter[WorkspaceName] = Counter()
         self.running = {
             name: view.running for name, view in pool.workspaces.items() if view.quota
         }
 
     def count_offered(self, entry: QueueEntry, number: float) -> None:
-        """Add ``number`` to what lately came with the precedence of ``entry``."""
+        """Add ``number`` to the recent arrivals with the precedence of ``entry``."""
         offered = self.pool.state.offered
         offered[entry.precedence] = offered.get(entry.precedence, 0.0) + number
 
     def place_all(self) -> None:
-        """Place what waits by precedence, while any slot is free."""
-        for precedence in self.turns():
+        """Place waiting requests by precedence while a slot is free."""
+        for precedence in self.precedence_order():
             free = self.capacity.free_services()
             if not free:
                 break
@@ -116,25 +122,29 @@
         if self.pool.policy.uses_measured_throughput:
             self.record_throughput()
 
-    def turns(self) -> list[Precedence]:
-        """Return what waits by precedence, the first to be served first."""
-        least = self.pool.policy.min_share
+    def precedence_order(self) -> list[Precedence]:
+        """Return the precedences that wait, the first to be served first."""
+        min_share = self.pool.policy.min_share
         waiting = self.backlog.precedences()
-        if not least:
+        if not min_share:
             return waiting
         shares = {each: self.pool.state.share(each) for each in waiting}
-        return serving_order(waiting, shares, least)
+        return serving_order(waiting, shares, min_share)
 
     def record_throughput(self) -> None:
-        """Remember how much was started while more waited."""
+        """Record how much work was started while more was waiting."""
         waits = any(group.entries for group in self.backlog.groups.values())
-        slots = sum(room.view.limit for room in self.capacity.targets)
+        slots = sum(target.view.limit for target in self.capacity.targets)
         self.pool.state.record_throughput(self.placed_s, waits, slots, self.now)
 
     def place_groups(
         self, groups: list[Group], free: set[ServiceName]
     ) -> set[RequestId]:
-        """Place what fits of one precedence's groups and return it."""
+        """Place requests of one precedence and return those that no longer wait.
+
+        These are the placed requests, and those that wait for their quota or were
+        refused because of it.
+        """
         entries = [entry for group in groups for entry in group.entries]
         queue = TierQueue(
             entries, self.pool.workspaces, self.pool.state.spent, self.now
@@ -142,71 +152,80 @@
         placed: set[RequestId] = set()
         blocked: set[ServiceName] = set()
         misses = 0
-        while free and misses < MISSES and (entry := queue.pop()):
-            line = entry.waiting.demand
-            if line.service not in free:
+        while free and misses < MAX_MISSES and (entry := queue.pop()):
+            demand = entry.waiting.demand
+            if demand.service not in free:
                 continue
-            if self.at_quota(line.workspace):
-                queue.remove_workspace(line.workspace)
-            elif (wait_s := self.quota_wait_s(line)) > 0:
-                # Waiting for its quota or refused, it is no part of the pool's load.
-                placed.add(line.request)
+            if self.at_quota(demand.workspace):
+                queue.remove_workspace(demand.workspace)
+            elif (wait_s := self.quota_wait_s(demand)) > 0:
+                # Whether it waits for its quota or is refused, it doesn't count as
+                # load of the pool.
+                placed.add(demand.request)
                 if wait_s <= self.patience_s(entry):
-                    self.promised[line.workspace] += line.charge
+                    self.reserved_quota[demand.workspace] += demand.charge
                 else:
                     self.refuse_quota(entry, wait_s)
             elif self.place(entry):
-                placed.add(line.request)
+                placed.add(demand.request)
                 misses = 0
                 free = self.capacity.free_services()
             else:
                 misses += 1
-                if self.capacity.of(line.service).lacks_memory(line):
-                    blocked.add(line.service)
+                if self.capacity.of(demand.service).lacks_memory(demand):
+                    blocked.add(demand.service)
         for service in blocked & free:
-            self.capacity.of(service).hold_roomiest()
+            self.capacity.of(service).hold_most_free()
         return placed
 
     def place(self, entry: QueueEntry) -> bool:
-        """Place one request if a target takes it."""
-        line = entry.waiting.demand
-        part = self.capacity.of(line.service)
+        """Place one request; return whether a target takes it."""
+        demand = entry.waiting.demand
+        service_capacity = self.capacity.of(demand.service)
         long = is_long(entry.slot_s, self.pool.state.typical_s)
-        if long and not part.takes_long():
+        if long and not service_capacity.admits_long():
             return False
         budget_s = entry.waiting.deadline - self.now
-        room = part.choose(line, budget_s, entry.waiting.avoided, self.aim_s(entry))
-        if room is None:
+        target = service_capacity.choose(
+            demand, budget_s, entry.waiting.avoided, self.ttft_budget_s(entry)
+        )
+        if target is None:
             return False
-        tokens = line.prompt_tokens + line.predicted_tokens
-        room.take(tokens, long, line.prompt_tokens)
-        self.pool.quotas.take(line.workspace, line.charge, self.now)
-        self.note(entry, room, long)
-        if line.workspace in self.running:
-            self.running[line.workspace] += 1
+        tokens = demand.prompt_tokens + demand.predicted_tokens
+        target.take(tokens, long, demand.prompt_tokens)
+        self.pool.quotas.take(demand.workspace, demand.charge, self.now)
+        self.record_placement(entry, target, long)
+        if demand.workspace in self.running:
+            self.running[demand.workspace] += 1
         self.allocation.placements.append(
-            Placement(line.request, room.view.name, tokens)
+            Placement(demand.request, target.view.name, tokens)
         )
         return True
 
-    def aim_s(self, entry: QueueEntry) -> float | None:
-        """Return the seconds left for the first output; None if any will do."""
+    def ttft_budget_s(self, entry: QueueEntry) -> float | None:
+        """Return the seconds left for the first output.
+
+        None if the policy doesn't enforce latency, infinite if it is late already.
+        """
         if not self.pool.policy.enforces_latency:
             return None
         in_time = entry.precedence_at(self.now).timeliness is Timeliness.IN_TIME
         return entry.waiting.ttft_deadline - self.now if in_time else math.inf
 
-    def quota_wait_s(self, line: RequestDemand) -> float:
-        """Return the seconds until the workspace's tokens allow ``line``."""
-        promised = self.promised[line.workspace]
-        return self.pool.quotas.wait_s(line.workspace, line.charge, self.now, promised)
+    def quota_wait_s(self, demand: RequestDemand) -> float:
+        """Return the seconds until the workspace's token quota admits ``demand``."""
+        reserved_quota = self.reserved_quota[demand.workspace]
+        return self.pool.quotas.wait_s(
+            demand.workspace, demand.charge, self.now, reserved_quota
+        )
 
     def patience_s(self, entry: QueueEntry) -> float:
         """Return the seconds for which ``entry`` may wait for its quota.
 
-        A quota fills all the time: refused at once, a caller who could be served in
-        time by the next second's tokens is sent away for as many seconds as it is
-        told, and comes back late. Without an aim nobody can tell what is in time.
+        A quota refills continuously. If refused at once, a caller who could be served
+        in time with the tokens of the next second would stay away for the seconds in
+        its answer and retry too late. Without a bound on the first output, in time is
+        undefined, and the request doesn't wait.
         """
         if math.isinf(entry.ttft_deadline):
             return 0.0
@@ -218,83 +237,88 @@
         return until - self.now
 
     def refuse_quota(self, entry: QueueEntry, wait_s: float) -> None:
-        """Refuse what is beyond its workspace's tokens: nobody is owed it."""
+        """Refuse a request that exceeds its workspace's token quota.
+
+        It has no claim to be served, so it isn't counted as an arrival.
+        """
         if not entry.waiting.is_retry:
             self.count_offered(entry, -1.0)
         row = ShedDecision(entry.waiting.demand.request, ShedReason.QUOTA, wait_s)
         self.allocation.sheds.append(row)
 
-    def note(self, entry: QueueEntry, room: TargetCapacity, long: bool) -> None:
-        """Remember a placement for the next runs."""
-        line = entry.waiting.demand
-        memory = self.pool.state
-        memory.admission.served[flow_of(entry)] += 1
-        memory.record_placement(
-            entry.precedence_at(self.now), line.workspace, entry.slot_s
+    def record_placement(
+        self, entry: QueueEntry, target: TargetCapacity, long: bool
+    ) -> None:
+        """Record a placement in the state for later runs."""
+        demand = entry.waiting.demand
+        state = self.pool.state
+        state.admission.served[flow_of(entry)] += 1
+        state.record_placement(
+            entry.precedence_at(self.now), demand.workspace, entry.slot_s
         )
         self.placed_s += entry.slot_s
         if long:
-            end = self.now + room.seconds(line)
-            self.pool.state.note_long(room.view.name, end)
+            end = self.now + target.seconds(demand)
+            state.record_long_request(target.view.name, end)
 
     def at_quota(self, workspace: WorkspaceName) -> bool:
-        """Return whether ``workspace`` runs as much as it may."""
+        """Return whether ``workspace`` has reached its limit on running requests."""
         view = self.pool.workspaces.get(workspace, WorkspaceView())
         return 0 < view.quota <= self.running.get(workspace, 0)
 
-    def drop_expired(self) -> None:
-        """Give up what ran out of time, and what is kept below it."""
-        lost: dict[int, set[ServiceName]] = {}
+    def shed_expired(self) -> None:
+        """Shed expired requests and, in strict order, lower tiers that still wait."""
+        missed_services: dict[int, set[ServiceName]] = {}
         for entry in self.backlog.expired:
-            line = entry.waiting.demand
-            if self.at_quota(line.workspace):
-                self.drop([entry], ShedReason.QUOTA)
+            demand = entry.waiting.demand
+            if self.at_quota(demand.workspace):
+                self.shed([entry], ShedReason.QUOTA)
                 continue
-            self.drop([entry], ShedReason.DEADLINE)
-            if was_feasible(entry) and self.capacity.of(line.service).slots:
-                lost.setdefault(line.tier_rank, set()).add(line.service)
+            self.shed([entry], ShedReason.DEADLINE)
+            if was_feasible(entry) and self.capacity.of(demand.service).slots:
+                missed_services.setdefault(demand.tier_rank, set()).add(demand.service)
         if not self.pool.policy.is_strict:
             return
-        for rank, services in sorted(lost.items()):
-            self.note_shed(rank)
+        for rank, services in sorted(missed_services.items()):
+            self.record_shed_rank(rank)
             below = shed_below_rank(self.backlog, rank, services)
-            self.drop(below, ShedReason.OVERLOAD)
+            self.shed(below, ShedReason.OVERLOAD)
 
-    def follow_others(self) -> None:
+    def follow_other_allocators(self) -> None:
         """Keep nothing below a tier that another allocator had to shed."""
         if not self.pool.shed_ranks or not self.pool.policy.is_strict:
             return
         rank = min(self.pool.shed_ranks.values())
         below = shed_below_rank(self.backlog, rank, self.capacity.services)
-        self.drop(below, ShedReason.OVERLOAD)
+        self.shed(below, ShedReason.OVERLOAD)
 
-    def drop(self, entries: Iterable[QueueEntry], reason: ShedReason) -> None:
-        """Give ``entries`` up for ``reason``."""
+    def shed(self, entries: Iterable[QueueEntry], reason: ShedReason) -> None:
+        """Shed ``entries`` for ``reason``."""
         waits: dict[tuple[ServiceName, Precedence], float] = {}
         for entry in entries:
-            line = entry.waiting.demand
-            key = line.service, entry.precedence
+            demand = entry.waiting.demand
+            key = demand.service, entry.precedence
             if key not in waits:
                 waits[key] = max(
                     self.backlog.wait_s(*key),
                     min(self.pool.state.contended_s(), MAX_CONTENTION_S),
                 )
             if reason is ShedReason.OVERLOAD:
-                self.note_shed(line.tier_rank)
+                self.record_shed_rank(demand.tier_rank)
             if reason is not ShedReason.QUOTA:
                 self.pool.state.admission.shed[flow_of(entry)] += 1
             self.pool.state.callers.note(
-                line.body, entry.waiting.first_arrived, self.now
+                demand.body, entry.waiting.first_arrived, self.now
             )
             self.allocation.sheds.append(make_shed_decision(entry, reason, waits[key]))
 
-    def note_shed(self, rank: int) -> None:
-        """Remember the most important tier that was shed."""
-        least = self.allocation.shed_rank
-        self.allocation.shed_rank = rank if least is None else min(rank, least)
+    def record_shed_rank(self, rank: int) -> None:
+        """Record the most important tier that was shed."""
+        lowest = self.allocation.shed_rank
+        self.allocation.shed_rank = rank if lowest is None else min(rank, lowest)
 
     def summarize(self) -> None:
-        """Fill in what other allocators are told."""
+        """Fill in what is sent to other allocators, and the backlog."""
         waiting = self.backlog.precedences()
         ranks = [precedence.rank for precedence in waiting]
         self.allocation.floor = max(ranks, default=None)
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -1,17 +1,18 @@
-"""Sorts the waiting requests by precedence and service, with the work in each.
+"""Groups the waiting requests by precedence and service, and sums their work.
 
-Load pattern: a thousand requests wait and a slot is free every few
-milliseconds. A run that sorted all of them for that slot would hold the
-scheduler longer than the slot lasts. So a run looks at each row once, with
-what it worked out for it the last time, and keeps sums; only the few that a
-free slot is for are put in order.
+Load pattern: a thousand requests wait, and a slot becomes free every few
+milliseconds. A run that sorted all of them for that slot would block the scheduler
+for longer than the interval between slots. So a run visits each request once, with
+the values cached from earlier runs, and keeps sums; only the few requests that
+compete for a free slot are sorted.
 
 Thresholds
 ----------
-MARGIN : a request is started while its likely length, and this factor of it,
-    fits before its deadline: longer ones than predicted end in time too.
-SAFE_LEAST_S : one that could end in time only if it is short is as safe as
-    it will ever be when it arrives; it counts as safe for so long.
+DURATION_MARGIN : a request is started while its likely duration, times this
+    factor, fits before its deadline, so that ones longer than predicted end in
+    time too.
+MIN_SAFE_S : a request that could end in time only if it is short is never safer
+    than on arrival; it counts as safe for this many seconds.
 """
 
 from dataclasses import dataclass, field
@@ -22,8 +23,8 @@
 from godwitladder.decisions.types import QueueEntry, TokenTimes, WaitingRequest
 from godwitladder.ids import ServiceName
 
-MARGIN = 1.25
-SAFE_LEAST_S = 1.0
+DURATION_MARGIN = 1.25
+MIN_SAFE_S = 1.0
 
 
 @dataclass(slots=True)
@@ -33,9 +34,9 @@
     Attributes
     ----------
     work_s : float
-        Slot seconds of all of them.
-    soonest : float
-        None of them has to start before this time.
+        Sum of their slot seconds.
+    earliest_safe_start : float
+        Earliest of their ``safe_start`` times.
     """
 
     precedence: Precedence
@@ -46,7 +47,7 @@
     earliest_safe_start: float = float("inf")
 
     def retain(self, entries: list[QueueEntry]) -> None:
-        """Replace the requests by ``entries``, which are some of them."""
+        """Replace the requests by ``entries``, a subset of them."""
         self.entries = entries
         self.work_s = sum(entry.slot_s for entry in entries)
         self.earliest_safe_start = min(
@@ -60,12 +61,12 @@
     Parameters
     ----------
     sizes : CallSizes or None
-        Which requests are large; None where size makes no difference.
+        Classifies requests by size; None where size makes no difference.
 
     Attributes
     ----------
-    expired : list of Entry
-        Those that can no longer start in time.
+    expired : list of QueueEntry
+        Requests that can no longer start in time.
     """
 
     def __init__(self, capacity: PoolCapacity, sizes: CallSizes | None = None) -> None:
@@ -74,33 +75,37 @@
         self.groups: dict[tuple[Precedence, ServiceName], Group] = {}
         self.expired: list[QueueEntry] = []
 
-    def sort(self, rows: list[WaitingRequest], now: float) -> list[QueueEntry]:
-        """Take ``rows`` in; return the new ones."""
-        paces: dict[ServiceName, TokenTimes] = {}
-        fresh = []
-        for row in rows:
-            service = row.demand.service
-            pace = paces.get(service)
-            if pace is None:
-                pace = paces[service] = self.capacity.of(service).pace
-            entry = row.entry
-            if entry is None or entry.pace != pace:
-                entry = row.entry = self.make_entry(row, pace)
-                if not row.counted:
-                    row.counted = True
-                    fresh.append(entry)
+    def sort(self, requests: list[WaitingRequest], now: float) -> list[QueueEntry]:
+        """Group ``requests``, and return those seen for the first time."""
+        token_times_by_service: dict[ServiceName, TokenTimes] = {}
+        new = []
+        for waiting in requests:
+            service = waiting.demand.service
+            token_times = token_times_by_service.get(service)
+            if token_times is None:
+                token_times = token_times_by_service[service] = self.capacity.of(
+                    service
+                ).token_times
+            entry = waiting.entry
+            if entry is None or entry.token_times != token_times:
+                entry = waiting.entry = self.make_entry(waiting, token_times)
+                if not waiting.counted:
+                    waiting.counted = True
+                    new.append(entry)
             if entry.latest_start < now:
                 self.expired.append(entry)
             else:
                 self._add(entry, now)
-        return fresh
+        return new
 
-    def make_entry(self, row: WaitingRequest, pace: TokenTimes) -> QueueEntry:
-        """Return ``row`` with what it needs on the fastest target."""
-        entry = make_entry(row, pace)
+    def make_entry(
+        self, waiting: WaitingRequest, token_times: TokenTimes
+    ) -> QueueEntry:
+        """Return the entry for ``waiting``, with its size where that counts."""
+        entry = make_entry(waiting, token_times)
         if self.sizes is not None:
-            rank = row.demand.tier_rank
-            if not row.counted and not row.is_retry:
+            rank = waiting.demand.tier_rank
+            if not waiting.counted and not waiting.is_retry:
                 self.sizes.observe(rank, entry.slot_s)
             size = self.sizes.size(rank, entry.slot_s)
             entry.precedence = entry.precedence._replace(size=size)
@@ -119,7 +124,7 @@
         ]
 
     def work_s(self, service: ServiceName, precedence: Precedence) -> float:
-        """Return the slot seconds for ``service`` at ``precedence`` or before."""
+        """Return the slot seconds of ``service`` at ``precedence`` or before it."""
         return sum(
             group.work_s
             for group in self.groups.values()
@@ -144,28 +149,33 @@
             group.earliest_safe_start = entry.safe_start
 
 
-def make_entry(row: WaitingRequest, pace: TokenTimes) -> QueueEntry:
-    """Return ``row`` with what it needs on the fastest target."""
-    line = row.demand
-    prefill_s, decode_s = pace
-    likely = line.likely_tokens or line.predicted_tokens or 1
-    slot_s = line.prompt_tokens * prefill_s + likely * decode_s
-    latest = safe = row.deadline - slot_s * MARGIN
-    if line.predicted_tokens > likely:
-        most_s = slot_s + (line.predicted_tokens - likely) * decode_s
-        safe = max(row.deadline - most_s * MARGIN, row.arrived + SAFE_LEAST_S)
-        safe = min(safe, latest)
+def make_entry(waiting: WaitingRequest, token_times: TokenTimes) -> QueueEntry:
+    """Return the entry for ``waiting``.
+
+    Its duration is that on a target with ``token_times``.
+    """
+    demand = waiting.demand
+    prefill_s, decode_s = token_times
+    likely = demand.likely_tokens or demand.predicted_tokens or 1
+    slot_s = demand.prompt_tokens * prefill_s + likely * decode_s
+    latest_start = safe_start = waiting.deadline - slot_s * DURATION_MARGIN
+    if demand.predicted_tokens > likely:
+        longest_s = slot_s + (demand.predicted_tokens - likely) * decode_s
+        safe_start = max(
+            waiting.deadline - longest_s * DURATION_MARGIN, waiting.arrived + MIN_SAFE_S
+        )
+        safe_start = min(safe_start, latest_start)
     in_time = Timeliness.IN_TIME
-    late = Timeliness.RETRIED if row.is_retry else Timeliness.LATE
-    if not row.within_quota:
+    late = Timeliness.RETRIED if waiting.is_retry else Timeliness.LATE
+    if not waiting.within_quota:
         in_time = late = Timeliness.OVER_QUOTA
     return QueueEntry(
-        row,
+        waiting,
         slot_s,
-        min(latest, row.start_by),
-        min(safe, row.start_by),
-        Precedence(in_time, line.tier_rank),
-        Precedence(late, line.tier_rank),
-        pace,
-        row.ttft_deadline - line.prompt_tokens * prefill_s,
+        min(latest_start, waiting.start_by),
+        min(safe_start, waiting.start_by),
+        Precedence(in_time, demand.tier_rank),
+        Precedence(late, demand.tier_rank),
+        token_times,
+        waiting.ttft_deadline - demand.prompt_tokens * prefill_s,
     )
--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -1,24 +1,25 @@
 """Free slots and memory of a pool during one run of the allocator.
 
-Load patterns: unlike targets, and long requests among short ones. Without an
-account that is kept within the run, every request of a burst goes to the
-target that looked least loaded at its start. Without a bound on long
-requests, a few full reviews hold every slot for a minute and each one-line
-question behind them misses its deadline.
+Load patterns: targets of different speeds, and long requests among short ones.
+Without accounting within the run, every request of a burst would go to the target
+that looked least loaded at the start of the run. Without a bound on long requests,
+a few full reviews would hold every slot for a minute, and every one-line question
+behind them would miss its deadline.
 
 Thresholds
 ----------
-MEMORY_SHARE : what may be reserved of a target's memory; the rest takes in
-    streams that outlive a 90-in-100 prediction.
-LONG_FACTOR : a request is long when it holds a slot eight times as long as a
-    usual one: short questions and full reviews are tens of times apart.
-LONG_SHARE : long requests together take at most a quarter of the slots. From
-    a half upwards they would hardly ever reach the bound.
-AFFINITY_SLACK : the holder of a prefix is preferred while its load is at most
-    a quarter of its slots above the pool's: a hit saves a prefill, a queue
-    costs more than that.
-FAR_FACTOR : a target in another availability zone has to be this much sooner:
-    bytes between zones are paid for.
+MEMORY_SHARE : the part of a target's memory that may be reserved; the rest is for
+    streams that grow beyond a 90th-percentile prediction.
+LONG_FACTOR : a request is long if it holds a slot eight times as long as a typical
+    one: short questions and full reviews differ by a factor of tens.
+LONG_SHARE : long requests together take at most a quarter of the slots. A bound of
+    a half or more would hardly ever apply.
+AFFINITY_SLACK : the target that holds a prefix is preferred while its load is at
+    most a quarter of its slots above the pool's: a cache hit saves one prefill,
+    and queueing costs more than that.
+FAR_FACTOR : a target in another availability zone has to finish this much sooner,
+    because traffic between zones is charged for.
+LOG_STEP : step of the logarithm in `quantize`.
 """
 
 import math
@@ -33,8 +34,8 @@
 LONG_SHARE = 0.25
 AFFINITY_SLACK = 0.25
 FAR_FACTOR = 1.5
-PACE_STEP = 0.05
-NO_PACE = TokenTimes(0.0, 0.0)
+LOG_STEP = 0.05
+ZERO_TOKEN_TIMES = TokenTimes(0.0, 0.0)
 
 
 def is_long(slot_s: float, typical_s: float) -> bool:
@@ -42,25 +43,32 @@
     return typical_s > 0 and slot_s > LONG_FACTOR * typical_s
 
 
-def in_steps(seconds: float) -> float:
-    """Return ``seconds`` rounded to steps of a twentieth.
+def quantize(seconds: float) -> float:
+    """Return ``seconds`` rounded on a logarithmic scale, in steps of 5 %.
 
-    Learned speeds change a little with each completion; in steps, what was
-    worked out from them stays valid from run to run.
+    Learned speeds change a little with each completion; values computed from the
+    rounded times stay valid between runs.
     """
-    return math.exp(round(math.log(seconds) / PACE_STEP) * PACE_STEP)
+    return math.exp(round(math.log(seconds) / LOG_STEP) * LOG_STEP)
 
 
 @dataclass
 class TargetCapacity:
-    """What is left of one target.
+    """Remaining capacity of one target.
 
     Attributes
     ----------
+    tokens : float
+        Memory tokens that may still be reserved.
+    long_used : int
+        Long requests among ``used``.
     prefill_s, decode_s : float
-        Seconds for a prompt and an output token.
+        Seconds for a prompt token, and for an output token.
     held : bool
-        Kept for a request of a higher tier that waits for its memory.
+        Whether it is kept free for a request of a higher tier that waits for
+        memory.
+    pending_prefill_tokens, pending_prefill_requests : int
+        As in `TargetView`, with the placements of this run.
     """
 
     view: TargetView
@@ -70,69 +78,77 @@
     prefill_s: float
     decode_s: float
     held: bool = False
-    unread: int = 0
-    unread_requests: int = 0
+    pending_prefill_tokens: int = 0
+    pending_prefill_requests: int = 0
 
     @property
     def load(self) -> float:
-        """Share of the limit in use."""
+        """Part of the limit that is in use."""
         return self.used / self.view.limit
 
     def fits(self, tokens: int) -> bool:
-        """Return whether a request of ``tokens`` finds a slot and memory.
+        """Return whether there is a slot and memory for a request of ``tokens``.
 
-        One that is larger than the whole memory goes to an empty target: it
-        would otherwise wait for ever.
+        A request larger than the whole memory goes to an empty target; it would wait
+        forever otherwise.
         """
         if self.held or self.used >= self.view.limit:
             return False
-        if self.unread * self.prefill_s > self.view.max_pending_prefill_s:
+        if (
+            self.pending_prefill_tokens * self.prefill_s
+            > self.view.max_pending_prefill_s
+        ):
             return False
         return not self.view.memory_tokens or tokens <= self.tokens or self.used == 0
 
-    def seconds(self, line: RequestDemand) -> float:
-        """Return how long a request is likely to hold a slot here."""
-        output = max(1, line.likely_tokens or line.predicted_tokens)
-        return line.prompt_tokens * self.prefill_s + output * self.decode_s
+    def seconds(self, demand: RequestDemand) -> float:
+        """Return the seconds for which a request is likely to hold a slot here."""
+        output = max(1, demand.likely_tokens or demand.predicted_tokens)
+        return demand.prompt_tokens * self.prefill_s + output * self.decode_s
 
-    def first_s(self, line: RequestDemand) -> float:
-        """Return the seconds to the first output, behind what it is reading."""
-        return self.stall_s() + self.alone_s(line)
+    def first_s(self, demand: RequestDemand) -> float:
+        """Return the seconds until the first output, after the pending prefill."""
+        return self.prefill_backlog_s() + self.idle_first_s(demand)
 
-    def alone_s(self, line: RequestDemand) -> float:
-        """Return the seconds to the first output with nothing else to read."""
-        return self.view.first_s + line.prompt_tokens * self.view.read_s
+    def idle_first_s(self, demand: RequestDemand) -> float:
+        """Return the seconds until the first output without pending prefill."""
+        return self.view.first_s + demand.prompt_tokens * self.view.read_s
 
-    def stall_s(self) -> float:
-        """Return the seconds for which it takes in what it was sent so far."""
-        fixed_s = self.unread_requests * self.view.first_s
-        return fixed_s + self.unread * self.view.read_s
+    def prefill_backlog_s(self) -> float:
+        """Return the seconds that the pending prefill takes."""
+        fixed_s = self.pending_prefill_requests * self.view.first_s
+        return fixed_s + self.pending_prefill_tokens * self.view.read_s
 
-    def pause_left_s(self, line: RequestDemand) -> float:
-        """Return how long streams here may stand still beside their usual pace."""
-        if not line.gap_s:
+    def allowed_stall_s(self, demand: RequestDemand) -> float:
+        """Return the seconds for which a prefill may stall other streams here.
+
+        This is the longest allowed pause less the usual time between two events.
+        """
+        if not demand.gap_s:
             return math.inf
-        return line.gap_s - line.event_tokens * self.decode_s
+        return demand.gap_s - demand.event_tokens * self.decode_s
 
-    def meets_latency(self, line: RequestDemand, aim_s: float) -> bool:
-        """Return whether ``line`` is in time here and delays no stream too much."""
-        first_s = self.first_s(line)
-        if first_s > aim_s:
+    def meets_latency(self, demand: RequestDemand, ttft_budget_s: float) -> bool:
+        """Return whether the first output is in time and no stream stalls too long."""
+        first_s = self.first_s(demand)
+        if first_s > ttft_budget_s:
             return False
-        return not self.used or first_s <= self.pause_left_s(line)
+        return not self.used or first_s <= self.allowed_stall_s(demand)
 
-    def could_keep_pace(self, line: RequestDemand, aim_s: float) -> bool:
-        """Return whether it would with nothing else to read."""
-        alone_s = self.alone_s(line)
-        return alone_s <= aim_s and alone_s <= self.pause_left_s(line)
+    def could_meet_latency(self, demand: RequestDemand, ttft_budget_s: float) -> bool:
+        """Return whether both would hold without pending prefill."""
+        idle_first_s = self.idle_first_s(demand)
+        return idle_first_s <= ttft_budget_s and idle_first_s <= self.allowed_stall_s(
+            demand
+        )
 
     def take(self, tokens: int, long: bool, prompt: int = 0) -> None:
         """Account for a request that is placed here."""
         self.used += 1
         self.tokens -= tokens
         self.long_used += long
-        self.unread += prompt
-        self.unread_requests += 1
+        self.pending_prefill_tokens += prompt
+        self.pending_prefill_requests += 1
 
 
 @dataclass
@@ -141,146 +157,170 @@
 
     Attributes
     ----------
-    pace : Pace
-        The fastest target's, in steps of a twentieth; nothing takes any
-        time without targets, so that a request waits for one to come back.
+    token_times : TokenTimes
+        Those of the fastest target, quantized. Zero without any target, so that
+        requests wait for one to return instead of expiring early.
     slots : int
-        Limits of all targets together.
+        Sum of the targets' limits.
     """
 
     targets: list[TargetCapacity] = field(default_factory=list)
-    pace: TokenTimes = NO_PACE
+    token_times: TokenTimes = ZERO_TOKEN_TIMES
     slots: int = 0
 
-    def add(self, room: TargetCapacity) -> None:
+    def add(self, target: TargetCapacity) -> None:
         """Add one target."""
-        pace = TokenTimes(in_steps(room.prefill_s), in_steps(room.decode_s))
+        token_times = TokenTimes(quantize(target.prefill_s), quantize(target.decode_s))
         if self.targets:
-            pace = TokenTimes(*map(min, pace, self.pace))
-        self.pace = pace
-        self.targets.append(room)
-        self.slots += room.view.limit
+            token_times = TokenTimes(*map(min, token_times, self.token_times))
+        self.token_times = token_times
+        self.targets.append(target)
+        self.slots += target.view.limit
 
     def has_free(self) -> bool:
-        """Return whether any target has a free slot that is not held."""
+        """Return whether a target that is not held has a slot and accepts prompts."""
         return any(
-            not room.held
-            and room.used < room.view.limit
-            and room.unread * room.prefill_s <= room.view.max_pending_prefill_s
-            for room in self.targets
+            not target.held
+            and target.used < target.view.limit
+            and target.pending_prefill_tokens * target.prefill_s
+            <= target.view.max_pending_prefill_s
+            for target in self.targets
         )
 
-    def takes_long(self) -> bool:
+    def admits_long(self) -> bool:
         """Return whether one more long request stays within the bound."""
-        long_used = sum(room.long_used for room in self.targets)
+        long_used = sum(target.long_used for target in self.targets)
         return long_used + 1 <= max(1.0, self.slots * LONG_SHARE)
 
     def choose(
         self,
-        line: RequestDemand,
+        demand: RequestDemand,
         budget_s: float,
         avoided: Collection[TargetName] = (),
-        aim_s: float | None = None,
+        ttft_budget_s: float | None = None,
     ) -> TargetCapacity | None:
-        """Return the target where ``line`` ends first, of those in time.
+        """Return the target likely to finish ``demand`` first, of those in time.
+
+        Targets in other availability zones are rated slower, and one that holds the
+        prefix is rated faster while its load allows it.
 
         Parameters
         ----------
+        demand : RequestDemand
+            What the request needs.
         budget_s : float
             Seconds to the deadline.
         avoided : collection of TargetName
-            Targets that the request's host can't connect to. Left out here
-            and not after the choice: a request would be given the same one
-            in each run, and get nothing until its deadline.
-        aim_s : float or None
-            Seconds left for its first output; infinite where that is late
-            already. Targets that keep pace are chosen while there are any,
-            busy ones included. None for no such choice.
+            Targets to which the request's host can't connect. They are left out
+            before the choice: otherwise every run would choose the same one, and
+            the request would get nothing until its deadline.
+        ttft_budget_s : float or None
+            Seconds left for the first output; infinite if it is late already. While
+            any target, even a busy one, could meet the latency bounds without pending
+            prefill, only targets that meet them now are chosen. None to ignore them.
+
+        Returns
+        -------
+        TargetCapacity or None
+            None if no target fits, or none finishes in time.
         """
-        paced = aim_s is not None and any(
-            room.could_keep_pace(line, aim_s) for room in self.targets
+        enforce_latency = ttft_budget_s is not None and any(
+            target.could_meet_latency(demand, ttft_budget_s) for target in self.targets
         )
-        tokens = line.prompt_tokens + line.predicted_tokens
+        tokens = demand.prompt_tokens + demand.predicted_tokens
         best = None
         best_score = float("inf")
-        bound = self._affinity_bound() if line.prefix else 0.0
-        for room in self.targets:
-            if room.view.name in avoided or not room.fits(tokens):
+        bound = self._affinity_bound() if demand.prefix else 0.0
+        for target in self.targets:
+            if target.view.name in avoided or not target.fits(tokens):
                 continue
-            if paced and not room.meets_latency(line, aim_s):
+            if enforce_latency and not target.meets_latency(demand, ttft_budget_s):
                 continue
-            seconds = room.seconds(line)
+            seconds = target.seconds(demand)
             if seconds > budget_s:
                 continue
-            score = seconds * (1.0 + room.load) + room.unread * room.prefill_s
+            score = (
+                seconds * (1.0 + target.load)
+                + target.pending_prefill_tokens * target.prefill_s
+            )
             if (
-                line.availability_zone
-                and room.view.availability_zone != line.availability_zone
+                demand.availability_zone
+                and target.view.availability_zone != demand.availability_zone
             ):
                 score *= FAR_FACTOR
-            if line.prefix and line.prefix in room.view.prefixes and room.load <= bound:
+            if (
+                demand.prefix
+                and demand.prefix in target.view.prefixes
+                and target.load <= bound
+            ):
                 score -= seconds
             if score < best_score:
-                best, best_score = room, score
+                best, best_score = target, score
         return best
 
-    def lacks_memory(self, line: RequestDemand) -> bool:
-        """Return whether a slot is free that has no memory for ``line``."""
-        tokens = line.prompt_tokens + line.predicted_tokens
+    def lacks_memory(self, demand: RequestDemand) -> bool:
+        """Return whether a target has a free slot but can't fit ``demand``."""
+        tokens = demand.prompt_tokens + demand.predicted_tokens
         return any(
-            not room.held and room.used < room.view.limit and not room.fits(tokens)
-            for room in self.targets
+            not target.held
+            and target.used < target.view.limit
+            and not target.fits(tokens)
+            for target in self.targets
         )
 
-    def hold_roomiest(self) -> None:
-        """Keep the target with the most free memory for a higher tier.
+    def hold_most_free(self) -> None:
+        """Hold the target with the most free memory for a higher tier.
 
-        Small requests of lower tiers would otherwise take each piece of
-        memory as it is freed, and the large one of the higher tier would
-        wait until its deadline.
+        Otherwise small requests of lower tiers would take each piece of memory as it
+        is freed, and the large request of the higher tier would wait until its
+        deadline.
         """
-        free = [room for room in self.targets if not room.held]
+        free = [target for target in self.targets if not target.held]
         if free:
-            max(free, key=lambda room: room.tokens).held = True
+            max(free, key=lambda target: target.tokens).held = True
 
     def _affinity_bound(self) -> float:
-        used = sum(room.used for room in self.targets)
+        used = sum(target.used for target in self.targets)
         return used / max(1, self.slots) + AFFINITY_SLACK
 
 
 class PoolCapacity:
-    """What is left of a pool, by service."""
+    """Remaining capacity of a pool, by service."""
 
     def __init__(self, pool: PoolView) -> None:
         self.services: dict[ServiceName, ServiceCapacity] = {}
         self.targets: list[TargetCapacity] = []
         for view in pool.targets.values():
             if view.limit > 0:
-                self._add(make_room(view, pool.state.long_on(view.name)))
+                self._add(
+                    make_target_capacity(
+                        view, pool.state.count_long_requests(view.name)
+                    )
+                )
 
     def of(self, service: ServiceName) -> ServiceCapacity:
-        """Return the capacity for ``service``; an empty one if nothing serves it."""
+        """Return the capacity for ``service``; an empty one if no target serves it."""
         return self.services.get(service) or ServiceCapacity()
 
     def free_services(self) -> set[ServiceName]:
-        """Return the services that have a free slot."""
+        """Return the services with a free slot."""
         return {name for name, part in self.services.items() if part.has_free()}
 
-    def _add(self, room: TargetCapacity) -> None:
-        self.targets.append(room)
-        for service in room.view.services:
-            self.services.setdefault(service, ServiceCapacity()).add(room)
+    def _add(self, target: TargetCapacity) -> None:
+        self.targets.append(target)
+        for service in target.view.services:
+            self.services.setdefault(service, ServiceCapacity()).add(target)
 
 
-def make_room(view: TargetView, long_used: int) -> TargetCapacity:
-    """Return the room that ``view`` has left."""
+def make_target_capacity(view: TargetView, long_used: int) -> TargetCapacity:
+    """Return the remaining capacity of ``view``."""
     return TargetCapacity(
         view=view,
         used=view.used,
         tokens=view.memory_tokens * MEMORY_SHARE - view.reserved_tokens,
         long_used=long_used,
-        unread=view.pending_prefill_tokens,
-        unread_requests=view.pending_prefill_requests,
+        pending_prefill_tokens=view.pending_prefill_tokens,
+        pending_prefill_requests=view.pending_prefill_requests,
         prefill_s=1.0 / max(view.prefill_tps, 1e-9),
         decode_s=1.0 / max(view.decode_tps, 1e-9),
     )
--- a/godwitladder/decisions/late_refusal.py
+++ b/godwitladder/decisions/late_refusal.py
@@ -1,21 +1,22 @@
-"""Refuses calls that their targets will not reach in time, as soon as that shows.
+"""Refuses calls as soon as it is clear that they will start too late.
 
-Load pattern: a burst on a pool where each kind of call is owed a part. A call
-that waits until its aim has passed is late or lost, and its caller has waited
-for nothing: told at once, it can turn elsewhere or come back when there is
-room. Kept all the same, it stands in line before calls that could be in time.
+Load pattern: a burst on a pool where each kind of call is owed a share. A call that
+waits beyond the deadline of its first output is late or lost, and its caller has
+waited in vain: refused at once, the caller can go elsewhere or retry when there is
+capacity. If it is kept, it also stands in the queue before calls that could be in time.
 
-Calls of one precedence (`shares`) are served at a rate: what those before them
-leave of what really starts in a second, or what they got lately by their own
-part, whichever is more. Reckoned only with what the others leave, calls that are
-owed a part look as if they got nothing, and all are refused before their turn.
+Calls of one precedence (`precedence`) are served at the greater of two rates: what
+earlier precedences leave of the measured throughput, and the rate at which its own
+calls were recently started. By the first alone, calls that are served because of their
+share would seem to get nothing, and all of them would be refused before their turn.
 
 Thresholds
 ----------
-LATE_AIMS : aims for which a call waits that is late whatever happens; told then,
-    its caller has most of its time left to turn elsewhere or to come back.
-LEAST_RATE : slot seconds a second; where nothing starts, the first of a queue
-    is kept.
+MAX_LATE_FACTOR : a call that is late in any case waits for this many times its
+    allowed time to the first output; refused then, its caller has most of its time
+    left to go elsewhere or to retry.
+MIN_RATE : slot seconds per second; where nothing starts, the first call of a queue is
+    kept.
 """
 
 from godwitladder.decisions.backlog import Backlog, Group
@@ -24,27 +25,27 @@
 from godwitladder.decisions.shedding import is_refusal_scan_due
 from godwitladder.decisions.types import PoolView, QueueEntry
 
-LATE_AIMS = 2.0
-LEAST_RATE = 0.01
+MAX_LATE_FACTOR = 2.0
+MIN_RATE = 0.01
 
 
 def refuse_late_starts(
     backlog: Backlog, pool: PoolView, now: float
 ) -> list[QueueEntry]:
-    """Take out and return what will not start in time, at any precedence."""
+    """Remove and return calls that will not start in time, of any precedence."""
     if not is_refusal_scan_due(pool, now):
         return []
     refused: list[QueueEntry] = []
     for group in backlog.groups.values():
-        refused += take_untimely(group, pool, now)
+        refused += take_late(group, pool, now)
     return refused
 
 
-def take_untimely(group: Group, pool: PoolView, now: float) -> list[QueueEntry]:
-    """Take out and return the requests of ``group`` that will not start in time."""
+def take_late(group: Group, pool: PoolView, now: float) -> list[QueueEntry]:
+    """Remove and return the requests of ``group`` that will not start in time."""
     if not group.capacity.slots:
         return []
-    rate = max(left_over(group, pool), pool.state.rate(group.precedence), LEAST_RATE)
+    rate = max(remaining_rate(group, pool), pool.state.rate(group.precedence), MIN_RATE)
     kept: list[QueueEntry] = []
     late: list[QueueEntry] = []
     ahead_s = 0.0
@@ -59,21 +60,24 @@
     return late
 
 
-def left_over(group: Group, pool: PoolView) -> float:
-    """Return what those before ``group`` leave of what starts in a second.
+def remaining_rate(group: Group, pool: PoolView) -> float:
+    """Return the throughput that precedences before ``group`` leave to it.
 
-    Before work has waited for a while, all slots are taken to come free.
+    Until there has been contention for a while, all slots are assumed to become free.
     """
-    flow = pool.state.throughput or group.capacity.slots
-    return min(flow, group.capacity.slots) - pool.state.rate_before(group.precedence)
+    throughput = pool.state.throughput or group.capacity.slots
+    return min(throughput, group.capacity.slots) - pool.state.rate_before(
+        group.precedence
+    )
 
 
 def start_limit(entry: QueueEntry, group: Group) -> float:
     """Return the time by which ``entry`` has to start."""
     if group.precedence.timeliness is Timeliness.IN_TIME:
         return min(entry.ttft_deadline, entry.latest_start)
-    row = entry.waiting
+    waiting = entry.waiting
     return min(
         entry.latest_start,
-        row.arrived + LATE_AIMS * (row.ttft_deadline - row.first_arrived),
+        waiting.arrived
+        + MAX_LATE_FACTOR * (waiting.ttft_deadline - waiting.first_arrived),
     )
--- a/godwitladder/decisions/policy.py
+++ b/godwitladder/decisions/policy.py
@@ -1,8 +1,8 @@
-"""How a pool treats tiers, late calls and full targets.
+"""Policies for tiers, late calls and slow targets.
 
-Load patterns: the product's own interface promises strict tiers to operators
-who set them; routed calls are of kinds that are owed a part each. The same
-decisions serve both, and what differs is told here.
+The product's own interface promises strict tiers to the operators who configure
+them; of routed calls, each kind is owed a share. The same decisions serve both, and
+a policy holds the differences.
 """
 
 from dataclasses import dataclass
@@ -10,22 +10,23 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """How a pool treats tiers and full targets.
+    """How a pool treats tiers and targets.
 
     Attributes
     ----------
     min_share : float
-        A rank is served at least this part as often as the first one; 0 for
-        strict order.
+        Minimum service of a rank as a part of that of the first rank; 0 for strict
+        order.
     uses_measured_throughput : bool
-        Whether early refusal goes by what really starts rather than by slots.
+        Whether late calls are predicted from the measured throughput rather than
+        from the number of slots.
     throttles_slow_targets : bool
-        Whether a target that works slowly is given fewer requests at once.
-    keeps_pace : bool
-        Whether a call goes only where its first output is in time and makes
-        no pause in others that is too long, while any target could do so.
+        Whether the concurrency limit of a slow target is lowered.
+    enforces_latency : bool
+        Whether a call is placed only where its first output is in time and its
+        prefill stalls no other stream too long, while any target allows that.
     is_strict : bool
-        Whether nothing of a lower tier is kept once a tier had to be shed.
+        Whether no request of a lower tier is kept once a tier had to be shed.
     """
 
     min_share: float = 0.0
@@ -36,7 +37,7 @@
 
 
 STRICT = Policy()
-"""The product's own interface."""
+"""Policy of the product's own interface."""
 
 ROUTED = Policy(
     min_share=0.6,
@@ -45,15 +46,17 @@
     enforces_latency=True,
     is_strict=False,
 )
-"""Where each dispatch is asked for, tiers are not strict: each rank is served at
-least six tenths as often as the first. In strict order the last gets hardly anything
-in a burst, and nothing in some seconds. The part has its price, which the first rank
-pays; with less of it the second rank starves where many targets are lost.
-
-A letter that ran out of time took every shorter call that waited with it, though
-these were still in time and would hardly have cost it a place; so nothing is
-given up for what a higher tier lost.
-
-Nothing is eased off there: a target that stands still gets no further prompt by
-the bound on unread prompts, and one that is only full looks slow. Eased off in a
-burst, targets would use a part of their slots when all are needed."""
+"""Policy of routed calls, where hosts request each dispatch.
+
+Each rank is served at least 0.6 times as often as the first. In strict order the last
+rank gets hardly anything in a burst, and nothing in some seconds. The first rank pays
+for this share; with a smaller one the second rank starves where many targets are lost.
+
+Nothing is shed because a call of a higher tier expired: an expired letter would take
+with it every shorter call that waits, though these are still in time and would have
+delayed it very little.
+
+Slow targets are not throttled: a stalled target gets no further prompts anyway because
+of the limit on pending prefill, and a target that is merely full looks slow. Throttled
+in a burst, targets would use only a part of their slots when all are needed.
+"""
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -1,8 +1,8 @@
-"""What hosts and allocators tell each other, and what decisions are made of.
+"""Data types of the scheduling decisions.
 
-An allocator is the live host that hands out one pool's capacity. Hosts send
-it their demand and their use; it answers with grants and sheds. Times that
-cross between hosts are durations in seconds, since clocks are not shared.
+An allocator is the live host that hands out the capacity of one pool. Hosts
+send it their demand and usage, and it answers with grants and sheds. Hosts
+share no clock, so times in messages between hosts are durations in seconds.
 """
 
 import enum
@@ -26,7 +26,10 @@
 
 @dataclass(frozen=True, order=True)
 class PoolName:
-    """Targets of one zone that share services; named by the first of these."""
+    """Name of a pool: the targets of one zone that share services.
+
+    ``service`` is the first of the shared services.
+    """
 
     zone: Zone
     service: ServiceName
@@ -34,40 +37,42 @@
 
 @dataclass(frozen=True)
 class RequestDemand:
-    """One waiting request.
+    """What one waiting request needs, as reported by its host.
+
+    Durations count from the time at which the host sent its report.
 
     Attributes
     ----------
     tier_rank : int
-        0 matters most.
+        Rank of its tier; 0 is the most important.
     prompt_tokens, predicted_tokens : int
-        Prompt and expected output.
+        Prompt tokens, and the output tokens to reserve for it.
     time_to_deadline_s : float
-        Seconds to its deadline when the line was sent.
+        Seconds until its deadline.
     waited_s : float
-        Seconds since its arrival when the line was sent.
+        Seconds since its arrival.
     prefix : str
         Digest of the start of its prompt; empty for none.
-    repeats : int
-        How often the caller was refused with this request before.
+    prior_refusals : int
+        How often the caller has been refused with this request before.
     likely_tokens : int
-        Output that is as often exceeded as not; 0 for ``predicted_tokens``,
-        which is what is reserved.
-    aim_s : float
-        Seconds left, when the line was sent, for its first output to count as
-        in time; infinite where no aim is set.
+        Predicted median of the output tokens; 0 to use ``predicted_tokens``.
+    ttft_budget_s : float
+        Seconds left until its first output is late (time to first token);
+        infinite without such a bound.
     start_within_s : float
-        Seconds left, likewise, in which it has to start to be of use.
+        Seconds within which it has to start to be of use.
     charge : int
-        Tokens that it counts for in its workspace's quota.
-    place : str
+        Tokens counted against its workspace's quota.
+    availability_zone : str
         Availability zone of its host.
     gap_s : float
-        Longest pause that its answer may have, in seconds; 0 for no bound.
+        Longest allowed pause in its output in seconds; 0 for no bound.
     event_tokens : int
-        Output tokens that come to its caller at once.
+        Output tokens in each event of its stream.
     body : BodyDigest
-        By which its caller is known again; empty where bodies are alike.
+        Digest by which a retry of the same caller is recognized; empty where
+        different callers send equal bodies.
     """
 
     request: RequestId
@@ -92,16 +97,16 @@
 
 @dataclass(frozen=True)
 class TargetUse:
-    """What one host has running on one target.
+    """What one host runs on one target.
 
     Attributes
     ----------
     reserved_tokens : int
-        Tokens of memory held by it.
-    unread_tokens : int
-        Prompt tokens of requests that have made no output yet.
-    unread_requests : int
-        How many these are.
+        Memory tokens that these requests hold.
+    pending_prefill_tokens : int
+        Prompt tokens of the requests without any output yet.
+    pending_prefill_requests : int
+        Number of the requests without any output yet.
     """
 
     target: TargetName
@@ -113,17 +118,18 @@
 
 @dataclass(frozen=True)
 class Grant:
-    """Leave to dispatch one request to one target before it lapses.
+    """Permission to dispatch one request to one target for a limited time.
 
     Attributes
     ----------
     request : str
-        The request it is meant for; empty for a standing grant, which any
-        request that the target serves may use.
+        Id of the request it is meant for; empty for a standing grant, which
+        any request that the target serves may use.
     tier_rank : int
-        Rank of the request it was given for.
+        Tier rank of the request it was issued for.
     valid_for_s : float
-        Seconds it may be used after the sending of the report that it answers.
+        Seconds for which it may be used, counted from the sending of the
+        report that it answers.
     """
 
     grant: str
@@ -136,7 +142,7 @@
 
 
 class ShedReason(enum.Enum):
-    """Why an allocator gives a waiting request up."""
+    """Why an allocator sheds a waiting request."""
 
     OVERLOAD = "overload"
     DEADLINE = "deadline"
@@ -145,13 +151,13 @@
 
 @dataclass(frozen=True)
 class Shed:
-    """An allocator gives a waiting request up; it is refused at once.
+    """Order to a host to refuse a waiting request at once.
 
     Attributes
     ----------
     exact : bool
-        Whether just this request is meant, and not the least important one
-        that its host has by now.
+        Whether exactly this request is to be refused, rather than the least
+        important one that its host has by then.
     """
 
     host: HostId
@@ -163,29 +169,30 @@
 
 @dataclass
 class TargetView:
-    """What an allocator knows of one target.
+    """What an allocator knows about one target.
 
     Attributes
     ----------
     used : int
-        Requests running there as hosts say, plus grants not yet used.
+        Requests running on it according to hosts, plus unused grants.
     reserved_tokens : int
-        Tokens of memory held by these.
+        Memory tokens that these hold.
     limit : int
-        Requests it may run at once, as eased off while it is slow.
-    unread_tokens : int
-        Prompt tokens sent there of which no output has come yet.
-    unread_s : float
-        Seconds of such reading beyond which it gets no further prompt.
-    unread_requests : int
-        How many requests these tokens are of.
+        Requests it may run at once; lowered while it is slow.
+    pending_prefill_tokens : int
+        Prompt tokens sent to it whose requests have no output yet.
+    pending_prefill_requests : int
+        Number of the requests to which these tokens belong.
+    max_pending_prefill_s : float
+        Seconds of pending prefill above which it gets no further prompt.
     first_s, read_s : float
-        Seconds until a prompt's first output: for any, and for each token.
-    place : str
-        Availability zone that it stands in.
+        Seconds until the first output: a fixed part for every prompt, and a
+        part for each prompt token.
+    availability_zone : str
+        Availability zone in which it runs.
     prefill_tps, decode_tps : float
-        Learned speeds: prompt tokens a second of the whole target, output
-        tokens a second of one request.
+        Learned speeds: prompt tokens per second of the whole target, and
+        output tokens per second of one request.
     """
 
     name: TargetName
@@ -208,22 +215,24 @@
 
 @dataclass(slots=True)
 class QueueEntry:
-    """A waiting request as `allocate` weighs it.
+    """A waiting request with the values that `allocate` derives for it.
 
     Attributes
     ----------
     slot_s : float
-        Seconds that it will hold a slot of its service's fastest target.
-    latest : float
+        Seconds for which it will hold a slot of the fastest target of its
+        service.
+    latest_start : float
         Time after which it can't start and still end by its deadline.
-    safe : float
-        Time until which it ends by its deadline even if it is long.
-    aim : float
-        Time after which its first output can't be in time any more.
+    safe_start : float
+        Latest start at which it ends by its deadline even if its output is
+        long.
+    ttft_deadline : float
+        Latest start at which its first output can still be in time.
     precedence, late_precedence : Precedence
-        When it is served while it can be in time, and after that.
-    pace : Pace
-        Speeds that these were worked out from.
+        Its precedence while it can be in time, and after that.
+    token_times : TokenTimes
+        Seconds per token from which these values were computed.
     """
 
     waiting: "WaitingRequest"
@@ -232,11 +241,11 @@
     safe_start: float
     precedence: Precedence
     late_precedence: Precedence
-    pace: "TokenTimes"
+    token_times: "TokenTimes"
     ttft_deadline: float = float("inf")
 
     def precedence_at(self, now: float) -> Precedence:
-        """Return its precedence at a time."""
+        """Return its precedence at the time ``now``."""
         return self.precedence if now <= self.ttft_deadline else self.late_precedence
 
 
@@ -249,21 +258,25 @@
 
 @dataclass
 class WaitingRequest:
-    """A demand line at the allocator; times are of the allocator's clock.
+    """A request that waits at the allocator; times are by the allocator's clock.
 
     Attributes
     ----------
     avoided : frozenset of TargetName
-        Targets that its host could not connect to a moment ago.
-    entry : Entry or None
-        Kept by `allocate` from run to run, which spares weighing each row
-        in each; leave it alone.
-    entitled : bool
-        Whether it was within its workspace's quota when it came.
+        Targets to which its host recently failed to connect.
+    ttft_deadline : float
+        Time after which its first output is late; infinite for no bound.
+    start_by : float
+        Time by which it has to start to be of use.
+    first_arrived : float
+        Arrival of the caller's first attempt: before ``arrived`` for a retry.
+    within_quota : bool
+        Whether it was within its workspace's quota when it arrived.
     counted : bool
         Whether `allocate` has seen it, in this report or an earlier one.
-    asked : float
-        When its caller first asked: before ``arrived`` if it has come back.
+    entry : QueueEntry or None
+        Cache of `allocate`, which reuses it in later runs instead of deriving
+        it again; not to be changed by others.
     """
 
     host: HostId
@@ -284,13 +297,16 @@
 
     @property
     def is_retry(self) -> bool:
-        """Whether its caller was sent away before, and has come back."""
+        """Whether its caller was refused before and has retried."""
         return self.first_arrived < self.arrived
 
 
 @dataclass
 class WorkspaceView:
-    """A workspace's weight, bound on running requests (0: none), and use."""
+    """A workspace's weight, its limit on running requests, and their number.
+
+    A ``quota`` of 0 means no limit.
+    """
 
     share: float = 1.0
     quota: int = 0
@@ -299,22 +315,22 @@
 
 @dataclass
 class PoolView:
-    """Everything an allocator decides from.
+    """Everything from which an allocator decides.
 
     Attributes
     ----------
     floors : dict
         Highest rank number (the least important tier) that still waits at
-        each other allocator within reach; -1 where nothing waits.
+        each other reachable allocator; -1 where nothing waits.
     shed_ranks : dict
-        Lowest rank number (the most important tier) that each other
-        allocator within reach has lately shed under overload.
-    memory : AllocatorState
-        What `allocate` remembers from run to run: hand the same one in.
+        Lowest rank number (the most important tier) that each other reachable
+        allocator has recently shed because of overload.
+    state : AllocatorState
+        State that `allocate` keeps between runs; pass the same object in.
     quotas : TokenQuotas
-        What workspaces may have run, in tokens: likewise.
-    behind_s : float
-        Age of what is known here of the hosts' requests and targets.
+        Token quotas of the workspaces; pass the same object in.
+    staleness_s : float
+        Age in seconds of what is known about hosts' requests and targets.
     """
 
     waiting: dict[RequestId, WaitingRequest] = field(default_factory=dict)
@@ -330,7 +346,7 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """A waiting request and the target it goes to."""
+    """A waiting request and the target on which it is placed."""
 
     request: RequestId
     target: TargetName
@@ -348,20 +364,20 @@
 
 @dataclass
 class Allocation:
-    """What one run of `allocate` decided, in order.
+    """Decisions of one run of `allocate`, in their order.
 
     Attributes
     ----------
     spill : list of RequestId
-        Requests that will not start here in time, the most important first:
+        Requests that will not start here in time, the most important first;
         their hosts should ask another zone's allocator too.
     floor : int or None
-        Highest rank number still waiting; told to other allocators.
+        Highest rank number still waiting; sent to other allocators.
     shed_rank : int or None
-        Lowest rank number shed under overload in this run; told to other
-        allocators, which then keep nothing below it.
+        Lowest rank number shed because of overload in this run; sent to other
+        allocators, which then keep nothing below that tier.
     backlog_s : float
-        Seconds until what waits now would have started.
+        Seconds until all that waits now would have started.
     """
 
     placements: list[Placement] = field(default_factory=list)
--- a/tests/decisions/pools.py
+++ b/tests/decisions/pools.py
@@ -1,4 +1,4 @@
-"""Pools for the tests of the decisions."""
+"""Helpers that build pools for the tests of the decisions."""
 
 from godwitladder.decisions.types import (
     PoolView,
@@ -17,9 +17,9 @@
 
 
 def add(pool, request, rank=0, workspace="w0", deadline=60.0, arrived=0.0, **more):
-    """Add a waiting request; a usual one takes two seconds."""
+    """Add a waiting request, which by default takes two seconds."""
     lengths = {"prompt_tokens": 500, "predicted_tokens": 95, "service": "chat"}
-    line = RequestDemand(
+    demand = RequestDemand(
         request=request,
         workspace=workspace,
         tier_rank=rank,
@@ -27,7 +27,7 @@
         waited_s=0.0,
         **(lengths | more),
     )
-    pool.waiting[request] = WaitingRequest("host", line, deadline, arrived)
+    pool.waiting[request] = WaitingRequest("host", demand, deadline, arrived)
     pool.workspaces.setdefault(workspace, WorkspaceView())
 
 
@@ -36,16 +36,16 @@
 
 
 def take(pool, allocation):
-    """Account for what was decided, as an allocator does."""
+    """Apply the decisions to the pool, as an allocator does."""
     for placement in allocation.placements:
-        row = pool.waiting.pop(placement.request)
+        waiting = pool.waiting.pop(placement.request)
         target = pool.targets[placement.target]
         target.used += 1
         target.reserved_tokens += placement.reserved_tokens
-        pool.workspaces[row.demand.workspace].running += 1
-    for given_up in allocation.sheds:
-        del pool.waiting[given_up.request]
+        pool.workspaces[waiting.demand.workspace].running += 1
+    for shed in allocation.sheds:
+        del pool.waiting[shed.request]
 
 
 def given_up(allocation):
-    return {row.request: row.reason for row in allocation.sheds}
+    return {shed.request: shed.reason for shed in allocation.sheds}
--- a/tests/decisions/test_allocation.py
+++ b/tests/decisions/test_allocation.py
@@ -1,4 +1,4 @@
-"""The allocator against a naive one, and its rules one by one."""
+"""Tests of the allocator: against a naive one, and of each of its rules."""
 
 from collections import Counter
 
@@ -61,10 +61,10 @@
 
 @given(targets, requests, st.integers(0, 2), pauses)
 def test_invariants_hold_over_runs(target_rows, request_rows, quota, pauses):
-    """Whatever waits, no run breaks a bound or sheds in the wrong order.
+    """No run exceeds a bound or sheds in the wrong order, whatever waits.
 
-    Each pool is run several times while time passes, with what was decided
-    accounted for in between, so that requests run late in all ways.
+    Each pool is run several times while time passes, and the decisions are applied
+    between runs, so that requests become late in many ways.
     """
     pool = build(target_rows, request_rows, quota)
     now = 0.0
@@ -94,7 +94,7 @@
 def check_order(pool, before, allocation):
     """No request is shed while one of a lower tier is kept for its targets."""
     for row in allocation.sheds:
-        line = before[row.request].demand
+        demand = before[row.request].demand
         could_ever = row.reason is ShedReason.OVERLOAD or (
             row.reason is ShedReason.DEADLINE
             and before[row.request].entry.latest_start >= before[row.request].arrived
@@ -104,9 +104,9 @@
         kept = [
             other.demand.tier_rank
             for other in pool.waiting.values()
-            if other.demand.service in rivals(pool, line.service)
+            if other.demand.service in rivals(pool, demand.service)
         ]
-        assert max(kept, default=-1) <= line.tier_rank
+        assert max(kept, default=-1) <= demand.tier_rank
 
 
 @given(
@@ -114,25 +114,25 @@
     st.lists(st.integers(0, 3), min_size=1, max_size=4),
 )
 def test_same_tiers_start_as_with_a_naive_allocator(rows, limits):
-    """A naive allocator sorts all by tier and fills the slots from the top.
+    """A naive allocator sorts all requests by tier and fills the slots in that order.
 
-    With requests and targets that are all alike the two differ in whose
-    request goes, never in how many of each tier.
+    With requests and targets that are all alike, the two may start different
+    requests but start equally many of each tier.
     """
     pool = make_pool(*(make_target(f"t{n}", limit=k) for n, k in enumerate(limits)))
     for n, (rank, workspace) in enumerate(rows):
         add(pool, f"r{n:02}", rank, workspace, deadline=1000.0)
     naive = Counter(sorted(rank for rank, _ in rows)[: sum(limits)])
     placed = [pool.waiting[p.request].demand for p in allocate(pool, 0.0).placements]
-    assert Counter(line.tier_rank for line in placed) == naive
+    assert Counter(demand.tier_rank for demand in placed) == naive
 
 
 def test_lower_tiers_go_with_a_high_one_that_ran_out_of_time():
-    """A caller of tier 1 is refused, and so is all below that still waits.
+    """A request of tier 1 expires, and requests of lower tiers are shed with it.
 
-    The only slot stays busy until the last start of a request of tier 1. A
-    request of tier 2 with a long deadline would be kept past it, and one of
-    a service on other targets is no rival and stays.
+    The only slot stays busy beyond the latest start of a request of tier 1. A
+    request of tier 2 with a long deadline would otherwise be kept after it. One
+    for a service on other targets doesn't compete with it and stays.
     """
     pool = make_pool(
         make_target(limit=1, used=1), make_target("t1", ("call",), 1, used=1)
@@ -157,7 +157,7 @@
 
 
 def test_nothing_is_kept_below_what_another_zone_shed():
-    """Two zones, cut load: one sheds tier 1, the other must not keep tier 2."""
+    """The load is split over two zones: one sheds tier 1, so the other sheds tier 2."""
     pool = make_pool(make_target(limit=1, used=1))
     add(pool, "same", rank=1)
     add(pool, "low", rank=2)
@@ -167,10 +167,10 @@
 
 @pytest.mark.parametrize(("floor", "refused"), [(-1, True), (1, True), (2, False)])
 def test_a_tier_is_refused_early_only_as_the_lowest_within_reach(floor, refused):
-    """Forty requests wait for one slot; only a few can start in time.
+    """Forty requests wait for one slot, and only a few can start in time.
 
-    While another zone keeps a lower tier, they are offered there instead of
-    being refused here.
+    While another zone still keeps a lower tier, they are offered to that zone
+    instead of being refused here.
     """
     pool = make_pool(make_target(limit=1, used=1))
     for n in range(40):
@@ -218,7 +218,7 @@
 
 
 def test_long_requests_leave_slots_to_short_ones():
-    """Full reviews arrive first; a one-line question must still find a slot."""
+    """Full reviews arrive first; a one-line question must still get a slot."""
     pool = make_pool(make_target(limit=8))
     for n in range(30):
         add(pool, f"s{n:02}", deadline=100.0, predicted_tokens=20)
@@ -235,7 +235,7 @@
 
 
 def test_small_low_requests_do_not_take_what_a_large_high_one_waits_for():
-    """The memory is freed piece by piece; the large request needs most of it."""
+    """Memory is freed piece by piece, and the large request needs most of it."""
     pool = make_pool(make_target(limit=8, memory=10_000, used=1))
     pool.targets["t0"].reserved_tokens = 4000
     add(pool, "large", rank=0, prompt_tokens=8000)
@@ -265,11 +265,11 @@
 
 
 def test_the_first_tier_is_not_refused_while_slots_come_free_in_time():
-    """Twelve urgent requests were refused a second before eight slots came free.
+    """Twelve urgent requests are not refused a second before eight slots become free.
 
-    Nothing was known of their service yet, so four times the likely length was
-    reserved. Of the first tier only what half of its kind would miss is given
-    up; a lower tier is refused as soon as it is not safe.
+    Without measured output lengths, four times the likely length is reserved. Of the
+    first tier, only requests that half of their kind would miss are shed; a lower tier
+    is refused as soon as it is not safe.
     """
     pool = make_pool(make_target(limit=8, used=8, decode_tps=200.0))
     lengths = {"prompt_tokens": 10, "likely_tokens": 200, "predicted_tokens": 800}
