--- a/tests/decisions/pools.py
+++ b/tests/decisions/pools.py
@@ -47,5 +47,5 @@
         del pool.waiting[shed.request]
 
 
-def given_up(allocation):
+def shed_reasons(allocation):
     return {shed.request: shed.reason for shed in allocation.sheds}
