--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -227,11 +227,11 @@
         its answer and retry too late. Without a bound on the first output, in time is
         undefined, and the request doesn't wait.
         """
-        if math.isinf(entry.ttft_deadline):
+        if math.isinf(entry.ttft_latest_start):
             return 0.0
         until = (
-            entry.ttft_deadline
-            if self.now <= entry.ttft_deadline
+            entry.ttft_latest_start
+            if self.now <= entry.ttft_latest_start
             else entry.latest_start
         )
         return until - self.now
--- a/godwitladder/decisions/late_refusal.py
+++ b/godwitladder/decisions/late_refusal.py
@@ -74,7 +74,7 @@
 def start_limit(entry: QueueEntry, group: Group) -> float:
     """Return the time by which ``entry`` has to start."""
     if group.precedence.timeliness is Timeliness.IN_TIME:
-        return min(entry.ttft_deadline, entry.latest_start)
+        return min(entry.ttft_latest_start, entry.latest_start)
     waiting = entry.waiting
     return min(
         entry.latest_start,
