--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -227,7 +227,7 @@
     safe_start : float
         Latest start at which it ends by its deadline even if its output is
         long.
-    ttft_deadline : float
+    ttft_latest_start : float
         Latest start at which its first output can still be in time.
     precedence, late_precedence : Precedence
         Its precedence while it can be in time, and after that.
