--- a/tests/decisions/test_allocation.py
+++ b/tests/decisions/test_allocation.py
@@ -51,7 +51,7 @@
     return pool
 
 
-def rivals(pool, service):
+def competing_services(pool, service):
     shared = [t.services for t in pool.targets.values() if service in t.services]
     return set().union(*shared) if shared else set()
 
@@ -104,7 +104,7 @@
         kept = [
             other.demand.tier_rank
             for other in pool.waiting.values()
-            if other.demand.service in rivals(pool, demand.service)
+            if other.demand.service in competing_services(pool, demand.service)
         ]
         assert max(kept, default=-1) <= demand.tier_rank
 
