--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -259,7 +259,7 @@
         self.placed_s += entry.slot_s
         if long:
             end = self.now + target.seconds(demand)
-            state.record_long_request(target.view.name, end)
+            self.pool.state.record_long_request(target.view.name, end)
 
     def at_quota(self, workspace: WorkspaceName) -> bool:
         """Return whether ``workspace`` has reached its limit on running requests."""
