--- a/godwitladder/decisions/admission.py
+++ b/godwitladder/decisions/admission.py
@@ -1,29 +1,36 @@
-"""Tells hosts which part of the calls that come to ask an allocator for.
-
-Load pattern: a flood of several times what targets do, through hundreds of small
-hosts. Each call that is going to be refused is told to the allocator, weighed in
-each of its runs, shed, and told back: so it costs most of what a served call
-costs, the allocator falls behind, and places stand empty beside refused callers.
-
-An allocator needs to see more calls than it has places for, to choose among them,
-but not all that come. Of a workspace of whose calls it sheds some, hosts ask for
-such a part of those that come that about twice as many are seen as are served.
-The rest are refused by their host, at once and truly. By workspace, since one that
-floods its targets would otherwise have the calls of all others refused with its own.
-
-An allocator that keeps up sees all that come, and chooses best from all: parts are
-taken only while what it hears is old. A part is worked out anew some times a second
-and moves by a bounded factor, so that one odd moment closes nothing, and it is whole
-again as soon as nothing is shed.
+"""Limits the share of requests that hosts send to an overloaded allocator.
+
+Load pattern: a flood of several times the capacity of the targets, through
+hundreds of small hosts. Each request that will be refused is reported to the
+allocator, considered in each of its runs, shed, and reported back, so it costs
+most of what a served request costs. The allocator falls behind, and slots stay
+free while callers are refused.
+
+To choose among requests, an allocator must see more of them than it has slots
+for, but not all that arrive. If it sheds requests of a workspace, hosts ask
+for such a share of that workspace's requests that the allocator sees about
+twice as many as are served. They refuse the rest at once, as these would have
+been refused anyway. The share is kept for each service and workspace, since
+otherwise a workspace that floods its targets would have the requests of all
+others refused with its own.
+
+An allocator that keeps up sees all requests and chooses best among all, so
+shares are reduced only while its information is old. A share is updated a few
+times a second and changes by a bounded factor, so that a single irregular
+interval can't refuse all of a workspace's requests. It grows back to 1 while
+nothing is shed.
 
 Thresholds
 ----------
-BEHIND_S : news of an allocator that keeps up are some hundredths of a second old.
-CANDIDATES : calls to choose from for each that is served.
-LOOK_S : long enough to see some calls of a busy workspace.
-LEAST_SHARE : what is refused unseen stays bounded, however low the service is.
-STEP : a share at most halves or doubles in one look.
-FEW : with fewer calls nothing can be told.
+MAX_BEHIND_S : age of the allocator's information above which shares are
+    reduced. With an allocator that keeps up it is a few hundredths of a second.
+CANDIDATES_PER_SERVED : requests to choose from for each one that is served.
+UPDATE_INTERVAL_S : long enough to see several requests of a busy workspace.
+LEAST_SHARE : lower bound of a share, which bounds how many requests are refused
+    unseen, however few are served.
+MAX_STEP : largest factor by which one update changes a share, up or down.
+MIN_SAMPLE : with fewer requests in an interval the share stays as it is, since
+    so few say nothing.
 """
 
 from collections import Counter
@@ -31,24 +38,27 @@
 
 from godwitladder.ids import ServiceName, WorkspaceName
 
-BEHIND_S = 0.1
-CANDIDATES = 2.0
-LOOK_S = 0.25
+MAX_BEHIND_S = 0.1
+CANDIDATES_PER_SERVED = 2.0
+UPDATE_INTERVAL_S = 0.25
 LEAST_SHARE = 0.2
-STEP = 2.0
-FEW = 4
+MAX_STEP = 2.0
+MIN_SAMPLE = 4
 
 Flow = tuple[ServiceName, WorkspaceName]
 
 
 @dataclass(frozen=True)
 class AdmissionShare:
-    """The part of a workspace's calls that hosts ask for.
+    """Share of a workspace's requests for one service that hosts ask for.
 
     Attributes
     ----------
+    share : float
+        From 0 to 1.
     backlog_s : float
-        Seconds after which it is worth to come back.
+        Seconds until the current backlog will have started; a refused caller
+        is told to retry after about that time.
     """
 
     service: ServiceName
@@ -59,35 +69,39 @@
 
 @dataclass
 class Admission:
-    """Works the parts out from what an allocator saw, served and shed.
+    """Computes the shares from what an allocator received, served and shed.
 
     Attributes
     ----------
     asked, served, shed : Counter
-        Calls since the last look, by service and workspace.
+        Requests since the last update, by service and workspace.
     shares : dict
-        Parts that are less than the whole.
+        Shares below 1, by service and workspace.
+    updated_at : float
+        Time of the last update, in seconds.
     """
 
     asked: Counter[Flow] = field(default_factory=Counter)
     served: Counter[Flow] = field(default_factory=Counter)
     shed: Counter[Flow] = field(default_factory=Counter)
     shares: dict[Flow, float] = field(default_factory=dict)
-    looked: float = float("-inf")
+    updated_at: float = float("-inf")
 
     def look(self, now: float, behind_s: float) -> None:
-        """Work the parts out anew if it is time to.
+        """Update the shares, unless the last update was a moment ago.
 
         Parameters
         ----------
+        now : float
+            Current time, in seconds.
         behind_s : float
-            Age of what the allocator hears.
+            Age of the allocator's information, in seconds.
         """
-        if now - self.looked < LOOK_S:
+        if now - self.updated_at < UPDATE_INTERVAL_S:
             return
-        self.looked = now
+        self.updated_at = now
         for flow in set(self.shares) | set(self.shed):
-            share = self.next_share(flow, behind_s > BEHIND_S)
+            share = self.next_share(flow, behind_s > MAX_BEHIND_S)
             if share < 1.0:
                 self.shares[flow] = share
             else:
@@ -96,12 +110,20 @@
             counts.clear()
 
     def next_share(self, flow: Flow, behind: bool) -> float:
-        """Return the next part for ``flow``; ``behind`` if the allocator is."""
-        before = self.shares.get(flow, 1.0)
+        """Return the new share of ``flow``, which may exceed 1.
+
+        Parameters
+        ----------
+        flow : tuple
+            Service and workspace.
+        behind : bool
+            Whether the allocator's information is too old.
+        """
+        previous = self.shares.get(flow, 1.0)
         if not behind or not self.shed[flow]:
-            return before * STEP
-        if self.asked[flow] < FEW:
-            return before
-        factor = CANDIDATES * self.served[flow] / self.asked[flow]
-        factor = min(max(factor, 1.0 / STEP), STEP)
-        return max(before * factor, LEAST_SHARE)
+            return previous * MAX_STEP
+        if self.asked[flow] < MIN_SAMPLE:
+            return previous
+        factor = CANDIDATES_PER_SERVED * self.served[flow] / self.asked[flow]
+        factor = min(max(factor, 1.0 / MAX_STEP), MAX_STEP)
+        return max(previous * factor, LEAST_SHARE)
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -1,36 +1,39 @@
-"""Decides who is given up: the lowest tier first, and early.
+"""Sheds waiting requests that can't start in time, lowest tier first.
 
 Load pattern: saturation. Without early refusal every request waits until its
-deadline and is told nothing meanwhile; those that start last are cut off in
-the middle and their prefill is wasted. Without an order, a retry of a low
-tier is kept while a high tier's request runs out of time.
-
-A request is *kept* while it waits at any allocator within reach and needs a
-target that the one given up could have used. A running request isn't: the
-engine has no priorities, stopping it would waste its prefill, and it was
-dispatched, so it could never be sent again. `docs/notes/shedding.md` weighs
-this. Three rules follow:
-
-- Refused early are only requests of the lowest tier that waits anywhere
-  within reach, when the work before them leaves no start in time.
-- When one of a higher tier runs out of time all the same, whatever lower
-  tier still waits for the same targets is given up with it, here and, through
+deadline and gets no answer meanwhile; those that start last are cut off
+before they end, and their prefill is wasted. Without an order of shedding,
+retries of a low tier stay queued while requests of a high tier miss their
+deadlines.
+
+A request counts as *kept* while it waits at any reachable allocator and needs
+a target that the shed request could have used. A running request doesn't
+count: the engine has no priorities, stopping the request would waste its
+prefill, and a request that was dispatched can't be sent again.
+`docs/notes/shedding.md` discusses this. Three rules follow:
+
+- Early refusal applies only to the lowest tier that waits at any reachable
+  allocator, and only when the work ahead of a request leaves it no start in
+  time.
+- When a request of a higher tier still misses its deadline, all requests of
+  lower tiers that wait for the same targets are shed with it, here and, through
   `Allocation.shed_rank`, at the other allocators.
-- A request that could not have been in time on an idle pool is refused at
-  once and is no shed: no order of shedding would have saved it.
+- A request that could not have met its deadline on an idle pool is refused at
+  once and doesn't count as shed: no order of shedding would have saved it.
 
 Thresholds
 ----------
-`backlog.MARGIN` : a request is started while its predicted length, and this factor of
-    it, fits before its deadline.
-REFUSE_EVERY_S : looking through the whole queue costs as much as the rest of
-    a run; ten times a second is soon enough to tell a caller.
-LEAST_LEFT : early refusal lets the work ahead exceed what fits by this
-    factor, as some of it ends sooner or goes away.
-SPILL_AFTER_S : wait that makes it worth asking another zone; two round trips
-    of demand and grant take less.
-SPILL_MOST : offers a run makes; more would move a whole queue at once and
-    bring it back the same way.
+`backlog.MARGIN` : a request is started while its predicted duration, multiplied
+    by this factor, fits before its deadline.
+REFUSAL_SCAN_INTERVAL_S : a scan of the whole queue costs as much as the rest of
+    a run, and ten scans a second are soon enough to answer a caller.
+MIN_SLOT_SHARE : least share of a service's slots that early refusal counts as
+    available. It lets the work ahead exceed what fits, as some of that work
+    ends early or is withdrawn.
+SPILL_AFTER_S : expected wait from which another zone is asked for a request; two
+    round trips of demand and grant take less.
+MAX_SPILL : largest number of requests that one run offers to other zones; more
+    would move a whole queue at once and then move it back the same way.
 """
 
 import heapq
@@ -47,29 +50,35 @@
 )
 from godwitladder.ids import RequestId, ServiceName
 
-REFUSE_EVERY_S = 0.1
-LEAST_LEFT = 0.05
+REFUSAL_SCAN_INTERVAL_S = 0.1
+MIN_SLOT_SHARE = 0.05
 SPILL_AFTER_S = 0.5
-SPILL_MOST = 64
+MAX_SPILL = 64
 
 
 def was_possible(entry: Entry) -> bool:
-    """Return whether an idle pool could have served it in time."""
+    """Return whether an idle pool could have met the deadline of ``entry``."""
     return entry.row.arrived <= entry.latest
 
 
 def is_time_to_refuse(pool: PoolView, now: float) -> bool:
-    """Return whether the queue is to be looked through again, and note it."""
-    if now - pool.memory.refused_at < REFUSE_EVERY_S:
+    """Return whether a scan of the queue is due, and if so record its time.
+
+    The time is stored in ``pool.memory``, so a second call at the same time
+    returns False.
+    """
+    if now - pool.memory.refused_at < REFUSAL_SCAN_INTERVAL_S:
         return False
     pool.memory.refused_at = now
     return True
 
 
 def refuse_early(backlog: Backlog, pool: PoolView, now: float) -> list[Entry]:
-    """Take out and return what can't start in time, of the lowest tier.
+    """Remove and return requests of the lowest tier that can't start in time.
 
-    When all of that tier is gone the next one is looked at, and so on up.
+    When none of that tier are left, the next higher tier is scanned, and so on.
+    The scan ends at the first tier that keeps a request, and never goes above
+    the lowest tier that waits at another allocator.
     """
     if not is_time_to_refuse(pool, now):
         return []
@@ -89,8 +98,12 @@
 def refuse_late(
     group: Group, backlog: Backlog, pool: PoolView, now: float
 ) -> list[Entry]:
-    """Take out and return the requests of ``group`` that can't start in time."""
-    slots = left_for(group, pool)
+    """Remove and return the requests of ``group`` that can't start in time.
+
+    While other allocators report what waits there, a request that has waited
+    for less than `SPILL_AFTER_S` is kept, late or not.
+    """
+    slots = available_slots(group, pool)
     if not slots:
         return []
     ahead_s = backlog.work_s(group.service, group.precedence) - group.work_s
@@ -98,7 +111,7 @@
         return []
     queue = TierQueue(group.entries, pool.workspaces, pool.memory.spent, now)
     first = group.precedence == backlog.precedences()[0]
-    kept, late = project(queue, ahead_s, slots, now, first)
+    kept, late = split_by_start_time(queue, ahead_s, slots, now, first)
     if pool.floors:
         fresh = [e for e in late if now - e.row.arrived < SPILL_AFTER_S]
         kept += fresh
@@ -107,31 +120,44 @@
     return late
 
 
-def left_for(group: Group, pool: PoolView) -> float:
-    """Return the slots that higher tiers leave to ``group``, as of late.
+def available_slots(group: Group, pool: PoolView) -> float:
+    """Return the slots that ``group`` has left after recent use by higher tiers.
 
-    They will go on coming: counted only as what waits, a low tier looks as
-    if it had the whole pool as soon as the last of them has started.
+    Requests of higher tiers keep arriving. If only those that wait now were
+    counted, a low tier would seem to have the whole pool as soon as the last
+    of them had started.
     """
     slots = group.part.slots
-    return max(slots * LEAST_LEFT, slots - pool.memory.slots_before(group.precedence))
+    return max(
+        slots * MIN_SLOT_SHARE, slots - pool.memory.slots_before(group.precedence)
+    )
 
 
-def project(
+def split_by_start_time(
     queue: TierQueue, ahead_s: float, slots: float, now: float, first: bool
 ) -> tuple[list[Entry], list[Entry]]:
     """Split requests into those that can start in time and those that can't.
 
     Parameters
     ----------
+    queue : TierQueue
+        The requests, in the order in which they would start.
     ahead_s : float
-        Slot seconds of the tiers before them.
+        Work of the higher tiers, in slot seconds.
     slots : float
-        Slots that the work is spread over.
+        Slots that share the work.
+    now : float
+        Current time, in seconds.
     first : bool
-        Whether no more important tier waits. Such a request is given up only
-        when half of its kind would be late: nothing better can use its slot.
-        With the safe time it was refused while slots came free.
+        Whether no higher tier waits. The test is then `Entry.latest` rather
+        than the earlier `Entry.safe`, so a request is refused only when half
+        of the requests like it would be late: no higher tier could use its
+        slot. With `Entry.safe`, requests were refused while slots became free.
+
+    Returns
+    -------
+    kept, late : list of Entry
+        Those that can start in time, and those that can't.
     """
     kept: list[Entry] = []
     late: list[Entry] = []
@@ -147,18 +173,23 @@
 def give_up_below(
     backlog: Backlog, rank: int, services: Iterable[ServiceName]
 ) -> list[Entry]:
-    """Take out and return what waits below ``rank`` for targets of ``services``."""
-    given_up: list[Entry] = []
-    rivals = find_rivals(backlog, services)
+    """Remove and return waiting requests of tiers below ``rank``.
+
+    Only requests that could use a target of ``services`` are removed.
+    """
+    removed: list[Entry] = []
+    affected = find_services_sharing_targets(backlog, services)
     for group in backlog.groups.values():
-        if group.precedence.rank > rank and group.service in rivals:
-            given_up += group.entries
+        if group.precedence.rank > rank and group.service in affected:
+            removed += group.entries
             group.keep([])
-    return given_up
+    return removed
 
 
-def find_rivals(backlog: Backlog, services: Iterable[ServiceName]) -> set[ServiceName]:
-    """Return all services that share a target with any of ``services``."""
+def find_services_sharing_targets(
+    backlog: Backlog, services: Iterable[ServiceName]
+) -> set[ServiceName]:
+    """Return all services that share a target with one of ``services``."""
     capacity = backlog.capacity
     targets = {room.view.name for name in services for room in capacity.of(name).rooms}
     return {
@@ -169,21 +200,35 @@
 
 
 def offer_elsewhere(backlog: Backlog) -> list[RequestId]:
-    """Return the requests that another zone should be asked for."""
+    """Return requests to offer to other zones, highest precedence first.
+
+    These are requests of groups with an expected wait above `SPILL_AFTER_S`;
+    within one precedence those with the earliest latest start come first.
+    """
     offered: list[RequestId] = []
     for precedence in backlog.precedences():
         late: list[Entry] = []
         for group in backlog.at(precedence):
             if backlog.wait_s(group.service, precedence) > SPILL_AFTER_S:
                 late += group.entries
-        room = SPILL_MOST - len(offered)
-        soonest = heapq.nsmallest(room, late, key=lambda entry: entry.latest)
+        limit = MAX_SPILL - len(offered)
+        soonest = heapq.nsmallest(limit, late, key=lambda entry: entry.latest)
         offered += [entry.row.line.request for entry in soonest]
     return offered
 
 
 def give_up(entry: Entry, reason: ShedReason, backlog_s: float) -> GivenUp:
-    """Return the refusal of ``entry``."""
+    """Return the refusal of ``entry`` with the time after which to retry.
+
+    Parameters
+    ----------
+    entry : Entry
+        The request to refuse.
+    reason : ShedReason
+        Why it is refused.
+    backlog_s : float
+        Seconds until the work that waits now will have started.
+    """
     line = entry.row.line
     wait = retry_after_s(backlog_s, line.request, line.repeats)
     return GivenUp(line.request, reason, wait)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,93 +1,98 @@
-"""Which part of the calls of a flood hosts ask for."""
+"""The share of a flood's requests that hosts ask the allocator for."""
 
 import random
 
 from godwitladder.decisions.admission import (
-    BEHIND_S,
     LEAST_SHARE,
-    LOOK_S,
+    MAX_BEHIND_S,
+    UPDATE_INTERVAL_S,
     Admission,
 )
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.policy import ASKED
 from tests.decisions.pools import add, make_pool, make_target
 
-BEHIND = 2 * BEHIND_S
+BEHIND = 2 * MAX_BEHIND_S
 FLOOD, QUIET = ("models", "floods"), ("models", "quiet")
 
 
-def play(
+def simulate(
     admission: Admission,
     seconds: float,
-    came: dict,
-    places: int,
+    arrivals: dict,
+    slots: int,
     behind_s: float = BEHIND,
 ) -> list[int]:
-    """Let calls come in each look; return how many were asked for in each."""
-    dice = random.Random(1)
-    asked = []
-    now = max(admission.looked, 0.0)
-    for _ in range(round(seconds / LOOK_S)):
-        now += LOOK_S
-        calls = [
+    """Send ``arrivals`` in each update interval; return how many are asked for.
+
+    Each entry of the result is the number of one interval. ``arrivals`` maps a
+    service and workspace to its number of requests in an interval, of which
+    the first ``slots`` asked for are served and the rest shed.
+    """
+    rng = random.Random(1)
+    totals = []
+    now = max(admission.updated_at, 0.0)
+    for _ in range(round(seconds / UPDATE_INTERVAL_S)):
+        now += UPDATE_INTERVAL_S
+        requests = [
             flow
-            for flow, number in came.items()
+            for flow, number in arrivals.items()
             for _ in range(number)
-            if dice.random() < admission.shares.get(flow, 1.0)
+            if rng.random() < admission.shares.get(flow, 1.0)
         ]
-        dice.shuffle(calls)
-        admission.asked.update(calls)
-        admission.served.update(calls[:places])
-        admission.shed.update(calls[places:])
-        asked.append(len(calls))
+        rng.shuffle(requests)
+        admission.asked.update(requests)
+        admission.served.update(requests[:slots])
+        admission.shed.update(requests[slots:])
+        totals.append(len(requests))
         admission.look(now, behind_s)
-    return asked
+    return totals
 
 
-def test_an_allocator_is_asked_for_some_more_than_it_can_serve():
-    """Guards against an allocator that is buried in calls that it will refuse."""
-    asked = play(Admission(), 5.0, {FLOOD: 100}, places=10)
+def test_an_overloaded_allocator_sees_somewhat_more_than_it_can_serve():
+    """Guards against an allocator overloaded by requests that it will refuse."""
+    asked = simulate(Admission(), 5.0, {FLOOD: 100}, slots=10)
     assert asked[0] == 100
     assert max(asked[8:]) <= 40
     assert min(asked[8:]) >= 10
 
 
-def test_a_workspace_that_floods_closes_nothing_for_others():
-    """Guards against others refused unseen for what one workspace asks."""
+def test_a_flood_of_one_workspace_leaves_the_share_of_others_at_one():
+    """Guards against refusing other workspaces because of one that floods."""
     admission = Admission()
     for step in range(20):
         admission.asked.update({FLOOD: 80, QUIET: 5})
         admission.served.update({FLOOD: 10, QUIET: 5})
         admission.shed.update({FLOOD: 70})
-        admission.look(step * LOOK_S, BEHIND)
+        admission.look(step * UPDATE_INTERVAL_S, BEHIND)
     assert admission.shares[FLOOD] < 1.0
     assert QUIET not in admission.shares
 
 
-def test_all_is_asked_for_again_as_soon_as_nothing_is_shed():
-    """Guards against callers refused beside free places when a flood has gone."""
+def test_shares_return_to_one_once_nothing_is_shed():
+    """Guards against refusals while slots are free, after a flood has ended."""
     admission = Admission()
-    play(admission, 5.0, {FLOOD: 100}, places=10)
+    simulate(admission, 5.0, {FLOOD: 100}, slots=10)
     assert admission.shares[FLOOD] <= 0.5
-    play(admission, 1.0, {FLOOD: 10}, places=100)
+    simulate(admission, 1.0, {FLOOD: 10}, slots=100)
     assert not admission.shares
 
 
-def test_an_allocator_that_keeps_up_is_asked_for_all():
-    """Guards against callers refused unseen who would have been served first."""
-    asked = play(Admission(), 3.0, {FLOOD: 100}, places=10, behind_s=0.02)
+def test_an_allocator_that_keeps_up_sees_all_requests():
+    """Guards against refusing unseen what the allocator would have served first."""
+    asked = simulate(Admission(), 3.0, {FLOOD: 100}, slots=10, behind_s=0.02)
     assert min(asked) == 100
 
 
-def test_some_calls_are_seen_also_while_none_can_be_served():
-    """Guards against a service that nobody asks for when its targets are back."""
+def test_a_least_share_is_asked_for_while_nothing_can_be_served():
+    """Guards against a service that gets no requests when its targets recover."""
     admission = Admission()
-    play(admission, 5.0, {FLOOD: 100}, places=0)
+    simulate(admission, 5.0, {FLOOD: 100}, slots=0)
     assert admission.shares[FLOOD] == LEAST_SHARE
 
 
-def test_a_pool_closes_for_the_workspace_whose_calls_it_sheds():
-    """Guards against a flood that is taken for one of all workspaces."""
+def test_a_pool_reduces_the_share_of_the_workspace_that_it_sheds():
+    """Guards against attributing the flood of one workspace to all."""
     pool = make_pool(make_target(limit=4))
     pool.policy = ASKED
     add(pool, "other", workspace="w1")
