--- a/godwitladder/decisions/entitlement.py
+++ b/godwitladder/decisions/entitlement.py
@@ -1,14 +1,15 @@
-"""Tells calls that their workspace is entitled to from those beyond its quota.
-
-Load pattern: one workspace sends several times what it pays for, while others
-send their usual. `quotas` bounds what runs, with the slack that is promised to
-operators; of what waits it says nothing. So calls that nobody is owed stood in
-line before those that somebody is, and where a quota was spent on whatever came
-to its turn first, calls within the quota were refused for calls beyond it.
-
-A call is entitled if the quota, without any slack, has its tokens left when it
-comes, whatever becomes of it. One beyond the quota still runs where there is
-room, after all that are in time.
+"""Tells requests within their workspace's quota from those beyond it.
+
+Load pattern: one workspace sends several times its quota, while others send
+their usual load. `quotas` limits what runs, with the slack that is promised to
+operators, but doesn't order what waits. Without this distinction, requests
+beyond a quota wait ahead of requests within one. And where a quota is spent on
+whichever requests come first in the queue, requests within the quota are
+refused in favour of requests beyond it.
+
+A request is entitled if the quota, without any slack, has enough tokens left
+when the request arrives, whatever becomes of the request. A request beyond the
+quota still runs where there is capacity, after all requests within their quotas.
 """
 
 from dataclasses import dataclass, field
@@ -19,7 +20,7 @@
 
 @dataclass
 class Entitlements:
-    """The tokens that each workspace with a quota has left as calls come."""
+    """Token buckets that count requests of each workspace as they arrive."""
 
     buckets: dict[WorkspaceName, Bucket] = field(default_factory=dict)
 
@@ -30,15 +31,29 @@
         rate: TokenRate | None,
         now: float,
     ) -> bool:
-        """Return whether a call that has just come is within its quota."""
+        """Return whether a request that has just arrived is within its quota.
+
+        If so, its tokens are taken from the workspace's bucket.
+
+        Parameters
+        ----------
+        workspace : WorkspaceName
+            The workspace.
+        charge : int
+            Tokens of the request.
+        rate : TokenRate or None
+            Quota of the workspace; None for no limit.
+        now : float
+            Current time, in seconds.
+        """
         if rate is None or rate.rate <= 0:
             return True
         bucket = self.buckets.setdefault(workspace, Bucket(rate.burst, now))
-        gained = max(0.0, now - bucket.at) * rate.rate
-        bucket.left = min(rate.burst, bucket.left + gained)
-        bucket.at = now
-        # One call larger than the whole bucket is within it when it is full.
-        if min(charge, rate.burst) > bucket.left:
+        gained = max(0.0, now - bucket.updated_at) * rate.rate
+        bucket.tokens = min(rate.burst, bucket.tokens + gained)
+        bucket.updated_at = now
+        # A request larger than the full bucket is within the quota when it is full.
+        if min(charge, rate.burst) > bucket.tokens:
             return False
-        bucket.left -= charge
+        bucket.tokens -= charge
         return True
--- a/godwitladder/decisions/fairness.py
+++ b/godwitladder/decisions/fairness.py
@@ -1,14 +1,15 @@
-"""Orders the requests of one tier: fair among workspaces, then by deadline.
+"""Orders the requests of one tier: fairly among workspaces, then by deadline.
 
-Load pattern: a few callers or keys send most of the load. First come, first
-served gives a workspace what it asks for, so the one that floods the queue
-takes the pool and the others miss their deadlines. So the next place goes to
-the workspace that got the least lately for its share, and within it to the
-request whose latest start comes first, first tries before repeats.
+Load pattern: a few callers or API keys send most of the load. In order of
+arrival a workspace gets what it asks for, so one that floods the queue takes
+the pool and the others miss their deadlines. Instead, the next slot goes to the
+workspace with the least recent use for its share. Within a workspace, first
+attempts go before retries, and then the request with the earliest latest start
+goes first.
 
-What a workspace got is counted in slot seconds, not in requests: one full
-review costs as much as a hundred questions.
-What was spent fades; `memory` has the half-life and its reason.
+Use is counted in slot seconds, not in requests, since one long request costs
+as much as a hundred short ones. Past use decays; `memory` has the half-life and
+its reason.
 """
 
 import heapq
@@ -17,11 +18,11 @@
 from godwitladder.decisions.types import Entry, WorkspaceView
 from godwitladder.ids import WorkspaceName
 
-# Added to the latest start, these order requests in one number: sorting by
-# it takes half the time of sorting by several fields.
-LAST_S = 1e6
-UNSAFE_LAST_S = 1e9
-NO_WORKSPACE = WorkspaceView()
+# These are added to the latest start so that a single number orders requests.
+# Sorting by one number takes half the time of sorting by several fields.
+RETRY_OFFSET_S = 1e6
+UNSAFE_OFFSET_S = 1e9
+DEFAULT_WORKSPACE = WorkspaceView()
 
 
 class TierQueue:
@@ -30,13 +31,15 @@
     Parameters
     ----------
     entries : iterable of Entry
-        All of one tier.
+        Requests of one tier.
     workspaces : mapping
-        Their shares; one not in it has a share of 1.
+        Views of the workspaces with their shares; one that is missing has a
+        share of 1.
     spent : mapping
-        Slot seconds that each workspace lately got.
+        Slot seconds that each workspace used recently.
     now : float
-        Requests that are not safe any more at this time go last.
+        Current time, in seconds. Requests whose safe time (`Entry.safe`) has
+        passed go last within their workspace.
     """
 
     def __init__(
@@ -50,9 +53,9 @@
         self.queues: dict[WorkspaceName, list[tuple]] = {}
         for entry in entries:
             line = entry.row.line
-            key = entry.latest + line.repeats * LAST_S
+            key = entry.latest + line.repeats * RETRY_OFFSET_S
             if entry.safe < now:
-                key += UNSAFE_LAST_S
+                key += UNSAFE_OFFSET_S
             item = (key, line.request, entry)
             queue = self.queues.get(line.workspace)
             if queue is None:
@@ -61,44 +64,47 @@
                 queue.append(item)
         for queue in self.queues.values():
             heapq.heapify(queue)
-        self.turns = [
+        self.workspace_heap = [
             (spent.get(name, 0.0) / self._share(name), name) for name in self.queues
         ]
-        heapq.heapify(self.turns)
+        heapq.heapify(self.workspace_heap)
 
     def pop(self) -> Entry | None:
-        """Take the next request out, and charge its workspace for this run."""
-        if not self.turns:
+        """Remove and return the next request; None if the queue is empty.
+
+        Its slot seconds count as use of its workspace in this queue.
+        """
+        if not self.workspace_heap:
             return None
-        spent, name = self.turns[0]
+        spent, name = self.workspace_heap[0]
         queue = self.queues[name]
         entry = heapq.heappop(queue)[-1]
         if queue:
             spent += entry.slot_s / self._share(name)
-            heapq.heapreplace(self.turns, (spent, name))
+            heapq.heapreplace(self.workspace_heap, (spent, name))
         else:
-            heapq.heappop(self.turns)
+            heapq.heappop(self.workspace_heap)
         return entry
 
     def drop(self, name: WorkspaceName) -> None:
-        """Take all requests of one workspace out: it is at its quota."""
-        self.turns = [turn for turn in self.turns if turn[1] != name]
-        heapq.heapify(self.turns)
+        """Remove all requests of a workspace, which has reached its quota."""
+        self.workspace_heap = [item for item in self.workspace_heap if item[1] != name]
+        heapq.heapify(self.workspace_heap)
 
     def ordered(self) -> list[Entry]:
-        """Return all that is queued in the order in which it would start.
+        """Return all queued requests in the order in which they would start.
 
-        The same as repeated `pop`, by sorting, which is faster when all are
-        wanted.
+        The order is that of repeated calls of `pop`. Sorting once is faster
+        when all requests are needed. The queue is not changed.
         """
-        tagged = []
-        for spent, name in self.turns:
+        rows = []
+        for spent, name in self.workspace_heap:
             share = self._share(name)
-            for place, item in enumerate(sorted(self.queues[name])):
-                tagged.append((spent, name, place, item[-1]))
+            for index, item in enumerate(sorted(self.queues[name])):
+                rows.append((spent, name, index, item[-1]))
                 spent += item[-1].slot_s / share
-        tagged.sort()
-        return [tag[-1] for tag in tagged]
+        rows.sort()
+        return [row[-1] for row in rows]
 
     def _share(self, name: WorkspaceName) -> float:
-        return self.workspaces.get(name, NO_WORKSPACE).share
+        return self.workspaces.get(name, DEFAULT_WORKSPACE).share
--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -1,29 +1,32 @@
-"""Bounds what each workspace may have run, in tokens, over all hosts.
+"""Enforces the token quota of each workspace over all hosts with token buckets.
 
-Load pattern: one workspace sends several times what it pays for. Without a
-bound its requests take the targets in fair turns with the others', and what
-the others are entitled to waits behind what nobody is owed. A bound at each
-host would have to be a share of the whole, and callers are spread unevenly:
-the allocator sees all requests, so it keeps the only book.
+Load pattern: one workspace sends several times its quota. Without a limit its
+requests share the targets equally with those of other workspaces, and requests
+within a quota wait behind requests beyond one. A limit at each host would have
+to be a share of the whole, and callers are spread unevenly over hosts. The
+allocator sees all requests, so it alone keeps the buckets.
 
-Pure: times are handed in.
+Pure: times are passed in.
 
 Thresholds
 ----------
-RATE_FACTOR, SLACK_SHARE : what is promised to operators is the quota, a tenth
-    more and a slack in each window. Most of both is used here, since what is
-    refused within them is lost to its caller; the rest covers an allocator that
-    takes over with a fresh book.
-FRESH_SHARE : of what nobody can tell a new book, since the hosts that knew it
-    are gone, a quarter is given out: all of it would be the burst anew with each
-    change of the allocator. A quarter of burst and slack fits into what is
-    left above.
-HISTORY_S : hosts remember what they spent for so long, which is the window of
-    the promise. A new book is filled from that: a quarter full in any case, it
-    refused calls within their quotas after a cut.
-LOWERED_AFTER_S : what is promised of a lower quota holds one window after all hosts
-    know it. Taken for binding at once, a workspace that had used the higher one has its
-    calls refused for seconds though nobody owes that to anyone.
+RATE_FACTOR, SLACK_SHARE : operators are promised that in each window a workspace
+    runs at most its quota, a tenth more, and a slack. Most of the tenth and of
+    the slack is used here, since whatever is refused within them is lost to the
+    caller. The rest covers an allocator that takes over with new buckets.
+FRESH_SHARE : share of a full bucket that a new allocator gives out even if no
+    live host knows what was spent before. The full bucket would grant the burst
+    again with each change of the allocator; a quarter of burst and slack fits
+    into what the two factors above leave unused.
+SOONEST_S : shortest wait that is reported for a request beyond its quota.
+HISTORY_S : seconds for which hosts remember what they spent, which is the window
+    of the promise. New buckets are filled according to this history. Starting a
+    quarter full in every case refused requests within their quotas after a
+    network partition.
+LOWERED_AFTER_S : delay before a lowered quota applies. The promise for a lower
+    quota holds one window after all hosts know it. If it applied at once, a
+    workspace that had used the higher quota would have its requests refused for
+    seconds without need.
 """
 
 from collections.abc import Iterable, Mapping
@@ -42,7 +45,15 @@
 
 @dataclass(frozen=True)
 class TokenRate:
-    """Tokens a second and at once; a rate of 0 is no bound."""
+    """A token quota.
+
+    Attributes
+    ----------
+    rate : float
+        Tokens per second; 0 for no limit.
+    burst : float
+        Tokens that may be spent at once.
+    """
 
     rate: float
     burst: float
@@ -54,7 +65,7 @@
 
 @dataclass(frozen=True)
 class FormerRate:
-    """A higher quota, and until when it is still gone by."""
+    """A higher quota that was lowered, and still applies until ``until``."""
 
     rate: TokenRate
     until: float
@@ -62,20 +73,30 @@
 
 @dataclass
 class Bucket:
-    """What is left of one workspace's tokens, and when that was worked out."""
+    """Token bucket of one workspace.
+
+    Attributes
+    ----------
+    tokens : float
+        Tokens left; negative after a request larger than the bucket.
+    updated_at : float
+        Time for which ``tokens`` holds, in seconds.
+    """
 
-    left: float
-    at: float
+    tokens: float
+    updated_at: float
 
 
 @dataclass(frozen=True)
 class Spent:
-    """Tokens of one workspace that a host spent.
+    """Tokens of one workspace that one host spent.
 
     Attributes
     ----------
+    workspace : WorkspaceName
+        The workspace.
     tokens : tuple of int
-        In each of the last seconds, the newest first.
+        Tokens spent in each of the last seconds, newest first.
     """
 
     workspace: WorkspaceName
@@ -84,27 +105,30 @@
 
 @dataclass
 class SpendingHistory:
-    """What a host spent of each workspace's tokens in the last seconds.
+    """Tokens of each workspace that one host spent in the last seconds.
 
     Attributes
     ----------
-    began : float or None
-        When it was first asked: what was spent before that is not known.
+    started_at : float or None
+        Time of the first call of `known_s`, in seconds. Spending before that is
+        taken as unknown.
+    seconds : dict
+        Tokens spent by workspace and by second.
     """
 
-    began: float | None = None
+    started_at: float | None = None
     seconds: dict[WorkspaceName, dict[int, int]] = field(default_factory=dict)
 
     def note(self, workspace: WorkspaceName, charge: int, now: float) -> None:
-        """Count a request that was sent to a target."""
-        rows = self.seconds.setdefault(workspace, {})
+        """Record the tokens of a request that was sent to a target."""
+        spent = self.seconds.setdefault(workspace, {})
         second = int(now)
-        rows[second] = rows.get(second, 0) + charge
-        for old in [at for at in rows if at <= second - HISTORY_S]:
-            del rows[old]
+        spent[second] = spent.get(second, 0) + charge
+        for old in [key for key in spent if key <= second - HISTORY_S]:
+            del spent[old]
 
     def rows(self, now: float) -> tuple[Spent, ...]:
-        """Return what was spent, of the workspaces that spent anything."""
+        """Return the recent spending of each workspace that spent any tokens."""
         newest = int(now)
         seconds = range(newest, newest - HISTORY_S, -1)
         rows = []
@@ -115,35 +139,41 @@
         return tuple(rows)
 
     def known_s(self, now: float) -> float:
-        """Return for how many of the last seconds nothing is missing."""
-        if self.began is None:
-            self.began = now
-        return now - self.began
+        """Return for how many seconds back the history is complete."""
+        if self.started_at is None:
+            self.started_at = now
+        return now - self.started_at
 
 
 @dataclass
 class QuotaBook:
-    """The buckets of all workspaces with a bound.
+    """Token buckets of all workspaces that have a quota.
 
     Attributes
     ----------
     slack : float
-        Tokens that a workspace may have beyond its quota in a window.
+        Tokens that a workspace may run beyond its quota in a window.
     share : float
-        Part of each quota that this book may give out; less than 1 where
-        other hosts can't be seen and may have a book of their own.
+        Share of each quota that these buckets may give out; less than 1 while
+        other hosts are unreachable and may keep buckets of their own.
+    rates : mapping
+        Quotas now in force, by workspace.
+    buckets : dict
+        Buckets that are in use, by workspace.
     hosts : int
-        Hosts that a new book expects to be told by.
-    began : float or None
-        When the first of them told.
-    told : dict
-        Of each host that has told its past, the part of it that it knows.
-    past : dict
-        Tokens of each workspace that they spent, by second, the newest first.
+        Hosts that are expected to report their spending to a new allocator.
+    first_report_at : float or None
+        Time of the first such report, in seconds.
+    coverage : dict
+        For each host that has reported, the fraction of the last `HISTORY_S`
+        seconds that its report covers.
+    past_spending : dict
+        Tokens of each workspace that these hosts spent in each of the last
+        seconds, newest first.
     former : dict
-        Quotas that were lowered a moment ago.
-    settled : mapping
-        The quotas that `settle` has taken in.
+        Higher quotas that still apply, by workspace.
+    applied_rates : mapping
+        The ``rates`` that the last call of `settle` applied.
     """
 
     slack: float = 0.0
@@ -151,23 +181,27 @@
     rates: Mapping[WorkspaceName, TokenRate] = field(default_factory=dict)
     buckets: dict[WorkspaceName, Bucket] = field(default_factory=dict)
     hosts: int = 1
-    began: float | None = None
-    told: dict[HostId, float] = field(default_factory=dict)
-    past: dict[WorkspaceName, list[int]] = field(default_factory=dict)
+    first_report_at: float | None = None
+    coverage: dict[HostId, float] = field(default_factory=dict)
+    past_spending: dict[WorkspaceName, list[int]] = field(default_factory=dict)
     former: dict[WorkspaceName, FormerRate] = field(default_factory=dict)
-    settled: Mapping[WorkspaceName, TokenRate] = field(default_factory=dict)
+    applied_rates: Mapping[WorkspaceName, TokenRate] = field(default_factory=dict)
 
     def settle(self, now: float) -> None:
-        """Take in quotas that were set since the last call."""
-        if self.settled is self.rates:
+        """Apply quotas that were set since the last call.
+
+        A quota that was lowered applies after `LOWERED_AFTER_S`; any other
+        change applies at once.
+        """
+        if self.applied_rates is self.rates:
             return
         for name, rate in self.rates.items():
-            before = self.rate_of(name, now, self.settled)
+            before = self.rate_of(name, now, self.applied_rates)
             if before is not None and rate.is_below(before):
                 self.former.setdefault(name, FormerRate(before, now + LOWERED_AFTER_S))
             else:
                 self.former.pop(name, None)
-        self.settled = self.rates
+        self.applied_rates = self.rates
 
     def rate_of(
         self,
@@ -175,12 +209,16 @@
         now: float,
         rates: Mapping[WorkspaceName, TokenRate] | None = None,
     ) -> TokenRate | None:
-        """Return the quota that a workspace has now; None for no bound.
+        """Return the quota that applies to a workspace; None for no limit.
 
         Parameters
         ----------
+        workspace : WorkspaceName
+            The workspace.
+        now : float
+            Current time, in seconds.
         rates : mapping or None
-            In place of those in force.
+            Quotas to use in place of ``self.rates``.
         """
         former = self.former.get(workspace)
         if former is not None and now < former.until:
@@ -190,88 +228,112 @@
     def recall(
         self, host: HostId, spent: Iterable[Spent], known_s: float, now: float
     ) -> None:
-        """Take in what a host spent before this book was begun."""
-        if host in self.told:
+        """Add the spending that a host reports from before these buckets existed.
+
+        Only the first report of each host counts.
+
+        Parameters
+        ----------
+        host : HostId
+            The host that reports.
+        spent : iterable of Spent
+            What it spent in the last seconds.
+        known_s : float
+            For how many seconds back ``spent`` is complete.
+        now : float
+            Current time, in seconds.
+        """
+        if host in self.coverage:
             return
-        if not self.told:
-            self.began = now
-        self.told[host] = min(1.0, max(0.0, known_s / HISTORY_S))
+        if not self.coverage:
+            self.first_report_at = now
+        self.coverage[host] = min(1.0, max(0.0, known_s / HISTORY_S))
         for row in spent:
-            past = self.past.setdefault(row.workspace, [0] * HISTORY_S)
-            for place, tokens in enumerate(row.tokens[:HISTORY_S]):
-                past[place] += tokens
+            totals = self.past_spending.setdefault(row.workspace, [0] * HISTORY_S)
+            for age_index, tokens in enumerate(row.tokens[:HISTORY_S]):
+                totals[age_index] += tokens
 
     def opening(self, workspace: WorkspaceName, rate: TokenRate) -> float:
-        """Return what a new book has left of a workspace's tokens.
-
-        What was spent in the last seconds is missing, less what has come in
-        since. What hosts that just started or can't be seen have spent nobody
-        here knows: if those on the other side of a cut spent most of a quota,
-        their book gives out the rest of it, and this one its part on top.
+        """Return the tokens that a new bucket starts with.
+
+        A full bucket is reduced by the reported spending of the last seconds,
+        less what the rate has refilled since. What hosts that have just started
+        or are unreachable have spent is unknown. Hosts on the other side of a
+        network partition may have spent most of a quota: their buckets give out
+        the rest of it, and this one gives out its share in addition. So the
+        unknown part of the history starts with only `FRESH_SHARE` of a bucket.
         """
-        known = sum(self.told.values()) / max(1, self.hosts, len(self.told))
-        known *= self.share
-        full = self.size(rate) * (FRESH_SHARE + (1.0 - FRESH_SHARE) * known)
+        coverage = sum(self.coverage.values()) / max(1, self.hosts, len(self.coverage))
+        coverage *= self.share
+        full = self.size(rate) * (FRESH_SHARE + (1.0 - FRESH_SHARE) * coverage)
         gained = rate.rate * RATE_FACTOR * self.share
-        sums = accumulate(self.past.get(workspace, ()))
-        missing = [spent - gained * (place + 1) for place, spent in enumerate(sums)]
+        sums = accumulate(self.past_spending.get(workspace, ()))
+        missing = [spent - gained * (index + 1) for index, spent in enumerate(sums)]
         return full - max([0.0, *missing])
 
     def wait_s(
         self, workspace: WorkspaceName, charge: int, now: float, promised: int = 0
     ) -> float:
-        """Return the seconds until ``charge`` is within the quota; 0 for now.
+        """Return the seconds until ``charge`` is within the quota; 0 if it is now.
 
         Parameters
         ----------
+        workspace : WorkspaceName
+            The workspace.
+        charge : int
+            Tokens of the request.
+        now : float
+            Current time, in seconds.
         promised : int
-            Tokens of requests that wait for the quota before this one.
+            Tokens of requests that already wait for the quota and go first.
         """
         rate = self.rate_of(workspace, now)
         if rate is None or rate.rate <= 0:
             return 0.0
         bucket = self.fill(workspace, rate, now)
-        # One request larger than the whole bucket would otherwise never run.
-        missing = min(charge, self.size(rate)) + promised - bucket.left
+        # Without this limit, a request larger than the full bucket would never run.
+        missing = min(charge, self.size(rate)) + promised - bucket.tokens
         if missing <= 0:
             return 0.0
         return max(SOONEST_S, missing / (rate.rate * RATE_FACTOR * self.share))
 
     def take(self, workspace: WorkspaceName, charge: int, now: float) -> None:
-        """Count a request that is let in."""
+        """Take the tokens of an admitted request from its workspace's bucket."""
         rate = self.rate_of(workspace, now)
         if rate is not None and rate.rate > 0:
-            self.fill(workspace, rate, now).left -= charge
+            self.fill(workspace, rate, now).tokens -= charge
 
     def begin_anew(self, workspace: WorkspaceName, told_at: float) -> None:
-        """Forget a bucket that was not in use when another book was.
+        """Discard a bucket that missed what an allocator admitted in between.
 
-        A host without an allocator keeps a book only while it has none. What the
-        allocator let run in between is not in it, and a bucket that had filled
-        up meanwhile would be spent a second time.
+        A host uses buckets of its own only while it has no allocator. They don't
+        count what an allocator admitted in between, so a bucket that refilled
+        meanwhile would grant the same tokens a second time.
 
         Parameters
         ----------
+        workspace : WorkspaceName
+            The workspace.
         told_at : float
-            When an allocator was last heard of.
+            When an allocator last answered this host, in seconds.
         """
         bucket = self.buckets.get(workspace)
-        if bucket is not None and told_at - bucket.at > HISTORY_S:
+        if bucket is not None and told_at - bucket.updated_at > HISTORY_S:
             del self.buckets[workspace]
 
     def size(self, rate: TokenRate) -> float:
-        """Return the tokens that a full bucket holds."""
+        """Return the capacity of a bucket, in tokens."""
         return (rate.burst + self.slack * SLACK_SHARE) * self.share
 
     def fill(self, workspace: WorkspaceName, rate: TokenRate, now: float) -> Bucket:
-        """Return the bucket as it stands now."""
-        size = self.size(rate)
+        """Return the bucket of a workspace, refilled up to ``now``."""
+        capacity = self.size(rate)
         bucket = self.buckets.get(workspace)
         if bucket is None:
-            left = self.opening(workspace, rate)
-            at = now if self.began is None else self.began
-            bucket = self.buckets[workspace] = Bucket(left, at)
-        gained = (now - bucket.at) * rate.rate * RATE_FACTOR * self.share
-        bucket.left = min(size, bucket.left + max(0.0, gained))
-        bucket.at = now
+            tokens = self.opening(workspace, rate)
+            start = now if self.first_report_at is None else self.first_report_at
+            bucket = self.buckets[workspace] = Bucket(tokens, start)
+        gained = (now - bucket.updated_at) * rate.rate * RATE_FACTOR * self.share
+        bucket.tokens = min(capacity, bucket.tokens + max(0.0, gained))
+        bucket.updated_at = now
         return bucket
--- a/godwitladder/decisions/repeat_budget.py
+++ b/godwitladder/decisions/repeat_budget.py
@@ -1,35 +1,35 @@
-"""Bounds how many requests a host sends to a second target.
+"""Limits how many requests a host retries on a second target.
 
-Load pattern: targets fail by the dozen. If each failure were sent again, the
-targets that are left would get the failed ones' load twice, and fail too: a
-fault of a few becomes one of all. So repeats are a share of the requests, and
-a slack that all hosts divide among them.
+Load pattern: many targets fail at once. If each failed request were sent again,
+the remaining targets would get the load of the failed ones in addition, and
+fail too, so that the failure of a few targets spreads to all. So retries are
+limited to a share of the requests, plus a slack that all hosts divide evenly.
 
-Pure: times are handed in.
+Pure: times are passed in.
 
 Thresholds
 ----------
-KEEP : a host uses this part of what it is entitled to. The bound is on all
-    hosts together, and hosts that come or go leave the others' shares wrong
+USED_SHARE : share of its budget that a host uses. The limit holds for all hosts
+    together, and hosts that join or leave make the shares of the others wrong
     for some seconds.
 """
 
 from collections import deque
 from dataclasses import dataclass, field
 
-KEEP = 0.7
+USED_SHARE = 0.7
 
 
 @dataclass(frozen=True)
 class RepeatBounds:
-    """Repeats that all hosts may make of one service's requests.
+    """Retries that all hosts together may make of one service's requests.
 
     Attributes
     ----------
     ratio : float
-        Part of the requests of a window.
+        Retries as a fraction of the requests of a window.
     slack : float
-        Repeats of a window beside that.
+        Further retries in a window, shared by all hosts.
     window_s : float
         Length of the window, in seconds.
     """
@@ -40,46 +40,56 @@
 
 
 @dataclass
-class Spent:
-    """Times of the requests and repeats of one service, oldest first."""
+class RequestTimes:
+    """Times of the recent requests and retries of one service, oldest first."""
 
     requests: deque[float] = field(default_factory=deque)
     repeats: deque[float] = field(default_factory=deque)
 
 
 class RepeatBudget:
-    """One host's part of the repeats, by service.
+    """Retry budget of one host, by service.
 
     Parameters
     ----------
     bounds : RepeatBounds
-        What all hosts may do together.
+        Limits for all hosts together.
     """
 
     def __init__(self, bounds: RepeatBounds) -> None:
         self.bounds = bounds
-        self.services: dict[str, Spent] = {}
+        self.services: dict[str, RequestTimes] = {}
 
     def note_request(self, service: str, now: float) -> None:
-        """Count a caller's request."""
-        spent = self.services.setdefault(service, Spent())
-        spent.requests.append(now)
-        self.forget(spent, now)
+        """Record a request of a caller."""
+        recent = self.services.setdefault(service, RequestTimes())
+        recent.requests.append(now)
+        self.prune(recent, now)
 
     def take(self, service: str, hosts: int, now: float) -> bool:
-        """Return whether one more repeat is within the budget, and count it."""
-        spent = self.services.setdefault(service, Spent())
-        self.forget(spent, now)
+        """Return whether one more retry is within the budget, and if so count it.
+
+        Parameters
+        ----------
+        service : str
+            Service of the request.
+        hosts : int
+            Number of hosts that share the slack.
+        now : float
+            Current time, in seconds.
+        """
+        recent = self.services.setdefault(service, RequestTimes())
+        self.prune(recent, now)
         bounds = self.bounds
-        share = bounds.ratio * len(spent.requests) + bounds.slack / max(1, hosts)
-        if len(spent.repeats) + 1 > share * KEEP:
+        allowed = bounds.ratio * len(recent.requests) + bounds.slack / max(1, hosts)
+        if len(recent.repeats) + 1 > allowed * USED_SHARE:
             return False
-        spent.repeats.append(now)
+        recent.repeats.append(now)
         return True
 
-    def forget(self, spent: Spent, now: float) -> None:
-        """Drop what lies before the window."""
-        begin = now - self.bounds.window_s
-        for times in (spent.requests, spent.repeats):
-            while times and times[0] < begin:
+    def prune(self, recent: RequestTimes, now: float) -> None:
+        """Remove times from before the window."""
+        start = now - self.bounds.window_s
+        for times in (recent.requests, recent.repeats):
+            while times and times[0] < start:
                 times.popleft()
--- a/godwitladder/decisions/returns.py
+++ b/godwitladder/decisions/returns.py
@@ -1,22 +1,24 @@
-"""Knows callers again that were sent away and have come back.
+"""Recognizes callers that were refused and have come back.
 
-Load pattern: a burst. Who was refused comes back seconds later, to another
-host, as a new request with all of its waiting still ahead. Taken for one that
-has just come it is put before callers who can still be served in time, and its
-own answer is late whatever is done.
+Load pattern: a burst. A refused caller comes back seconds later to another
+host, as a new request whose wait seems to start only then. If it is treated as
+new, it goes before callers that can still be served in time, and its own answer
+is late in any case.
 
-A caller sends the same body again, so the body's digest tells. The time that
-callers say they have left does not: it differs from caller to caller by more
-than the time that most have spent. Taken from that, first tries count as late, and
-calls that could be in time yield to others.
+A caller sends the same body again, so the digest of the body identifies it. The
+time that callers say they have left doesn't: it differs between callers by more
+than most of them have waited. Judged by that time, first attempts would count
+as late, and requests that could be in time would yield to others.
 
-Two callers who send the same words within the time kept are taken for one:
-the second then yields to others for nothing, which is rare and harms only it.
+Two callers that send the same body within `KEPT_S` are treated as one. The
+second then yields to others without need, which is rare and harms only that
+caller.
 
 Thresholds
 ----------
-KEPT_S : twice the longest time that callers wait, who come back within it.
-KEPT : callers refused in that time at 1,500 requests a second, half of them.
+KEPT_S : twice the longest time that callers wait; they come back within it.
+KEPT : largest number of callers: those refused in that time at 1,500 requests
+    per second, half of which are refused.
 """
 
 from collections import OrderedDict
@@ -28,13 +30,23 @@
 
 
 class RefusedCallers:
-    """When callers that were refused lately first asked, by their body."""
+    """Times at which recently refused callers first asked, by body digest.
+
+    Attributes
+    ----------
+    asked : OrderedDict
+        Time of the first request by body digest, in seconds, oldest refusal
+        first.
+    """
 
     def __init__(self) -> None:
         self.asked: OrderedDict[BodyDigest, float] = OrderedDict()
 
     def note(self, body: BodyDigest, asked: float, now: float) -> None:
-        """A caller that first asked at ``asked`` is refused."""
+        """Record the refusal of a caller that first asked at ``asked``.
+
+        An empty digest is ignored, since it doesn't identify a caller.
+        """
         if not body:
             return
         self.asked.setdefault(body, asked)
@@ -42,11 +54,11 @@
             self.asked.popitem(last=False)
 
     def first_asked(self, body: BodyDigest, now: float) -> float | None:
-        """Return when a caller that was refused before first asked."""
+        """Return when a refused caller first asked; None if it is not known."""
         asked = self.asked.get(body)
         return None if asked is None or now - asked > KEPT_S else asked
 
     def is_old(self, now: float) -> bool:
-        """Return whether the oldest is to be forgotten."""
-        oldest = next(iter(self.asked.values()))
-        return now - oldest > KEPT_S or len(self.asked) > KEPT
+        """Return whether the oldest entry has expired or exceeds the capacity."""
+        first_asked = next(iter(self.asked.values()))
+        return now - first_asked > KEPT_S or len(self.asked) > KEPT
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -8,7 +8,7 @@
 from godwitladder.decisions.policy import ASKED
 from godwitladder.decisions.quotas import LOWERED_AFTER_S, QuotaBook, TokenRate
 from godwitladder.decisions.reading import ReadingFit
-from godwitladder.decisions.repeat_budget import KEEP, RepeatBounds, RepeatBudget
+from godwitladder.decisions.repeat_budget import USED_SHARE, RepeatBounds, RepeatBudget
 from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import ShedReason
@@ -247,7 +247,7 @@
     for _ in range(100):
         budget.note_request("s", 0.0)
     taken = sum(budget.take("s", 3, 1.0) for _ in range(100))
-    assert taken == int((0.2 * 100 + 30 / 3) * KEEP)
+    assert taken == int((0.2 * 100 + 30 / 3) * USED_SHARE)
     assert budget.take("s", 3, 11.5)
 
 
