--- a/tests/decisions/test_patterns.py
+++ b/tests/decisions/test_patterns.py
@@ -1,6 +1,6 @@
-"""What callers get under each pattern of load, against naive dispatch.
+"""What callers get under each load pattern, compared with naive dispatch.
 
-The traces of the bench, shortened, on a paused clock and without a network.
+The traces are those of the bench, shortened, with a paused clock and no network.
 """
 
 import dataclasses
@@ -19,33 +19,35 @@
 SHORT_S = 45.0
 NAMES = [pattern.name for pattern in make_patterns(USERS[0])]
 CASES = [(user, name) for user in USERS for name in NAMES]
-_played = {}
+_results = {}
 
 
-def play(user, name):
-    """Return both runs of a pattern, cut short; each is played once."""
-    if (user.name, name) not in _played:
+def run_pattern(user, name):
+    """Return the runs of a shortened pattern under both policies, cached."""
+    if (user.name, name) not in _results:
         pattern = next(p for p in make_patterns(user) if p.name == name)
         trace = [row for row in pattern.scenario.trace if row.time < SHORT_S]
         scenario = dataclasses.replace(pattern.scenario, trace=trace)
-        cut = dataclasses.replace(pattern, scenario=scenario)
-        _played[user.name, name] = compare(cut)
-    return _played[user.name, name]
+        shortened = dataclasses.replace(pattern, scenario=scenario)
+        _results[user.name, name] = compare(shortened)
+    return _results[user.name, name]
 
 
 def in_time(run, rank=None):
+    """Return the fraction of requests in time, of one rank or of all."""
     rows = [row for key, row in run.outcomes.items() if rank in (None, key)]
     return sum(row.in_time for row in rows) / sum(row.offered for row in rows)
 
 
 @pytest.mark.parametrize(("user", "name"), CASES, ids=lambda value: str(value)[:20])
 def test_callers_get_more_than_from_naive_dispatch(user, name):
-    """For every pattern: no inversion, and more answers in time than naive.
+    """Guards against results worse than naive dispatch under any pattern.
 
-    The top tier loses only where its own burst, or its own long requests,
-    exceed the targets, and little prefill is wasted.
+    No tier is shed before a lower one, at least as many answers are in time, and
+    little prefill is wasted. The top tier loses requests only where its own
+    burst, or its own long requests, exceed the capacity of the targets.
     """
-    compared = play(user, name)
+    compared = run_pattern(user, name)
     naive, ours = compared.naive, compared.ours
     assert all(row.inversions == 0 for row in ours.outcomes.values())
     assert in_time(ours) >= in_time(naive)
@@ -56,7 +58,7 @@
 @pytest.mark.parametrize("user", USERS, ids=lambda user: user.name)
 def test_saturation_keeps_the_tiers_in_order(user):
     for name in ("saturation 2x", "saturation 4x"):
-        ours = play(user, name).ours
+        ours = run_pattern(user, name).ours
         shares = [in_time(ours, rank) for rank in sorted(ours.outcomes)]
         assert shares[0] >= 0.95
         for higher, lower in zip(shares, shares[1:], strict=False):
@@ -65,46 +67,49 @@
 
 @pytest.mark.parametrize("user", USERS, ids=lambda user: user.name)
 def test_a_flood_of_one_workspace_does_not_reach_the_others(user):
-    ours = play(user, "few callers").ours
+    ours = run_pattern(user, "few callers").ours
     flood, rest = others_of(ours)
     assert rest >= flood
 
 
 @pytest.mark.parametrize("user", USERS, ids=lambda user: user.name)
 def test_a_retry_storm_does_not_starve_first_tries(user):
-    compared = play(user, "retry storm")
+    compared = run_pattern(user, "retry storm")
     assert compared.ours.first_tries > 2 * compared.naive.first_tries
     repeats = sum(row.in_time for row in compared.ours.outcomes.values())
     assert compared.ours.first_tries > 0.8 * repeats
 
 
 @pytest.mark.parametrize("user", USERS, ids=lambda user: user.name)
-def test_load_does_not_swing_on_stale_reports(user):
-    """Reports five seconds old send a naive router's load to and fro."""
-    compared = play(user, "reports 5 s old")
+def test_load_does_not_oscillate_on_stale_reports(user):
+    """Guards against load oscillating between targets on reports 5 s old."""
+    compared = run_pattern(user, "reports 5 s old")
     assert swing(compared.ours) < swing(compared.naive) / 4
-    fresh = play(user, "reports 0 s old").ours
+    fresh = run_pattern(user, "reports 0 s old").ours
     assert swing(compared.ours) < 2 * swing(fresh)
 
 
 @pytest.mark.parametrize("user", USERS, ids=lambda user: user.name)
 def test_a_slow_target_gets_little_within_seconds(user):
-    """A target six times slower from second 30 on: found by its streams."""
+    """Guards against load on a target that is six times slower from second 30.
+
+    The slowdown shows in the target's streams.
+    """
     scenario = slow_scenario(user)
     policy = Scheduled(user.engines)
     player = Player(scenario, policy)
-    sent = dict.fromkeys(range(400), 0)
+    dispatches = dict.fromkeys(range(400), 0)
     dispatch = player.dispatch
 
-    def note(request, target, now):
-        sent[int(now)] += target == scenario.slow.target
+    def count_dispatch(request, target, now):
+        dispatches[int(now)] += target == scenario.slow.target
         dispatch(request, target, now)
 
-    player.dispatch = note
+    player.dispatch = count_dispatch
     player.play()
-    before = statistics.mean(sent[second] for second in range(15, 30))
-    during = statistics.mean(sent[second] for second in range(33, 70))
-    after = statistics.mean(sent[second] for second in range(85, 100))
+    before = statistics.mean(dispatches[second] for second in range(15, 30))
+    during = statistics.mean(dispatches[second] for second in range(33, 70))
+    after = statistics.mean(dispatches[second] for second in range(85, 100))
     assert during < before / 4
     assert after > before / 2
 
@@ -116,7 +121,10 @@
     st.integers(0, 10_000),
 )
 def test_any_trace_keeps_the_invariants_against_naive(user, load, seed):
-    """Whatever the trace: each request once, no inversion, top tier first."""
+    """Guards, for any trace, against lost requests and inversions of tiers.
+
+    The top tier gets about as many answers in time as with naive dispatch.
+    """
     trace = make_trace(user.mix, user.engines, load, 15.0, seed)
     scenario = Scenario(trace, user.engines)
     ours = Player(scenario, Scheduled(user.engines)).play()
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -1,4 +1,4 @@
-"""Decisions for a pool in which each dispatch is asked for."""
+"""Decisions for a pool in which each dispatch is requested from the allocator."""
 
 import random
 from collections import Counter
@@ -17,35 +17,39 @@
 RATE = {"w0": TokenRate(1000.0, 2000.0)}
 
 
-def aimed(pool, request, rank, aim, **more):
+def add_timed(pool, request, rank, aim, **more):
+    """Add a waiting request whose first output is due at ``aim``."""
     add(pool, request, rank, **more)
     pool.waiting[request].aim = aim
 
 
-def placed(pool, now=0.0):
+def placed_requests(pool, now=0.0):
+    """Return the requests that one run of the allocator places, in order."""
     return [row.request for row in allocate(pool, now).placements]
 
 
 def test_a_late_request_yields_to_one_that_can_be_in_time():
-    """A burst has left a question waiting past its aim; a summary just came.
+    """Guards against two late answers where one could be in time.
 
-    The question is late whatever happens; served first, both would be late.
+    A request of rank 0 has waited until its first output is late in any case,
+    and a request of rank 2 has just arrived. If the late one were served first,
+    both would be late.
     """
     pool = make_pool(make_target(limit=1))
-    aimed(pool, "late", 0, aim=1.0)
-    aimed(pool, "fresh", 2, aim=9.0)
-    assert placed(pool, now=5.0) == ["fresh"]
+    add_timed(pool, "late", 0, aim=1.0)
+    add_timed(pool, "fresh", 2, aim=9.0)
+    assert placed_requests(pool, now=5.0) == ["fresh"]
 
 
 def test_among_requests_in_time_the_tier_decides():
     pool = make_pool(make_target(limit=1))
-    aimed(pool, "low", 2, aim=9.0)
-    aimed(pool, "high", 0, aim=9.0)
-    assert placed(pool) == ["high"]
+    add_timed(pool, "low", 2, aim=9.0)
+    add_timed(pool, "high", 0, aim=9.0)
+    assert placed_requests(pool) == ["high"]
 
 
 def test_a_request_that_can_no_longer_start_is_refused():
-    """Its caller leaves after a silence; what it waits for would be read in vain."""
+    """Guards against prefill for a caller that will have hung up by then."""
     pool = make_pool(make_target(limit=0))
     add(pool, "r")
     pool.waiting["r"].start_by = 3.0
@@ -54,14 +58,14 @@
     assert given_up(allocate(pool, 3.1)) == {"r": ShedReason.DEADLINE}
 
 
-def test_a_target_that_reads_gets_no_further_prompt():
-    """A long prompt was sent; the next would wait at the target, out of order."""
+def test_a_target_with_unprocessed_prompts_gets_no_further_prompt():
+    """Guards against a queue at the target, where precedence has no effect."""
     reading = make_target("t0", unread_tokens=1000, unread_s=0.1)
     pool = make_pool(reading)
     add(pool, "r")
-    assert placed(pool) == []
+    assert placed_requests(pool) == []
     reading.unread_tokens = 400
-    assert placed(pool) == ["r"]
+    assert placed_requests(pool) == ["r"]
 
 
 def test_one_run_sends_one_long_prompt_to_each_target():
@@ -74,28 +78,29 @@
     assert sorted(targets) == ["t0", "t1"]
 
 
-def test_the_own_zone_is_preferred_among_equals():
+def test_the_own_zone_is_preferred_among_equal_targets():
     pool = make_pool(make_target("t0", place="a"), make_target("t1", place="b"))
     add(pool, "r", place="b")
     assert [row.target for row in allocate(pool, 0.0).placements] == ["t1"]
 
 
 def order_of(shares, least=0.6):
-    """Return the names in serving order of (name, place, share) rows."""
+    """Return the names of (name, precedence, share) rows in serving order."""
     names = {precedence: name for name, precedence, _ in shares}
-    got = {precedence: share for _, precedence, share in shares}
-    return [names[each] for each in serving_order(sorted(got), got, least)]
+    served = {precedence: share for _, precedence, share in shares}
+    return [names[each] for each in serving_order(sorted(served), served, least)]
 
 
+# Kinds of requests by rank: letters run long, questions and verdicts are short.
 LETTER = Precedence(Timeliness.IN_TIME, 0)
 QUESTION = Precedence(Timeliness.IN_TIME, 2)
 VERDICT = Precedence(Timeliness.IN_TIME, 4)
 
 
-def test_no_rank_is_starved_however_long_its_calls_are():
-    """Letters fill the pool without end; questions take as long as they do.
+def test_no_rank_is_starved_by_long_requests_of_another():
+    """Guards against a first rank that fills the pool and starves the others.
 
-    Each rank that got less than its part goes before the first one.
+    Each rank that was served less than its share goes before the first rank.
     """
     rows = [("letter", LETTER, 0.8), ("question", QUESTION, 0.1)]
     assert order_of(rows) == ["question", "letter"]
@@ -105,19 +110,24 @@
     assert order_of(rows) == ["verdict", "letter", "question"]
 
 
-def test_a_rank_that_got_its_part_stays_behind_one_that_did_not():
-    """Nothing gets its part: half of the engines are gone."""
+def test_a_rank_that_got_its_share_stays_behind_one_that_did_not():
+    """Guards against a wrong order while half of the engines are lost.
+
+    Then the first rank gets less than its share too.
+    """
     rows = [("letter", LETTER, 0.4), ("question", QUESTION, 0.7)]
     assert order_of(rows) == ["letter", "question"]
 
 
-def test_with_room_for_all_the_ranks_decide():
-    rows = [(name, place, 1.0) for name, place in (("l", LETTER), ("q", QUESTION))]
+def test_with_capacity_for_all_the_rank_decides():
+    rows = [
+        (name, precedence, 1.0) for name, precedence in (("l", LETTER), ("q", QUESTION))
+    ]
     assert order_of(rows) == ["l", "q"]
 
 
-def test_the_largest_calls_of_a_rank_are_owed_a_part_of_the_others():
-    """Large letters take most of the time; in order of size alone they got none."""
+def test_the_largest_requests_of_a_rank_get_a_share_of_their_own():
+    """Guards against starving large requests, which go last by size alone."""
     large = LETTER._replace(size=Size.LARGEST)
     rows = [("letter", LETTER, 0.9), ("large", large, 0.3)]
     assert order_of(rows) == ["large", "letter"]
@@ -125,32 +135,32 @@
     assert order_of(rows) == ["letter", "large"]
 
 
-def test_late_calls_of_any_rank_come_after_those_in_time():
-    """A burst is over; late letters wait beside a verdict that has just come."""
-    back = Precedence(Timeliness.CAME_BACK, 0)
+def test_late_requests_of_any_rank_go_after_those_in_time():
+    """Guards against late requests after a burst that delay those still in time."""
+    returned = Precedence(Timeliness.CAME_BACK, 0)
     late = Precedence(Timeliness.LATE, 0)
-    rows = [("late", late, 0.0), ("verdict", VERDICT, 1.0), ("back", back, 0.0)]
+    rows = [("late", late, 0.0), ("verdict", VERDICT, 1.0), ("back", returned, 0.0)]
     assert order_of(rows) == ["verdict", "back", "late"]
 
 
 def test_a_tenth_of_a_rank_is_largest_and_a_fifth_is_large():
-    sizes, dice = CallSizes(), random.Random(1)
+    sizes, rng = CallSizes(), random.Random(1)
     for _ in range(500):
-        sizes.observe(0, dice.lognormvariate(0.0, 1.2))
-    told = Counter()
+        sizes.observe(0, rng.lognormvariate(0.0, 1.2))
+    counts = Counter()
     for _ in range(2000):
-        slot_s = dice.lognormvariate(0.0, 1.2)
-        told[sizes.size(0, slot_s)] += 1
+        slot_s = rng.lognormvariate(0.0, 1.2)
+        counts[sizes.size(0, slot_s)] += 1
         sizes.observe(0, slot_s)
-    assert 0.15 < told[Size.LARGE] / 2000 < 0.25
-    assert 0.07 < told[Size.LARGEST] / 2000 < 0.13
+    assert 0.15 < counts[Size.LARGE] / 2000 < 0.25
+    assert 0.07 < counts[Size.LARGEST] / 2000 < 0.13
 
 
-def test_a_rank_never_seen_has_no_large_calls():
+def test_a_rank_without_requests_so_far_has_no_large_ones():
     assert CallSizes().size(0, 100.0) is Size.USUAL
 
 
-def test_tokens_beyond_a_quota_are_refused_with_the_time_to_come_back():
+def test_requests_beyond_a_quota_are_refused_with_a_retry_time():
     pool = make_pool(make_target(limit=9))
     pool.quotas = QuotaBook(rates=RATE)
     for number in range(3):
@@ -162,87 +172,87 @@
     assert all(0.1 <= row.retry_after_s < 1.0 for row in refused)
 
 
-def test_a_call_waits_for_a_quota_that_fills_within_its_aim():
-    """Guards against callers sent away for seconds for want of a moment's tokens."""
+def test_a_request_waits_for_a_quota_that_refills_in_time():
+    """Guards against refusals where a short wait would give enough tokens."""
     pool = make_pool(make_target(limit=9))
     pool.quotas = QuotaBook(rates=RATE)
-    aimed(pool, "now", 0, aim=0.8, charge=500)
-    aimed(pool, "soon", 0, aim=0.8, charge=600)
-    aimed(pool, "too late", 0, aim=0.8, charge=600)
+    add_timed(pool, "now", 0, aim=0.8, charge=500)
+    add_timed(pool, "soon", 0, aim=0.8, charge=600)
+    add_timed(pool, "too late", 0, aim=0.8, charge=600)
     first = allocate(pool, 0.0)
     assert [row.request for row in first.placements] == ["now"]
     assert given_up(first) == {"too late": ShedReason.QUOTA}
     take(pool, first)
-    assert placed(pool, now=0.5) == []
-    assert placed(pool, now=0.6) == ["soon"]
+    assert placed_requests(pool, now=0.5) == []
+    assert placed_requests(pool, now=0.6) == ["soon"]
 
 
-def test_calls_that_wait_for_a_quota_are_no_load_of_the_pool():
-    """Guards against others refused for places that such calls do not take."""
+def test_requests_that_wait_for_a_quota_do_not_load_the_pool():
+    """Guards against refusing others for slots that such requests don't use."""
     pool = make_pool(make_target(limit=9))
     pool.policy = ASKED
     pool.quotas = QuotaBook(rates=RATE)
-    aimed(pool, "now", 0, aim=0.8, charge=500)
-    aimed(pool, "soon", 0, aim=0.8, charge=400)
+    add_timed(pool, "now", 0, aim=0.8, charge=500)
+    add_timed(pool, "soon", 0, aim=0.8, charge=400)
     allocate(pool, 0.0)
     assert pool.memory.flow == 0.0
 
 
-def test_a_lowered_quota_binds_when_most_of_a_window_has_passed():
-    """Guards against refusals by a lower quota before it is promised to anyone."""
+def test_a_lowered_quota_applies_one_window_later():
+    """Guards against refusals by a lower quota before its promise holds."""
     high, low = {"w0": TokenRate(1000.0, 2000.0)}, {"w0": TokenRate(100.0, 200.0)}
-    book = QuotaBook(rates=high)
-    book.recall("host", (), 8.0, 0.0)
-    book.settle(0.0)
-    book.rates = low
-    book.settle(1.0)
-    assert book.wait_s("w0", 2000, 1.0 + LOWERED_AFTER_S - 0.1) == 0.0
-    assert book.wait_s("w0", 200, 1.0 + LOWERED_AFTER_S, promised=1) > 0.0
-    book.rates = high
-    book.settle(8.0)
-    assert book.rate_of("w0", 8.0) == high["w0"]
-
-
-def test_a_quota_lowered_twice_goes_by_the_first_one_no_longer():
-    """Guards against a quota that is never lowered since it is lowered often."""
+    quotas = QuotaBook(rates=high)
+    quotas.recall("host", (), 8.0, 0.0)
+    quotas.settle(0.0)
+    quotas.rates = low
+    quotas.settle(1.0)
+    assert quotas.wait_s("w0", 2000, 1.0 + LOWERED_AFTER_S - 0.1) == 0.0
+    assert quotas.wait_s("w0", 200, 1.0 + LOWERED_AFTER_S, promised=1) > 0.0
+    quotas.rates = high
+    quotas.settle(8.0)
+    assert quotas.rate_of("w0", 8.0) == high["w0"]
+
+
+def test_a_quota_lowered_twice_is_not_delayed_twice():
+    """Guards against a lowered quota that never applies as it is lowered often."""
     rates = [{"w0": TokenRate(rate, 2000.0)} for rate in (1000.0, 500.0, 100.0)]
-    book = QuotaBook(rates=rates[0])
-    book.settle(0.0)
+    quotas = QuotaBook(rates=rates[0])
+    quotas.settle(0.0)
     for now, row in ((1.0, rates[1]), (4.0, rates[2])):
-        book.rates = row
-        book.settle(now)
-    assert book.rate_of("w0", 1.0 + LOWERED_AFTER_S) == rates[2]["w0"]
+        quotas.rates = row
+        quotas.settle(now)
+    assert quotas.rate_of("w0", 1.0 + LOWERED_AFTER_S) == rates[2]["w0"]
 
 
 def test_a_window_holds_no_more_than_the_quota_allows():
-    """A workspace asks for ten times its quota, without a pause."""
-    book = QuotaBook(slack=500.0, rates=RATE)
+    """Guards against a workspace that sends ten times its quota without a pause."""
+    quotas = QuotaBook(slack=500.0, rates=RATE)
     used = []
     for step in range(2000):
         now = step / 100
-        if not book.wait_s("w0", 100, now):
-            book.take("w0", 100, now)
+        if not quotas.wait_s("w0", 100, now):
+            quotas.take("w0", 100, now)
             used.append(now)
     for start in range(12):
         window = sum(100 for at in used if start <= at < start + 8)
         assert window <= (8 * 1000.0 + 2000.0) * 1.1 + 500.0
 
 
-def test_a_book_that_sees_half_of_the_hosts_gives_out_half():
-    book = QuotaBook(share=0.5, rates=RATE)
-    book.take("w0", 500, 0.0)
-    assert book.wait_s("w0", 500, 0.0) > 0.9
+def test_buckets_with_half_of_the_hosts_give_out_half():
+    quotas = QuotaBook(share=0.5, rates=RATE)
+    quotas.take("w0", 500, 0.0)
+    assert quotas.wait_s("w0", 500, 0.0) > 0.9
 
 
 def test_a_request_larger_than_the_bucket_runs_when_it_is_full():
-    book = QuotaBook(rates=RATE)
-    book.take("w0", 0, 0.0)
-    assert book.wait_s("w0", 50_000, 0.0) > 0
-    assert book.wait_s("w0", 50_000, 10.0) == 0
+    quotas = QuotaBook(rates=RATE)
+    quotas.take("w0", 0, 0.0)
+    assert quotas.wait_s("w0", 50_000, 0.0) > 0
+    assert quotas.wait_s("w0", 50_000, 10.0) == 0
 
 
-def test_repeats_are_a_share_of_the_requests():
-    """Half of the targets fail each request; sent again, all of it comes twice."""
+def test_retries_are_limited_to_a_share_of_the_requests():
+    """Guards against doubled load when targets fail every request they get."""
     budget = RepeatBudget(RepeatBounds(0.2, 30.0, 10.0))
     for _ in range(100):
         budget.note_request("s", 0.0)
@@ -251,61 +261,64 @@
     assert budget.take("s", 3, 11.5)
 
 
-def test_who_comes_back_as_told_goes_before_those_that_are_late():
-    """A caller was sent away in a burst and is back; others became late here.
+def test_a_returning_caller_goes_before_late_requests():
+    """Guards against refusing a caller twice after a burst.
 
-    Sent away again, it would have waited for nothing.
+    A caller that retries after its Retry-After goes before requests that became
+    late while they waited here; refused again, it would have waited in vain.
     """
     pool = make_pool(make_target(limit=1))
-    aimed(pool, "late", 0, aim=1.0)
-    aimed(pool, "back", 0, aim=1.0, arrived=4.0)
+    add_timed(pool, "late", 0, aim=1.0)
+    add_timed(pool, "back", 0, aim=1.0, arrived=4.0)
     pool.waiting["back"].asked = 0.0
-    assert placed(pool, now=5.0) == ["back"]
+    assert placed_requests(pool, now=5.0) == ["back"]
 
 
-def test_a_letter_out_of_time_takes_no_shorter_call_with_it():
-    """All places are taken; a letter has waited for as long as it may.
+def test_an_expired_request_sheds_no_lower_rank_that_is_in_time():
+    """Guards against shedding a lower rank along with an expired request.
 
-    The letter is refused. A question that has just come is still in time and is
-    served as soon as a place is free, where each kind is owed a part.
+    All slots are used and a letter has waited for as long as it may. Only the
+    letter is refused: where each rank gets a share, a question that has just
+    arrived is still in time and is served as soon as a slot is free.
     """
     pool = make_pool(make_target(limit=1, used=1))
     pool.policy = ASKED
-    aimed(pool, "letter", 0, aim=1.0)
+    add_timed(pool, "letter", 0, aim=1.0)
     pool.waiting["letter"].start_by = 2.0
-    aimed(pool, "question", 2, aim=9.0, arrived=2.9)
+    add_timed(pool, "question", 2, aim=9.0, arrived=2.9)
     assert given_up(allocate(pool, 3.0)) == {"letter": ShedReason.DEADLINE}
 
 
-def test_a_call_that_will_be_late_is_refused_at_once():
-    """A burst: forty questions come to a place that starts one a second.
+def test_a_request_that_will_be_late_is_refused_at_once():
+    """Guards against callers that wait until their requests are late.
 
-    Those that can start by their aim wait; the others are told at once to come
-    back, and none waits until it is late.
+    Forty requests arrive at a slot that starts about one every two seconds. Those
+    that can start in time wait, and the others are refused at once.
     """
     pool = make_pool(make_target(limit=1, used=1))
     pool.policy = ASKED
     for number in range(40):
-        aimed(pool, f"q{number:02}", 2, aim=5.0)
+        add_timed(pool, f"q{number:02}", 2, aim=5.0)
     refused = given_up(allocate(pool, 1.0))
     assert 30 < len(refused) < 40
     assert set(refused.values()) == {ShedReason.OVERLOAD}
 
 
 def refused_verdicts(started):
-    """Return how many of twelve verdicts are refused after what was ``started``."""
+    """Return how many of twelve verdicts are refused, given the starts so far."""
     pool = make_pool(make_target(limit=10, used=10))
     pool.policy = ASKED
     pool.memory.started = dict(started)
     for number in range(12):
-        aimed(pool, f"v{number:02}", 4, aim=4.0, predicted_tokens=20)
+        add_timed(pool, f"v{number:02}", 4, aim=4.0, predicted_tokens=20)
     return len(given_up(allocate(pool, 0.0)))
 
 
-def test_a_place_that_is_owed_a_part_is_not_refused_for_what_others_take():
-    """Letters take all that starts; verdicts got their part a moment ago.
+def test_a_rank_with_a_share_is_not_refused_for_the_use_of_others():
+    """Guards against refusing a rank that is served by its own share.
 
-    Reckoned with what the letters leave, no verdict would ever start in time.
+    Letters take almost all of what starts. If verdicts were judged only by what
+    letters leave, none would seem to start in time.
     """
     assert refused_verdicts({LETTER: 20.0, VERDICT: 6.0}) == 0
     assert refused_verdicts({LETTER: 20.0}) == 11
@@ -314,45 +327,46 @@
 SLOW = {"first_s": 0.1, "read_s": 0.0001, "decode_tps": 50.0}
 
 
-def test_a_prompt_goes_where_it_makes_no_long_pause_in_others():
-    """A slow target has a place free, and streams that may pause for 0.3 s.
+def test_a_prompt_goes_where_it_does_not_stall_other_streams():
+    """Guards against a prefill that stalls other streams for too long.
 
-    The letter's prompt would stop them for 0.4 s. It waits for the other target,
-    which is full but reads it in time; a question goes to the slow one.
+    A slow target has a free slot and streams that may pause for 0.3 s. The prefill
+    of the letter would stall them for 0.4 s, so the letter waits for the other
+    target, which is full but faster. A question goes to the slow target.
     """
     slow = make_target("t0", used=2, **SLOW)
     fast = make_target("t1", limit=1, used=1, read_s=0.00001)
     pool = make_pool(slow, fast)
     pool.policy = ASKED
-    ways = {"gap_s": 0.3, "event_tokens": 5}
-    aimed(pool, "letter", 0, aim=9.0, prompt_tokens=3000, **ways)
-    aimed(pool, "question", 2, aim=9.0, prompt_tokens=300, **ways)
-    assert placed(pool) == ["question"]
+    limits = {"gap_s": 0.3, "event_tokens": 5}
+    add_timed(pool, "letter", 0, aim=9.0, prompt_tokens=3000, **limits)
+    add_timed(pool, "question", 2, aim=9.0, prompt_tokens=300, **limits)
+    assert placed_requests(pool) == ["question"]
     fast.used = 0
-    assert "letter" in placed(pool)
+    assert "letter" in placed_requests(pool)
 
 
-def test_a_prompt_too_long_for_any_target_still_goes_somewhere():
-    """All targets are slow; refused for the pauses it makes, it never ran."""
+def test_a_prompt_that_stalls_streams_on_any_target_is_still_placed():
+    """Guards against a long prompt that never runs while all targets are slow."""
     pool = make_pool(make_target("t0", used=2, **SLOW))
     pool.policy = ASKED
-    aimed(pool, "letter", 0, aim=9.0, prompt_tokens=9000, gap_s=0.3, event_tokens=5)
-    assert placed(pool) == ["letter"]
+    add_timed(pool, "letter", 0, aim=9.0, prompt_tokens=9000, gap_s=0.3, event_tokens=5)
+    assert placed_requests(pool) == ["letter"]
 
 
-def test_a_call_goes_where_its_first_output_is_in_time():
-    """The target that is free takes 0.4 s; the call has 0.3 s, and waits."""
+def test_a_request_goes_where_its_first_output_is_in_time():
+    """Guards against a free target that takes 0.4 s where only 0.3 s are left."""
     slow = make_target("t0", first_s=0.4)
     fast = make_target("t1", limit=1, used=1, first_s=0.05)
     pool = make_pool(slow, fast)
     pool.policy = ASKED
-    aimed(pool, "r", 0, aim=0.3, prompt_tokens=10)
-    assert placed(pool) == []
+    add_timed(pool, "r", 0, aim=0.3, prompt_tokens=10)
+    assert placed_requests(pool) == []
     fast.used = 0
-    assert placed(pool) == ["r"]
+    assert placed_requests(pool) == ["r"]
 
 
-def test_reading_is_learned_as_a_fixed_time_and_one_for_each_token():
+def test_prefill_time_is_fitted_as_a_constant_and_a_time_per_token():
     fit = ReadingFit()
     assert fit.line() is None
     for tokens in (100, 5000, 300, 9000, 1000, 40):
@@ -362,32 +376,32 @@
     assert abs(token_s - 0.00002) < 1e-9
 
 
-def test_prompts_of_one_length_tell_no_line():
+def test_prompts_of_one_length_give_no_fit():
     fit = ReadingFit()
     for _ in range(20):
         fit.observe(500, 0.1)
     assert fit.line() is None
 
 
-def test_a_call_beyond_its_quota_yields_to_late_ones_within_theirs():
-    """One workspace sends six times its quota; another's question is late."""
+def test_a_request_beyond_its_quota_yields_to_late_ones_within_theirs():
+    """Guards against a flood beyond a quota that delays another workspace."""
     pool = make_pool(make_target(limit=1))
-    aimed(pool, "beyond", 0, aim=9.0)
+    add_timed(pool, "beyond", 0, aim=9.0)
     pool.waiting["beyond"].entitled = False
-    aimed(pool, "late", 2, aim=1.0)
-    assert placed(pool, now=5.0) == ["late"]
+    add_timed(pool, "late", 2, aim=1.0)
+    assert placed_requests(pool, now=5.0) == ["late"]
 
 
-def test_calls_are_entitled_as_they_come_up_to_the_quota():
-    book = Entitlements()
-    asked = [book.take("w0", 900, RATE["w0"], 0.0) for _ in range(3)]
-    assert asked == [True, True, False]
-    assert book.take("w0", 900, RATE["w0"], 0.8)
-    assert book.take("free", 10**9, None, 0.8)
+def test_requests_are_entitled_in_order_of_arrival_up_to_the_quota():
+    entitlements = Entitlements()
+    entitled = [entitlements.take("w0", 900, RATE["w0"], 0.0) for _ in range(3)]
+    assert entitled == [True, True, False]
+    assert entitlements.take("w0", 900, RATE["w0"], 0.8)
+    assert entitlements.take("free", 10**9, None, 0.8)
 
 
-def test_a_call_larger_than_its_quota_is_entitled_when_nothing_was_spent():
-    book = Entitlements()
-    assert book.take("w0", 5000, RATE["w0"], 0.0)
-    assert not book.take("w0", 10, RATE["w0"], 1.0)
-    assert book.take("w0", 10, RATE["w0"], 3.5)
+def test_a_request_larger_than_its_quota_is_entitled_when_the_bucket_is_full():
+    entitlements = Entitlements()
+    assert entitlements.take("w0", 5000, RATE["w0"], 0.0)
+    assert not entitlements.take("w0", 10, RATE["w0"], 1.0)
+    assert entitlements.take("w0", 10, RATE["w0"], 3.5)
