--- a/godwitladder/decisions/fairness.py
+++ b/godwitladder/decisions/fairness.py
@@ -15,7 +15,7 @@
 import heapq
 from collections.abc import Iterable, Mapping
 
-from godwitladder.decisions.types import Entry, WorkspaceView
+from godwitladder.decisions.types import QueueEntry, WorkspaceView
 from godwitladder.ids import WorkspaceName
 
 # These are added to the latest start so that a single number orders requests.
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        entries: Iterable[Entry],
+        entries: Iterable[QueueEntry],
         workspaces: Mapping[WorkspaceName, WorkspaceView],
         spent: Mapping[WorkspaceName, float],
         now: float,
@@ -52,9 +52,9 @@
         self.workspaces = workspaces
         self.queues: dict[WorkspaceName, list[tuple]] = {}
         for entry in entries:
-            line = entry.row.line
-            key = entry.latest + line.repeats * RETRY_OFFSET_S
-            if entry.safe < now:
+            line = entry.waiting.demand
+            key = entry.latest_start + line.prior_refusals * RETRY_OFFSET_S
+            if entry.safe_start < now:
                 key += UNSAFE_OFFSET_S
             item = (key, line.request, entry)
             queue = self.queues.get(line.workspace)
@@ -69,7 +69,7 @@
         ]
         heapq.heapify(self.workspace_heap)
 
-    def pop(self) -> Entry | None:
+    def pop(self) -> QueueEntry | None:
         """Remove and return the next request; None if the queue is empty.
 
         Its slot seconds count as use of its workspace in this queue.
@@ -91,7 +91,7 @@
         self.workspace_heap = [item for item in self.workspace_heap if item[1] != name]
         heapq.heapify(self.workspace_heap)
 
-    def ordered(self) -> list[Entry]:
+    def ordered(self) -> list[QueueEntry]:
         """Return all queued requests in the order in which they would start.
 
         The order is that of repeated calls of `pop`. Sorting once is faster
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -43,9 +43,9 @@
 from godwitladder.decisions.backoff import retry_after_s
 from godwitladder.decisions.fairness import TierQueue
 from godwitladder.decisions.types import (
-    Entry,
-    GivenUp,
     PoolView,
+    QueueEntry,
+    ShedDecision,
     ShedReason,
 )
 from godwitladder.ids import RequestId, ServiceName
@@ -56,9 +56,9 @@
 MAX_SPILL = 64
 
 
-def was_possible(entry: Entry) -> bool:
+def was_possible(entry: QueueEntry) -> bool:
     """Return whether an idle pool could have met the deadline of ``entry``."""
-    return entry.row.arrived <= entry.latest
+    return entry.waiting.arrived <= entry.latest_start
 
 
 def is_time_to_refuse(pool: PoolView, now: float) -> bool:
@@ -73,7 +73,7 @@
     return True
 
 
-def refuse_early(backlog: Backlog, pool: PoolView, now: float) -> list[Entry]:
+def refuse_early(backlog: Backlog, pool: PoolView, now: float) -> list[QueueEntry]:
     """Remove and return requests of the lowest tier that can't start in time.
 
     When none of that tier are left, the next higher tier is scanned, and so on.
@@ -82,7 +82,7 @@
     """
     if not is_time_to_refuse(pool, now):
         return []
-    refused: list[Entry] = []
+    refused: list[QueueEntry] = []
     lowest_elsewhere = max(pool.floors.values(), default=-1)
     for precedence in reversed(backlog.precedences()):
         if precedence.rank < lowest_elsewhere:
@@ -97,7 +97,7 @@
 
 def refuse_late(
     group: Group, backlog: Backlog, pool: PoolView, now: float
-) -> list[Entry]:
+) -> list[QueueEntry]:
     """Remove and return the requests of ``group`` that can't start in time.
 
     While other allocators report what waits there, a request that has waited
@@ -113,9 +113,9 @@
     first = group.precedence == backlog.precedences()[0]
     kept, late = split_by_start_time(queue, ahead_s, slots, now, first)
     if pool.floors:
-        fresh = [e for e in late if now - e.row.arrived < SPILL_AFTER_S]
+        fresh = [e for e in late if now - e.waiting.arrived < SPILL_AFTER_S]
         kept += fresh
-        late = [e for e in late if now - e.row.arrived >= SPILL_AFTER_S]
+        late = [e for e in late if now - e.waiting.arrived >= SPILL_AFTER_S]
     group.keep(kept)
     return late
 
@@ -135,7 +135,7 @@
 
 def split_by_start_time(
     queue: TierQueue, ahead_s: float, slots: float, now: float, first: bool
-) -> tuple[list[Entry], list[Entry]]:
+) -> tuple[list[QueueEntry], list[QueueEntry]]:
     """Split requests into those that can start in time and those that can't.
 
     Parameters
@@ -159,10 +159,10 @@
     kept, late : list of Entry
         Those that can start in time, and those that can't.
     """
-    kept: list[Entry] = []
-    late: list[Entry] = []
+    kept: list[QueueEntry] = []
+    late: list[QueueEntry] = []
     for entry in queue.ordered():
-        if now + ahead_s / slots <= (entry.latest if first else entry.safe):
+        if now + ahead_s / slots <= (entry.latest_start if first else entry.safe_start):
             kept.append(entry)
             ahead_s += entry.slot_s
         else:
@@ -172,12 +172,12 @@
 
 def give_up_below(
     backlog: Backlog, rank: int, services: Iterable[ServiceName]
-) -> list[Entry]:
+) -> list[QueueEntry]:
     """Remove and return waiting requests of tiers below ``rank``.
 
     Only requests that could use a target of ``services`` are removed.
     """
-    removed: list[Entry] = []
+    removed: list[QueueEntry] = []
     affected = find_services_sharing_targets(backlog, services)
     for group in backlog.groups.values():
         if group.precedence.rank > rank and group.service in affected:
@@ -207,17 +207,17 @@
     """
     offered: list[RequestId] = []
     for precedence in backlog.precedences():
-        late: list[Entry] = []
+        late: list[QueueEntry] = []
         for group in backlog.at(precedence):
             if backlog.wait_s(group.service, precedence) > SPILL_AFTER_S:
                 late += group.entries
         limit = MAX_SPILL - len(offered)
-        soonest = heapq.nsmallest(limit, late, key=lambda entry: entry.latest)
-        offered += [entry.row.line.request for entry in soonest]
+        soonest = heapq.nsmallest(limit, late, key=lambda entry: entry.latest_start)
+        offered += [entry.waiting.demand.request for entry in soonest]
     return offered
 
 
-def give_up(entry: Entry, reason: ShedReason, backlog_s: float) -> GivenUp:
+def give_up(entry: QueueEntry, reason: ShedReason, backlog_s: float) -> ShedDecision:
     """Return the refusal of ``entry`` with the time after which to retry.
 
     Parameters
@@ -229,6 +229,6 @@
     backlog_s : float
         Seconds until the work that waits now will have started.
     """
-    line = entry.row.line
-    wait = retry_after_s(backlog_s, line.request, line.repeats)
-    return GivenUp(line.request, reason, wait)
+    line = entry.waiting.demand
+    wait = retry_after_s(backlog_s, line.request, line.prior_refusals)
+    return ShedDecision(line.request, reason, wait)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -99,7 +99,7 @@
     for number in range(40):
         add(pool, f"flood{number}")
     for row in pool.waiting.values():
-        row.aim = 0.3
-    pool.behind_s = BEHIND
+        row.ttft_deadline = 0.3
+    pool.staleness_s = BEHIND
     allocate(pool, 0.0)
     assert {workspace for _, workspace in pool.memory.admission.shares} == {"w0"}
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -6,8 +6,8 @@
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.entitlement import Entitlements
 from godwitladder.decisions.policy import ASKED
+from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.decisions.quotas import LOWERED_AFTER_S, QuotaBook, TokenRate
-from godwitladder.decisions.reading import ReadingFit
 from godwitladder.decisions.repeat_budget import USED_SHARE, RepeatBounds, RepeatBudget
 from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
 from godwitladder.decisions.sizes import CallSizes
@@ -20,7 +20,7 @@
 def add_timed(pool, request, rank, aim, **more):
     """Add a waiting request whose first output is due at ``aim``."""
     add(pool, request, rank, **more)
-    pool.waiting[request].aim = aim
+    pool.waiting[request].ttft_deadline = aim
 
 
 def placed_requests(pool, now=0.0):
@@ -60,17 +60,17 @@
 
 def test_a_target_with_unprocessed_prompts_gets_no_further_prompt():
     """Guards against a queue at the target, where precedence has no effect."""
-    reading = make_target("t0", unread_tokens=1000, unread_s=0.1)
+    reading = make_target("t0", pending_prefill_tokens=1000, max_pending_prefill_s=0.1)
     pool = make_pool(reading)
     add(pool, "r")
     assert placed_requests(pool) == []
-    reading.unread_tokens = 400
+    reading.pending_prefill_tokens = 400
     assert placed_requests(pool) == ["r"]
 
 
 def test_one_run_sends_one_long_prompt_to_each_target():
     pool = make_pool(
-        *(make_target(name, unread_s=0.1) for name in ("t0", "t1")),
+        *(make_target(name, max_pending_prefill_s=0.1) for name in ("t0", "t1")),
     )
     for number in range(4):
         add(pool, f"r{number}", prompt_tokens=1000)
@@ -79,8 +79,11 @@
 
 
 def test_the_own_zone_is_preferred_among_equal_targets():
-    pool = make_pool(make_target("t0", place="a"), make_target("t1", place="b"))
-    add(pool, "r", place="b")
+    pool = make_pool(
+        make_target("t0", availability_zone="a"),
+        make_target("t1", availability_zone="b"),
+    )
+    add(pool, "r", availability_zone="b")
     assert [row.target for row in allocate(pool, 0.0).placements] == ["t1"]
 
 
@@ -167,7 +170,7 @@
         add(pool, f"r{number}", charge=400)
     allocation = allocate(pool, 0.0)
     assert len(allocation.placements) == 1
-    refused = allocation.given_up
+    refused = allocation.sheds
     assert {row.reason for row in refused} == {ShedReason.QUOTA}
     assert all(0.1 <= row.retry_after_s < 1.0 for row in refused)
 
@@ -270,7 +273,7 @@
     pool = make_pool(make_target(limit=1))
     add_timed(pool, "late", 0, aim=1.0)
     add_timed(pool, "back", 0, aim=1.0, arrived=4.0)
-    pool.waiting["back"].asked = 0.0
+    pool.waiting["back"].first_arrived = 0.0
     assert placed_requests(pool, now=5.0) == ["back"]
 
 
@@ -367,27 +370,27 @@
 
 
 def test_prefill_time_is_fitted_as_a_constant_and_a_time_per_token():
-    fit = ReadingFit()
-    assert fit.line() is None
+    fit = PrefillFit()
+    assert fit.coefficients() is None
     for tokens in (100, 5000, 300, 9000, 1000, 40):
         fit.observe(tokens, 0.04 + tokens * 0.00002)
-    fixed_s, token_s = fit.line()
+    fixed_s, token_s = fit.coefficients()
     assert abs(fixed_s - 0.04) < 1e-6
     assert abs(token_s - 0.00002) < 1e-9
 
 
 def test_prompts_of_one_length_give_no_fit():
-    fit = ReadingFit()
+    fit = PrefillFit()
     for _ in range(20):
         fit.observe(500, 0.1)
-    assert fit.line() is None
+    assert fit.coefficients() is None
 
 
 def test_a_request_beyond_its_quota_yields_to_late_ones_within_theirs():
     """Guards against a flood beyond a quota that delays another workspace."""
     pool = make_pool(make_target(limit=1))
     add_timed(pool, "beyond", 0, aim=9.0)
-    pool.waiting["beyond"].entitled = False
+    pool.waiting["beyond"].within_quota = False
     add_timed(pool, "late", 2, aim=1.0)
     assert placed_requests(pool, now=5.0) == ["late"]
 
