--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -46,7 +46,7 @@
     """Speeds of each target."""
 
     def __init__(self) -> None:
-        self.expected: dict[TargetName, Speed] = {}
+        self.configured: dict[TargetName, Speed] = {}
         self.learned: dict[TargetName, Speed] = {}
         self.fits: dict[TargetName, PrefillFit] = {}
 
@@ -55,13 +55,13 @@
     ) -> None:
         """Set the configured speeds; what was learned is kept if they stand."""
         speed = Speed(prefill_tps, decode_tps)
-        if self.expected.get(target) != speed:
-            self.expected[target] = speed
+        if self.configured.get(target) != speed:
+            self.configured[target] = speed
             self.learned[target] = Speed(prefill_tps, decode_tps)
 
     def forget(self, target: TargetName) -> None:
         """Drop a target that is gone."""
-        self.expected.pop(target, None)
+        self.configured.pop(target, None)
         self.learned.pop(target, None)
         self.fits.pop(target, None)
 
@@ -86,7 +86,7 @@
             return
         speed.count += 1
         gain = max(GAIN, 1.0 / (speed.count + PRIOR))
-        floor = self.expected[target]
+        floor = self.configured[target]
         if prompt > 0 and first_token_s > 0:
             self.fits.setdefault(target, PrefillFit()).observe(prompt, first_token_s)
             seen = max(prompt / first_token_s, floor.prefill_tps * FLOOR)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -72,7 +72,7 @@
     known = role.memory.callers.first_asked(line.body, now)
     asked = arrived if known is None else min(known, arrived)
     if before is not None:
-        entitled = before.entitled
+        entitled = before.within_quota
     else:
         # One that has come back was counted when it first came.
         entitled = known is not None or role.memory.entitlements.take(
