--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -56,7 +56,7 @@
 MAX_SPILL = 64
 
 
-def was_possible(entry: QueueEntry) -> bool:
+def was_feasible(entry: QueueEntry) -> bool:
     """Return whether an idle pool could have met the deadline of ``entry``."""
     return entry.waiting.arrived <= entry.latest_start
 
