--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -61,7 +61,7 @@
     return entry.waiting.arrived <= entry.latest_start
 
 
-def is_time_to_refuse(pool: PoolView, now: float) -> bool:
+def is_refusal_scan_due(pool: PoolView, now: float) -> bool:
     """Return whether a scan of the queue is due, and if so record its time.
 
     The time is stored in ``pool.memory``, so a second call at the same time
@@ -80,7 +80,7 @@
     The scan ends at the first tier that keeps a request, and never goes above
     the lowest tier that waits at another allocator.
     """
-    if not is_time_to_refuse(pool, now):
+    if not is_refusal_scan_due(pool, now):
         return []
     refused: list[QueueEntry] = []
     lowest_elsewhere = max(pool.floors.values(), default=-1)
