--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -29,9 +29,9 @@
 from godwitladder.decisions.shares import Precedence, Timeliness, serving_order
 from godwitladder.decisions.shedding import (
     give_up,
-    give_up_below,
     offer_elsewhere,
     refuse_early,
+    shed_below_rank,
     was_feasible,
 )
 from godwitladder.decisions.types import (
@@ -255,7 +255,7 @@
             return
         for rank, services in sorted(lost.items()):
             self.note_shed(rank)
-            below = give_up_below(self.backlog, rank, services)
+            below = shed_below_rank(self.backlog, rank, services)
             self.drop(below, ShedReason.OVERLOAD)
 
     def follow_others(self) -> None:
@@ -263,7 +263,7 @@
         if not self.pool.shed_ranks or not self.pool.policy.is_strict:
             return
         rank = min(self.pool.shed_ranks.values())
-        below = give_up_below(self.backlog, rank, self.capacity.services)
+        below = shed_below_rank(self.backlog, rank, self.capacity.services)
         self.drop(below, ShedReason.OVERLOAD)
 
     def drop(self, entries: Iterable[QueueEntry], reason: ShedReason) -> None:
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -170,7 +170,7 @@
     return kept, late
 
 
-def give_up_below(
+def shed_below_rank(
     backlog: Backlog, rank: int, services: Iterable[ServiceName]
 ) -> list[QueueEntry]:
     """Remove and return waiting requests of tiers below ``rank``.
