--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -29,8 +29,8 @@
 from godwitladder.decisions.shares import Precedence, Timeliness, serving_order
 from godwitladder.decisions.shedding import (
     give_up,
-    offer_elsewhere,
     refuse_early,
+    select_spill,
     shed_below_rank,
     was_feasible,
 )
@@ -297,7 +297,7 @@
         ranks = [precedence.rank for precedence in waiting]
         self.allocation.floor = max(ranks, default=None)
         if self.pool.floors:
-            self.allocation.spill = offer_elsewhere(self.backlog)
+            self.allocation.spill = select_spill(self.backlog)
         if waiting:
             self.allocation.backlog_s = max(
                 self.backlog.wait_s(group.service, waiting[-1])
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -199,7 +199,7 @@
     }
 
 
-def offer_elsewhere(backlog: Backlog) -> list[RequestId]:
+def select_spill(backlog: Backlog) -> list[RequestId]:
     """Return requests to offer to other zones, highest precedence first.
 
     These are requests of groups with an expected wait above `SPILL_AFTER_S`;
