--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -28,7 +28,7 @@
 from godwitladder.decisions.fairness import TierQueue
 from godwitladder.decisions.shares import Precedence, Timeliness, serving_order
 from godwitladder.decisions.shedding import (
-    give_up,
+    make_shed_decision,
     refuse_early,
     select_spill,
     shed_below_rank,
@@ -284,7 +284,7 @@
             self.pool.memory.callers.note(
                 line.body, entry.waiting.first_arrived, self.now
             )
-            self.allocation.sheds.append(give_up(entry, reason, waits[key]))
+            self.allocation.sheds.append(make_shed_decision(entry, reason, waits[key]))
 
     def note_shed(self, rank: int) -> None:
         """Remember the most important tier that was shed."""
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -217,7 +217,9 @@
     return offered
 
 
-def give_up(entry: QueueEntry, reason: ShedReason, backlog_s: float) -> ShedDecision:
+def make_shed_decision(
+    entry: QueueEntry, reason: ShedReason, backlog_s: float
+) -> ShedDecision:
     """Return the refusal of ``entry`` with the time after which to retry.
 
     Parameters
