--- a/godwitladder/decisions/admission.py
+++ b/godwitladder/decisions/admission.py
@@ -68,7 +68,7 @@
 
 
 @dataclass
-class Admission:
+class AdmissionController:
     """Computes the shares from what an allocator received, served and shed.
 
     Attributes
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -6,7 +6,7 @@
     LEAST_SHARE,
     MAX_BEHIND_S,
     UPDATE_INTERVAL_S,
-    Admission,
+    AdmissionController,
 )
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.policy import ASKED
@@ -17,7 +17,7 @@
 
 
 def simulate(
-    admission: Admission,
+    admission: AdmissionController,
     seconds: float,
     arrivals: dict,
     slots: int,
@@ -51,7 +51,7 @@
 
 def test_an_overloaded_allocator_sees_somewhat_more_than_it_can_serve():
     """Guards against an allocator overloaded by requests that it will refuse."""
-    asked = simulate(Admission(), 5.0, {FLOOD: 100}, slots=10)
+    asked = simulate(AdmissionController(), 5.0, {FLOOD: 100}, slots=10)
     assert asked[0] == 100
     assert max(asked[8:]) <= 40
     assert min(asked[8:]) >= 10
@@ -59,7 +59,7 @@
 
 def test_a_flood_of_one_workspace_leaves_the_share_of_others_at_one():
     """Guards against refusing other workspaces because of one that floods."""
-    admission = Admission()
+    admission = AdmissionController()
     for step in range(20):
         admission.asked.update({FLOOD: 80, QUIET: 5})
         admission.served.update({FLOOD: 10, QUIET: 5})
@@ -71,7 +71,7 @@
 
 def test_shares_return_to_one_once_nothing_is_shed():
     """Guards against refusals while slots are free, after a flood has ended."""
-    admission = Admission()
+    admission = AdmissionController()
     simulate(admission, 5.0, {FLOOD: 100}, slots=10)
     assert admission.shares[FLOOD] <= 0.5
     simulate(admission, 1.0, {FLOOD: 10}, slots=100)
@@ -80,13 +80,13 @@
 
 def test_an_allocator_that_keeps_up_sees_all_requests():
     """Guards against refusing unseen what the allocator would have served first."""
-    asked = simulate(Admission(), 3.0, {FLOOD: 100}, slots=10, behind_s=0.02)
+    asked = simulate(AdmissionController(), 3.0, {FLOOD: 100}, slots=10, behind_s=0.02)
     assert min(asked) == 100
 
 
 def test_a_least_share_is_asked_for_while_nothing_can_be_served():
     """Guards against a service that gets no requests when its targets recover."""
-    admission = Admission()
+    admission = AdmissionController()
     simulate(admission, 5.0, {FLOOD: 100}, slots=0)
     assert admission.shares[FLOOD] == LEAST_SHARE
 
