--- a/godwitladder/decisions/admission.py
+++ b/godwitladder/decisions/admission.py
@@ -87,7 +87,7 @@
     shares: dict[Flow, float] = field(default_factory=dict)
     updated_at: float = float("-inf")
 
-    def look(self, now: float, behind_s: float) -> None:
+    def update(self, now: float, behind_s: float) -> None:
         """Update the shares, unless the last update was a moment ago.
 
         Parameters
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -262,7 +262,7 @@
             return []
         if self.is_quiet(now):
             # With nothing left to decide, a flood's shares would stay as they are.
-            self.memory.admission.look(now, 0.0)
+            self.memory.admission.update(now, 0.0)
             return []
         self.quotas.hosts = len(expected)
         view = pool_view(self, now)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -45,7 +45,7 @@
         admission.served.update(requests[:slots])
         admission.shed.update(requests[slots:])
         totals.append(len(requests))
-        admission.look(now, behind_s)
+        admission.update(now, behind_s)
     return totals
 
 
@@ -64,7 +64,7 @@
         admission.asked.update({FLOOD: 80, QUIET: 5})
         admission.served.update({FLOOD: 10, QUIET: 5})
         admission.shed.update({FLOOD: 70})
-        admission.look(step * UPDATE_INTERVAL_S, BEHIND)
+        admission.update(step * UPDATE_INTERVAL_S, BEHIND)
     assert admission.shares[FLOOD] < 1.0
     assert QUIET not in admission.shares
 
