--- a/godwitladder/decisions/admission.py
+++ b/godwitladder/decisions/admission.py
@@ -81,7 +81,7 @@
         Time of the last update, in seconds.
     """
 
-    asked: Counter[Flow] = field(default_factory=Counter)
+    requested: Counter[Flow] = field(default_factory=Counter)
     served: Counter[Flow] = field(default_factory=Counter)
     shed: Counter[Flow] = field(default_factory=Counter)
     shares: dict[Flow, float] = field(default_factory=dict)
@@ -106,7 +106,7 @@
                 self.shares[flow] = share
             else:
                 self.shares.pop(flow, None)
-        for counts in (self.asked, self.served, self.shed):
+        for counts in (self.requested, self.served, self.shed):
             counts.clear()
 
     def next_share(self, flow: Flow, behind: bool) -> float:
@@ -122,8 +122,8 @@
         previous = self.shares.get(flow, 1.0)
         if not behind or not self.shed[flow]:
             return previous * MAX_STEP
-        if self.asked[flow] < MIN_SAMPLE:
+        if self.requested[flow] < MIN_SAMPLE:
             return previous
-        factor = CANDIDATES_PER_SERVED * self.served[flow] / self.asked[flow]
+        factor = CANDIDATES_PER_SERVED * self.served[flow] / self.requested[flow]
         factor = min(max(factor, 1.0 / MAX_STEP), MAX_STEP)
         return max(previous * factor, LEAST_SHARE)
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -85,7 +85,7 @@
         self.backlog = Backlog(self.capacity, sizes)
         pool.memory.fade(now)
         for entry in self.backlog.sort(list(pool.waiting.values()), now):
-            pool.memory.admission.asked[flow_of(entry)] += 1
+            pool.memory.admission.requested[flow_of(entry)] += 1
             if not entry.waiting.is_retry:
                 self.count_offered(entry, 1.0)
         self.placed_s = 0.0
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -41,7 +41,7 @@
             if rng.random() < admission.shares.get(flow, 1.0)
         ]
         rng.shuffle(requests)
-        admission.asked.update(requests)
+        admission.requested.update(requests)
         admission.served.update(requests[:slots])
         admission.shed.update(requests[slots:])
         totals.append(len(requests))
@@ -61,7 +61,7 @@
     """Guards against refusing other workspaces because of one that floods."""
     admission = AdmissionController()
     for step in range(20):
-        admission.asked.update({FLOOD: 80, QUIET: 5})
+        admission.requested.update({FLOOD: 80, QUIET: 5})
         admission.served.update({FLOOD: 10, QUIET: 5})
         admission.shed.update({FLOOD: 70})
         admission.update(step * UPDATE_INTERVAL_S, BEHIND)
