--- a/godwitladder/decisions/admission.py
+++ b/godwitladder/decisions/admission.py
@@ -26,7 +26,7 @@
     reduced. With an allocator that keeps up it is a few hundredths of a second.
 CANDIDATES_PER_SERVED : requests to choose from for each one that is served.
 UPDATE_INTERVAL_S : long enough to see several requests of a busy workspace.
-LEAST_SHARE : lower bound of a share, which bounds how many requests are refused
+MIN_SHARE : lower bound of a share, which bounds how many requests are refused
     unseen, however few are served.
 MAX_STEP : largest factor by which one update changes a share, up or down.
 MIN_SAMPLE : with fewer requests in an interval the share stays as it is, since
@@ -41,7 +41,7 @@
 MAX_BEHIND_S = 0.1
 CANDIDATES_PER_SERVED = 2.0
 UPDATE_INTERVAL_S = 0.25
-LEAST_SHARE = 0.2
+MIN_SHARE = 0.2
 MAX_STEP = 2.0
 MIN_SAMPLE = 4
 
@@ -126,4 +126,4 @@
             return previous
         factor = CANDIDATES_PER_SERVED * self.served[flow] / self.requested[flow]
         factor = min(max(factor, 1.0 / MAX_STEP), MAX_STEP)
-        return max(previous * factor, LEAST_SHARE)
+        return max(previous * factor, MIN_SHARE)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -3,8 +3,8 @@
 import random
 
 from godwitladder.decisions.admission import (
-    LEAST_SHARE,
     MAX_BEHIND_S,
+    MIN_SHARE,
     UPDATE_INTERVAL_S,
     AdmissionController,
 )
@@ -88,7 +88,7 @@
     """Guards against a service that gets no requests when its targets recover."""
     admission = AdmissionController()
     simulate(admission, 5.0, {FLOOD: 100}, slots=0)
-    assert admission.shares[FLOOD] == LEAST_SHARE
+    assert admission.shares[FLOOD] == MIN_SHARE
 
 
 def test_a_pool_reduces_the_share_of_the_workspace_that_it_sheds():
