--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -82,7 +82,7 @@
 soon as they see the change, and heartbeats bring it to all within two periods;
 everything stands still meanwhile."""
 
-UNREAD_S = 0.06
+MAX_PENDING_PREFILL_S = 0.06
 """Where each dispatch is asked for, a target gets no further prompt while it has
 more than this to read of those it was sent. It admits in order of arrival and
 reads in chunks between the output of all that it runs: what is sent early
@@ -131,7 +131,7 @@
         self, pool: Pool, me: HostId, term: int, now: float, standing: bool = True
     ) -> None:
         self.has_standing = standing
-        self.unread_s = math.inf if standing else UNREAD_S
+        self.unread_s = math.inf if standing else MAX_PENDING_PREFILL_S
         self.policy = STRICT if standing else ASKED
         self.pool = pool
         self.me = me
