--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True)
-class Spent:
+class WorkspaceSpending:
     """Tokens of one workspace that one host spent.
 
     Attributes
@@ -127,7 +127,7 @@
         for old in [key for key in spent if key <= second - HISTORY_S]:
             del spent[old]
 
-    def rows(self, now: float) -> tuple[Spent, ...]:
+    def rows(self, now: float) -> tuple[WorkspaceSpending, ...]:
         """Return the recent spending of each workspace that spent any tokens."""
         newest = int(now)
         seconds = range(newest, newest - HISTORY_S, -1)
@@ -135,7 +135,7 @@
         for name, spent in sorted(self.seconds.items()):
             tokens = tuple(spent.get(second, 0) for second in seconds)
             if any(tokens):
-                rows.append(Spent(name, tokens))
+                rows.append(WorkspaceSpending(name, tokens))
         return tuple(rows)
 
     def known_s(self, now: float) -> float:
@@ -226,7 +226,11 @@
         return (self.rates if rates is None else rates).get(workspace)
 
     def recall(
-        self, host: HostId, spent: Iterable[Spent], known_s: float, now: float
+        self,
+        host: HostId,
+        spent: Iterable[WorkspaceSpending],
+        known_s: float,
+        now: float,
     ) -> None:
         """Add the spending that a host reports from before these buckets existed.
 
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -15,8 +15,8 @@
     FRESH_SHARE,
     HISTORY_S,
     QuotaBook,
-    Spent,
     TokenRate,
+    WorkspaceSpending,
 )
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, Refusal
@@ -191,10 +191,14 @@
 def test_what_was_spent_long_ago_has_come_in_again():
     """A host tells of spending of seconds ago, which the rate has made up for."""
     book = QuotaBook(rates=token_rates(CONFIG))
-    book.recall("h0", [Spent("w", (0, 0, 0, 900))], float(HISTORY_S), now=10.0)
+    book.recall(
+        "h0", [WorkspaceSpending("w", (0, 0, 0, 900))], float(HISTORY_S), now=10.0
+    )
     assert book.wait_s("w", 1000, 10.0) == 0
     book = QuotaBook(rates=token_rates(CONFIG))
-    book.recall("h0", [Spent("w", (4000, 0, 0, 0))], float(HISTORY_S), now=10.0)
+    book.recall(
+        "h0", [WorkspaceSpending("w", (4000, 0, 0, 0))], float(HISTORY_S), now=10.0
+    )
     assert book.wait_s("w", 100, 10.0) > 1.0
 
 
