--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -153,7 +153,7 @@
             self.lines = {}
         for request in report.removed:
             self.lines.pop(request, None)
-        for line in report.lines:
+        for line in report.demands:
             # A line whose grant is still on its way must not be granted again:
             # the host would have two targets held for one request until both lapse.
             if line.request not in self.grants:
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -204,7 +204,7 @@
         Counted from the moment in which a report is taken in, what a caller has
         left would grow by the delay, and places would go to calls that have left.
         """
-        for line in report.lines:
+        for line in report.demands:
             if account.lines.get(line.request) is line:
                 before = self.rows.get(line.request)
                 row = take_line(self, account.host, line, told_at, before)
