--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -146,7 +146,7 @@
 
 
 @dataclass
-class QuotaBook:
+class TokenQuotas:
     """Token buckets of all workspaces that have a quota.
 
     Attributes
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -7,7 +7,7 @@
 from godwitladder.decisions.entitlement import Entitlements
 from godwitladder.decisions.policy import ASKED
 from godwitladder.decisions.prefill_fit import PrefillFit
-from godwitladder.decisions.quotas import LOWERED_AFTER_S, QuotaBook, TokenRate
+from godwitladder.decisions.quotas import LOWERED_AFTER_S, TokenQuotas, TokenRate
 from godwitladder.decisions.repeat_budget import USED_SHARE, RepeatBounds, RepeatBudget
 from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
 from godwitladder.decisions.sizes import CallSizes
@@ -165,7 +165,7 @@
 
 def test_requests_beyond_a_quota_are_refused_with_a_retry_time():
     pool = make_pool(make_target(limit=9))
-    pool.quotas = QuotaBook(rates=RATE)
+    pool.quotas = TokenQuotas(rates=RATE)
     for number in range(3):
         add(pool, f"r{number}", charge=400)
     allocation = allocate(pool, 0.0)
@@ -178,7 +178,7 @@
 def test_a_request_waits_for_a_quota_that_refills_in_time():
     """Guards against refusals where a short wait would give enough tokens."""
     pool = make_pool(make_target(limit=9))
-    pool.quotas = QuotaBook(rates=RATE)
+    pool.quotas = TokenQuotas(rates=RATE)
     add_timed(pool, "now", 0, aim=0.8, charge=500)
     add_timed(pool, "soon", 0, aim=0.8, charge=600)
     add_timed(pool, "too late", 0, aim=0.8, charge=600)
@@ -194,7 +194,7 @@
     """Guards against refusing others for slots that such requests don't use."""
     pool = make_pool(make_target(limit=9))
     pool.policy = ASKED
-    pool.quotas = QuotaBook(rates=RATE)
+    pool.quotas = TokenQuotas(rates=RATE)
     add_timed(pool, "now", 0, aim=0.8, charge=500)
     add_timed(pool, "soon", 0, aim=0.8, charge=400)
     allocate(pool, 0.0)
@@ -204,7 +204,7 @@
 def test_a_lowered_quota_applies_one_window_later():
     """Guards against refusals by a lower quota before its promise holds."""
     high, low = {"w0": TokenRate(1000.0, 2000.0)}, {"w0": TokenRate(100.0, 200.0)}
-    quotas = QuotaBook(rates=high)
+    quotas = TokenQuotas(rates=high)
     quotas.recall("host", (), 8.0, 0.0)
     quotas.settle(0.0)
     quotas.rates = low
@@ -219,7 +219,7 @@
 def test_a_quota_lowered_twice_is_not_delayed_twice():
     """Guards against a lowered quota that never applies as it is lowered often."""
     rates = [{"w0": TokenRate(rate, 2000.0)} for rate in (1000.0, 500.0, 100.0)]
-    quotas = QuotaBook(rates=rates[0])
+    quotas = TokenQuotas(rates=rates[0])
     quotas.settle(0.0)
     for now, row in ((1.0, rates[1]), (4.0, rates[2])):
         quotas.rates = row
@@ -229,7 +229,7 @@
 
 def test_a_window_holds_no_more_than_the_quota_allows():
     """Guards against a workspace that sends ten times its quota without a pause."""
-    quotas = QuotaBook(slack=500.0, rates=RATE)
+    quotas = TokenQuotas(slack=500.0, rates=RATE)
     used = []
     for step in range(2000):
         now = step / 100
@@ -242,13 +242,13 @@
 
 
 def test_buckets_with_half_of_the_hosts_give_out_half():
-    quotas = QuotaBook(share=0.5, rates=RATE)
+    quotas = TokenQuotas(share=0.5, rates=RATE)
     quotas.take("w0", 500, 0.0)
     assert quotas.wait_s("w0", 500, 0.0) > 0.9
 
 
 def test_a_request_larger_than_the_bucket_runs_when_it_is_full():
-    quotas = QuotaBook(rates=RATE)
+    quotas = TokenQuotas(rates=RATE)
     quotas.take("w0", 0, 0.0)
     assert quotas.wait_s("w0", 50_000, 0.0) > 0
     assert quotas.wait_s("w0", 50_000, 10.0) == 0
