--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -193,7 +193,7 @@
             self.observe_completion(row)
         for stretch in report.throughput_samples:
             self.observe_throughput(stretch, now)
-        wanted = any(row.lines or row.more_waiting for row in self.accounts.values())
+        wanted = any(row.demands or row.more_waiting for row in self.accounts.values())
         return wanted or account.offered == float("-inf")
 
     def take_lines(
@@ -205,7 +205,7 @@
         left would grow by the delay, and places would go to calls that have left.
         """
         for line in report.demands:
-            if account.lines.get(line.request) is line:
+            if account.demands.get(line.request) is line:
                 before = self.rows.get(line.request)
                 row = take_line(self, account.host, line, told_at, before)
                 self.rows[line.request] = row
@@ -270,13 +270,13 @@
         offerings = self.collect(allocation, view, now)
         for host, offering in offerings.items():
             self.count_grants(self.account(host, now), offering)
-        contended = any(row.lines or row.more_waiting for row in self.current(now))
+        contended = any(row.demands or row.more_waiting for row in self.current(now))
         return self.make_offers(offerings, contended, expected, now)
 
     def is_quiet(self, now: float) -> bool:
         """Return whether nothing waits and no host is due for an offer."""
         return not any(
-            row.lines or row.more_waiting or self.is_due(row, False, now)
+            row.demands or row.more_waiting or self.is_due(row, False, now)
             for row in self.current(now)
         )
 
@@ -365,7 +365,7 @@
         """Count grants against a host before any allowance is worked out."""
         expires_s = account.sent_s + OFFER_LIFETIME_S
         for grant in offering.grants:
-            line = account.lines.pop(grant.request)
+            line = account.demands.pop(grant.request)
             account.note_grant(
                 SentGrant(
                     account.next_number,
@@ -376,7 +376,7 @@
                 )
             )
         for shed in offering.sheds:
-            account.lines.pop(shed.request, None)
+            account.demands.pop(shed.request, None)
 
     def make_offers(
         self,
@@ -408,7 +408,7 @@
         if not self.has_standing and account.echoed == account.received:
             return False
         taken_back = contended and account.holds_allowances()
-        longest_s = ANSWER_INTERVAL_S if account.lines else RENEWAL_INTERVAL_S
+        longest_s = ANSWER_INTERVAL_S if account.demands else RENEWAL_INTERVAL_S
         return taken_back or now - account.offered >= longest_s
 
     def standing(
@@ -503,7 +503,7 @@
     def floor_report(self, to: PoolName, now: float) -> FloorReport:
         """Return what to tell the allocator of pool ``to``."""
         ranks = [
-            line.tier_rank for row in self.current(now) for line in row.lines.values()
+            line.tier_rank for row in self.current(now) for line in row.demands.values()
         ]
         shed = self.shed_rank if now - self.shed_at <= FLOOR_S else NO_RANK
         return FloorReport(self.pool.name, to, max(ranks, default=NO_RANK), shed)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -34,7 +34,7 @@
         staleness_s=role.delays.lately_s(now),
     )
     for account in role.current(now):
-        for line in account.lines.values():
+        for line in account.demands.values():
             # Kept from run to run: a row that is new is weighed anew, and its
             # deadline would move on with each run between two reports.
             row = role.rows.get(line.request)
@@ -154,7 +154,7 @@
     names = {
         line.workspace
         for account in role.current(now)
-        for line in account.lines.values()
+        for line in account.demands.values()
     }
     views = {}
     for name in names & set(role.config.workspaces):
