--- a/godwitladder/decisions/entitlement.py
+++ b/godwitladder/decisions/entitlement.py
@@ -14,7 +14,7 @@
 
 from dataclasses import dataclass, field
 
-from godwitladder.decisions.quotas import Bucket, TokenRate
+from godwitladder.decisions.quotas import TokenBucket, TokenRate
 from godwitladder.ids import WorkspaceName
 
 
@@ -22,7 +22,7 @@
 class Entitlements:
     """Token buckets that count requests of each workspace as they arrive."""
 
-    buckets: dict[WorkspaceName, Bucket] = field(default_factory=dict)
+    buckets: dict[WorkspaceName, TokenBucket] = field(default_factory=dict)
 
     def take(
         self,
@@ -48,7 +48,7 @@
         """
         if rate is None or rate.rate <= 0:
             return True
-        bucket = self.buckets.setdefault(workspace, Bucket(rate.burst, now))
+        bucket = self.buckets.setdefault(workspace, TokenBucket(rate.burst, now))
         gained = max(0.0, now - bucket.updated_at) * rate.rate
         bucket.tokens = min(rate.burst, bucket.tokens + gained)
         bucket.updated_at = now
--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -72,7 +72,7 @@
 
 
 @dataclass
-class Bucket:
+class TokenBucket:
     """Token bucket of one workspace.
 
     Attributes
@@ -179,7 +179,7 @@
     slack: float = 0.0
     share: float = 1.0
     rates: Mapping[WorkspaceName, TokenRate] = field(default_factory=dict)
-    buckets: dict[WorkspaceName, Bucket] = field(default_factory=dict)
+    buckets: dict[WorkspaceName, TokenBucket] = field(default_factory=dict)
     hosts: int = 1
     first_report_at: float | None = None
     coverage: dict[HostId, float] = field(default_factory=dict)
@@ -329,14 +329,16 @@
         """Return the capacity of a bucket, in tokens."""
         return (rate.burst + self.slack * SLACK_SHARE) * self.share
 
-    def fill(self, workspace: WorkspaceName, rate: TokenRate, now: float) -> Bucket:
+    def fill(
+        self, workspace: WorkspaceName, rate: TokenRate, now: float
+    ) -> TokenBucket:
         """Return the bucket of a workspace, refilled up to ``now``."""
         capacity = self.size(rate)
         bucket = self.buckets.get(workspace)
         if bucket is None:
             tokens = self.opening(workspace, rate)
             start = now if self.first_report_at is None else self.first_report_at
-            bucket = self.buckets[workspace] = Bucket(tokens, start)
+            bucket = self.buckets[workspace] = TokenBucket(tokens, start)
         gained = (now - bucket.updated_at) * rate.rate * RATE_FACTOR * self.share
         bucket.tokens = min(capacity, bucket.tokens + max(0.0, gained))
         bucket.updated_at = now
