--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -225,7 +225,7 @@
             return former.rate
         return (self.rates if rates is None else rates).get(workspace)
 
-    def recall(
+    def add_history(
         self,
         host: HostId,
         spent: Iterable[WorkspaceSpending],
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -188,7 +188,7 @@
         if not account.take(report, seen, now):
             return False
         self.take_lines(account, report, now - delay_s)
-        self.quotas.recall(report.host, report.spent, report.known_s, now)
+        self.quotas.add_history(report.host, report.spent, report.known_s, now)
         for row in report.completions:
             self.observe_completion(row)
         for stretch in report.throughput_samples:
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -205,7 +205,7 @@
     """Guards against refusals by a lower quota before its promise holds."""
     high, low = {"w0": TokenRate(1000.0, 2000.0)}, {"w0": TokenRate(100.0, 200.0)}
     quotas = TokenQuotas(rates=high)
-    quotas.recall("host", (), 8.0, 0.0)
+    quotas.add_history("host", (), 8.0, 0.0)
     quotas.settle(0.0)
     quotas.rates = low
     quotas.settle(1.0)
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -154,7 +154,7 @@
     """
     book = TokenQuotas(rates=token_rates(CONFIG), hosts=2)
     for host in PAIR:
-        book.recall(host, (), 0.5, now=10.0)
+        book.add_history(host, (), 0.5, now=10.0)
     spent = spend_all(book, 10.0)
     least = 1000.0 * FRESH_SHARE
     assert least <= spent <= least + 1000.0 * 0.5 / HISTORY_S
@@ -178,12 +178,12 @@
     """
     rates = token_rates(SLOW)
     old = TokenQuotas(rates=rates)
-    old.recall("h0", (), float(HISTORY_S), now=10.0)
+    old.add_history("h0", (), float(HISTORY_S), now=10.0)
     for _ in range(50):
         old.take("w", 10, 10.0)
     old.share = 2 / 3
     new = TokenQuotas(rates=rates, share=1 / 3)
-    new.recall("h1", (), float(HISTORY_S), now=10.0)
+    new.add_history("h1", (), float(HISTORY_S), now=10.0)
     total = 500 + spend_all(old, 10.0) + spend_all(new, 10.0)
     assert 1000 <= total <= 1000 * 7 / 6 + 10
 
@@ -191,12 +191,12 @@
 def test_what_was_spent_long_ago_has_come_in_again():
     """A host tells of spending of seconds ago, which the rate has made up for."""
     book = TokenQuotas(rates=token_rates(CONFIG))
-    book.recall(
+    book.add_history(
         "h0", [WorkspaceSpending("w", (0, 0, 0, 900))], float(HISTORY_S), now=10.0
     )
     assert book.wait_s("w", 1000, 10.0) == 0
     book = TokenQuotas(rates=token_rates(CONFIG))
-    book.recall(
+    book.add_history(
         "h0", [WorkspaceSpending("w", (4000, 0, 0, 0))], float(HISTORY_S), now=10.0
     )
     assert book.wait_s("w", 100, 10.0) > 1.0
