--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -187,7 +187,7 @@
     former: dict[WorkspaceName, FormerRate] = field(default_factory=dict)
     applied_rates: Mapping[WorkspaceName, TokenRate] = field(default_factory=dict)
 
-    def settle(self, now: float) -> None:
+    def apply_rates(self, now: float) -> None:
         """Apply quotas that were set since the last call.
 
         A quota that was lowered applies after `LOWERED_AFTER_S`; any other
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -257,7 +257,7 @@
             The live hosts of the zone.
         """
         self.forget(now)
-        self.quotas.settle(now)
+        self.quotas.apply_rates(now)
         if not self.warm(expected, now):
             return []
         if self.is_quiet(now):
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -206,13 +206,13 @@
     high, low = {"w0": TokenRate(1000.0, 2000.0)}, {"w0": TokenRate(100.0, 200.0)}
     quotas = TokenQuotas(rates=high)
     quotas.add_history("host", (), 8.0, 0.0)
-    quotas.settle(0.0)
+    quotas.apply_rates(0.0)
     quotas.rates = low
-    quotas.settle(1.0)
+    quotas.apply_rates(1.0)
     assert quotas.wait_s("w0", 2000, 1.0 + LOWERED_AFTER_S - 0.1) == 0.0
     assert quotas.wait_s("w0", 200, 1.0 + LOWERED_AFTER_S, promised=1) > 0.0
     quotas.rates = high
-    quotas.settle(8.0)
+    quotas.apply_rates(8.0)
     assert quotas.rate_of("w0", 8.0) == high["w0"]
 
 
@@ -220,10 +220,10 @@
     """Guards against a lowered quota that never applies as it is lowered often."""
     rates = [{"w0": TokenRate(rate, 2000.0)} for rate in (1000.0, 500.0, 100.0)]
     quotas = TokenQuotas(rates=rates[0])
-    quotas.settle(0.0)
+    quotas.apply_rates(0.0)
     for now, row in ((1.0, rates[1]), (4.0, rates[2])):
         quotas.rates = row
-        quotas.settle(now)
+        quotas.apply_rates(now)
     assert quotas.rate_of("w0", 1.0 + LOWERED_AFTER_S) == rates[2]["w0"]
 
 
