--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -180,7 +180,7 @@
     share: float = 1.0
     rates: Mapping[WorkspaceName, TokenRate] = field(default_factory=dict)
     buckets: dict[WorkspaceName, TokenBucket] = field(default_factory=dict)
-    hosts: int = 1
+    expected_hosts: int = 1
     first_report_at: float | None = None
     coverage: dict[HostId, float] = field(default_factory=dict)
     past_spending: dict[WorkspaceName, list[int]] = field(default_factory=dict)
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -264,7 +264,7 @@
             # With nothing left to decide, a flood's shares would stay as they are.
             self.memory.admission.update(now, 0.0)
             return []
-        self.quotas.hosts = len(expected)
+        self.quotas.expected_hosts = len(expected)
         view = pool_view(self, now)
         allocation = allocate(view, now)
         offerings = self.collect(allocation, view, now)
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -152,7 +152,7 @@
     Nobody can tell. The new allocator gives out a quarter of it, not the burst
     anew.
     """
-    book = TokenQuotas(rates=token_rates(CONFIG), hosts=2)
+    book = TokenQuotas(rates=token_rates(CONFIG), expected_hosts=2)
     for host in PAIR:
         book.add_history(host, (), 0.5, now=10.0)
     spent = spend_all(book, 10.0)
