--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -267,7 +267,9 @@
         the rest of it, and this one gives out its share in addition. So the
         unknown part of the history starts with only `FRESH_SHARE` of a bucket.
         """
-        coverage = sum(self.coverage.values()) / max(1, self.hosts, len(self.coverage))
+        coverage = sum(self.coverage.values()) / max(
+            1, self.expected_hosts, len(self.coverage)
+        )
         coverage *= self.share
         full = self.size(rate) * (FRESH_SHARE + (1.0 - FRESH_SHARE) * coverage)
         gained = rate.rate * RATE_FACTOR * self.share
