--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -309,7 +309,7 @@
         if rate is not None and rate.rate > 0:
             self.fill(workspace, rate, now).tokens -= charge
 
-    def begin_anew(self, workspace: WorkspaceName, told_at: float) -> None:
+    def discard_stale_bucket(self, workspace: WorkspaceName, told_at: float) -> None:
         """Discard a bucket that missed what an allocator admitted in between.
 
         A host uses buckets of its own only while it has no allocator. They don't
