--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -309,7 +309,9 @@
         if rate is not None and rate.rate > 0:
             self.fill(workspace, rate, now).tokens -= charge
 
-    def discard_stale_bucket(self, workspace: WorkspaceName, told_at: float) -> None:
+    def discard_stale_bucket(
+        self, workspace: WorkspaceName, answered_at: float
+    ) -> None:
         """Discard a bucket that missed what an allocator admitted in between.
 
         A host uses buckets of its own only while it has no allocator. They don't
@@ -320,11 +322,11 @@
         ----------
         workspace : WorkspaceName
             The workspace.
-        told_at : float
+        answered_at : float
             When an allocator last answered this host, in seconds.
         """
         bucket = self.buckets.get(workspace)
-        if bucket is not None and told_at - bucket.updated_at > HISTORY_S:
+        if bucket is not None and answered_at - bucket.updated_at > HISTORY_S:
             del self.buckets[workspace]
 
     def size(self, rate: TokenRate) -> float:
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -211,7 +211,7 @@
     book = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
     assert book.wait_s("w0", 2000, 0.0) == 0.0
     book.take("w0", 2000, 0.0)
-    book.discard_stale_bucket("w0", told_at=59.0)
+    book.discard_stale_bucket("w0", answered_at=59.0)
     assert book.wait_s("w0", 2000, 60.0) == 0.0
     book.take("w0", 2000, 60.0)
     assert book.wait_s("w0", 2000, 60.1) > 1.0
@@ -220,5 +220,5 @@
 def test_a_book_in_use_is_not_begun_anew():
     book = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
     book.take("w0", 2000, 10.0)
-    book.discard_stale_bucket("w0", told_at=9.5)
+    book.discard_stale_bucket("w0", answered_at=9.5)
     assert "w0" in book.buckets
