--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -127,7 +127,7 @@
         for old in [key for key in spent if key <= second - HISTORY_S]:
             del spent[old]
 
-    def rows(self, now: float) -> tuple[WorkspaceSpending, ...]:
+    def recent_spending(self, now: float) -> tuple[WorkspaceSpending, ...]:
         """Return the recent spending of each workspace that spent any tokens."""
         newest = int(now)
         seconds = range(newest, newest - HISTORY_S, -1)
