--- a/godwitladder/decisions/fairness.py
+++ b/godwitladder/decisions/fairness.py
@@ -86,7 +86,7 @@
             heapq.heappop(self.workspace_heap)
         return entry
 
-    def drop(self, name: WorkspaceName) -> None:
+    def remove_workspace(self, name: WorkspaceName) -> None:
         """Remove all requests of a workspace, which has reached its quota."""
         self.workspace_heap = [item for item in self.workspace_heap if item[1] != name]
         heapq.heapify(self.workspace_heap)
