--- a/godwitladder/decisions/repeats.py
+++ b/godwitladder/decisions/repeats.py
@@ -83,7 +83,9 @@
             return 0
         return row.count
 
-    def early_s(self, workspace: WorkspaceName, body: BodyDigest, now: float) -> float:
+    def retry_wait_s(
+        self, workspace: WorkspaceName, body: BodyDigest, now: float
+    ) -> float:
         """Return the seconds until a request may be retried; 0 if it may be now."""
         row = self.rows.get((workspace, body))
         return max(0.0, row.not_before - now) if row else 0.0
