--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -58,7 +58,7 @@
 
 SWITCHES: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
     KEPT: contextlib.nullcontext,
-    "parts for ranks and sizes": lambda: without_policy(least_share=1e-9),
+    "parts for ranks and sizes": lambda: without_policy(min_share=1e-9),
     "sizes": without_sizes,
     "late calls last": without_late_last,
     "callers known again": without_returns,
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -81,7 +81,7 @@
         self.now = now
         self.capacity = Capacity(pool)
         self.allocation = Allocation()
-        sizes = pool.memory.sizes if pool.policy.least_share else None
+        sizes = pool.memory.sizes if pool.policy.min_share else None
         self.backlog = Backlog(self.capacity, sizes)
         pool.memory.fade(now)
         for entry in self.backlog.sort(list(pool.waiting.values()), now):
@@ -118,7 +118,7 @@
 
     def turns(self) -> list[Precedence]:
         """Return what waits by precedence, the first to be served first."""
-        least = self.pool.policy.least_share
+        least = self.pool.policy.min_share
         waiting = self.backlog.precedences()
         if not least:
             return waiting
--- a/godwitladder/decisions/policy.py
+++ b/godwitladder/decisions/policy.py
@@ -14,7 +14,7 @@
 
     Attributes
     ----------
-    least_share : float
+    min_share : float
         A rank is served at least this part as often as the first one; 0 for
         strict order.
     measures_flow : bool
@@ -28,7 +28,7 @@
         Whether nothing of a lower tier is kept once a tier had to be shed.
     """
 
-    least_share: float = 0.0
+    min_share: float = 0.0
     measures_flow: bool = False
     eases_off: bool = True
     enforces_latency: bool = False
@@ -39,7 +39,7 @@
 """The product's own interface."""
 
 ASKED = Policy(
-    least_share=0.6,
+    min_share=0.6,
     measures_flow=True,
     eases_off=False,
     enforces_latency=True,
