--- a/godwitladder/decisions/returns.py
+++ b/godwitladder/decisions/returns.py
@@ -26,7 +26,7 @@
 from godwitladder.ids import BodyDigest
 
 KEPT_S = 30.0
-KEPT = 25_000
+MAX_CALLERS = 25_000
 
 
 class RefusedCallers:
@@ -61,4 +61,4 @@
     def is_old(self, now: float) -> bool:
         """Return whether the oldest entry has expired or exceeds the capacity."""
         first_asked = next(iter(self.asked.values()))
-        return now - first_asked > KEPT_S or len(self.asked) > KEPT
+        return now - first_asked > KEPT_S or len(self.asked) > MAX_CALLERS
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -12,7 +12,7 @@
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.decisions.repeats import RefusedRequests
 from godwitladder.decisions.reports import LoadReports
-from godwitladder.decisions.returns import KEPT, KEPT_S, RefusedCallers
+from godwitladder.decisions.returns import KEPT_S, MAX_CALLERS, RefusedCallers
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import fixed_share, standing_grants
 from godwitladder.decisions.throttling import TargetThrottles
@@ -236,8 +236,8 @@
 
 def test_refused_callers_are_kept_within_bounds():
     callers = RefusedCallers()
-    for number in range(KEPT + 10):
+    for number in range(MAX_CALLERS + 10):
         callers.note(f"b{number}", 1.0, 1.0)
-    assert len(callers.asked) == KEPT
+    assert len(callers.asked) == MAX_CALLERS
     callers.note("new", 100.0, 100.0)
     assert list(callers.asked) == ["new"]
