--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -65,7 +65,7 @@
     "refusal by the aim": without_untimely,
     "keeping pace": lambda: without_policy(enforces_latency=False),
     "bound on unread prompts": lambda: patch.object(role, "UNREAD_S", float("inf")),
-    "flow": lambda: without_policy(measures_flow=False),
+    "flow": lambda: without_policy(uses_measured_throughput=False),
     "no easing off": lambda: without_policy(eases_off=True),
     "quick learning of speeds": lambda: patch.object(speeds, "PRIOR", 1e9),
     "preference of the own zone": lambda: patch.object(capacity, "FAR_FACTOR", 1.0),
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -113,7 +113,7 @@
                 ]
                 if len(kept) < len(group.entries):
                     group.keep(kept)
-        if self.pool.policy.measures_flow:
+        if self.pool.policy.uses_measured_throughput:
             self.note_flow()
 
     def turns(self) -> list[Precedence]:
--- a/godwitladder/decisions/policy.py
+++ b/godwitladder/decisions/policy.py
@@ -17,7 +17,7 @@
     min_share : float
         A rank is served at least this part as often as the first one; 0 for
         strict order.
-    measures_flow : bool
+    uses_measured_throughput : bool
         Whether early refusal goes by what really starts rather than by slots.
     eases_off : bool
         Whether a target that works slowly is given fewer requests at once.
@@ -29,7 +29,7 @@
     """
 
     min_share: float = 0.0
-    measures_flow: bool = False
+    uses_measured_throughput: bool = False
     eases_off: bool = True
     enforces_latency: bool = False
     is_strict: bool = True
@@ -40,7 +40,7 @@
 
 ASKED = Policy(
     min_share=0.6,
-    measures_flow=True,
+    uses_measured_throughput=True,
     eases_off=False,
     enforces_latency=True,
     is_strict=False,
