--- a/godwitladder/decisions/returns.py
+++ b/godwitladder/decisions/returns.py
@@ -10,13 +10,13 @@
 than most of them have waited. Judged by that time, first attempts would count
 as late, and requests that could be in time would yield to others.
 
-Two callers that send the same body within `KEPT_S` are treated as one. The
+Two callers that send the same body within `RETENTION_S` are treated as one. The
 second then yields to others without need, which is rare and harms only that
 caller.
 
 Thresholds
 ----------
-KEPT_S : twice the longest time that callers wait; they come back within it.
+RETENTION_S : twice the longest time that callers wait; they come back within it.
 KEPT : largest number of callers: those refused in that time at 1,500 requests
     per second, half of which are refused.
 """
@@ -25,7 +25,7 @@
 
 from godwitladder.ids import BodyDigest
 
-KEPT_S = 30.0
+RETENTION_S = 30.0
 MAX_CALLERS = 25_000
 
 
@@ -56,9 +56,9 @@
     def first_asked(self, body: BodyDigest, now: float) -> float | None:
         """Return when a refused caller first asked; None if it is not known."""
         asked = self.asked.get(body)
-        return None if asked is None or now - asked > KEPT_S else asked
+        return None if asked is None or now - asked > RETENTION_S else asked
 
     def is_old(self, now: float) -> bool:
         """Return whether the oldest entry has expired or exceeds the capacity."""
         first_asked = next(iter(self.asked.values()))
-        return now - first_asked > KEPT_S or len(self.asked) > MAX_CALLERS
+        return now - first_asked > RETENTION_S or len(self.asked) > MAX_CALLERS
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -12,7 +12,7 @@
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.decisions.repeats import RefusedRequests
 from godwitladder.decisions.reports import LoadReports
-from godwitladder.decisions.returns import KEPT_S, MAX_CALLERS, RefusedCallers
+from godwitladder.decisions.returns import MAX_CALLERS, RETENTION_S, RefusedCallers
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import fixed_share, standing_grants
 from godwitladder.decisions.throttling import TargetThrottles
@@ -225,7 +225,7 @@
     callers.note("b1", 4.0, 4.2)
     assert callers.first_asked("b1", 5.0) == 1.0
     assert callers.first_asked("b2", 5.0) is None
-    assert callers.first_asked("b1", 1.0 + KEPT_S + 0.1) is None
+    assert callers.first_asked("b1", 1.0 + RETENTION_S + 0.1) is None
 
 
 def test_calls_without_a_body_of_their_own_are_all_new():
