--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -66,7 +66,7 @@
     "keeping pace": lambda: without_policy(enforces_latency=False),
     "bound on unread prompts": lambda: patch.object(role, "UNREAD_S", float("inf")),
     "flow": lambda: without_policy(uses_measured_throughput=False),
-    "no easing off": lambda: without_policy(eases_off=True),
+    "no easing off": lambda: without_policy(throttles_slow_targets=True),
     "quick learning of speeds": lambda: patch.object(speeds, "PRIOR", 1e9),
     "preference of the own zone": lambda: patch.object(capacity, "FAR_FACTOR", 1.0),
     "bound on long calls": lambda: patch.object(capacity, "LONG_SHARE", 1.0),
--- a/godwitladder/decisions/policy.py
+++ b/godwitladder/decisions/policy.py
@@ -19,7 +19,7 @@
         strict order.
     uses_measured_throughput : bool
         Whether early refusal goes by what really starts rather than by slots.
-    eases_off : bool
+    throttles_slow_targets : bool
         Whether a target that works slowly is given fewer requests at once.
     keeps_pace : bool
         Whether a call goes only where its first output is in time and makes
@@ -30,7 +30,7 @@
 
     min_share: float = 0.0
     uses_measured_throughput: bool = False
-    eases_off: bool = True
+    throttles_slow_targets: bool = True
     enforces_latency: bool = False
     is_strict: bool = True
 
@@ -41,7 +41,7 @@
 ASKED = Policy(
     min_share=0.6,
     uses_measured_throughput=True,
-    eases_off=False,
+    throttles_slow_targets=False,
     enforces_latency=True,
     is_strict=False,
 )
