--- a/godwitladder/decisions/returns.py
+++ b/godwitladder/decisions/returns.py
@@ -40,7 +40,7 @@
     """
 
     def __init__(self) -> None:
-        self.asked: OrderedDict[BodyDigest, float] = OrderedDict()
+        self.first_arrivals: OrderedDict[BodyDigest, float] = OrderedDict()
 
     def note(self, body: BodyDigest, asked: float, now: float) -> None:
         """Record the refusal of a caller that first asked at ``asked``.
@@ -49,16 +49,16 @@
         """
         if not body:
             return
-        self.asked.setdefault(body, asked)
-        while self.asked and self.is_old(now):
-            self.asked.popitem(last=False)
+        self.first_arrivals.setdefault(body, asked)
+        while self.first_arrivals and self.is_old(now):
+            self.first_arrivals.popitem(last=False)
 
     def first_asked(self, body: BodyDigest, now: float) -> float | None:
         """Return when a refused caller first asked; None if it is not known."""
-        asked = self.asked.get(body)
+        asked = self.first_arrivals.get(body)
         return None if asked is None or now - asked > RETENTION_S else asked
 
     def is_old(self, now: float) -> bool:
         """Return whether the oldest entry has expired or exceeds the capacity."""
-        first_asked = next(iter(self.asked.values()))
-        return now - first_asked > RETENTION_S or len(self.asked) > MAX_CALLERS
+        first_asked = next(iter(self.first_arrivals.values()))
+        return now - first_asked > RETENTION_S or len(self.first_arrivals) > MAX_CALLERS
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -238,6 +238,6 @@
     callers = RefusedCallers()
     for number in range(MAX_CALLERS + 10):
         callers.note(f"b{number}", 1.0, 1.0)
-    assert len(callers.asked) == MAX_CALLERS
+    assert len(callers.first_arrivals) == MAX_CALLERS
     callers.note("new", 100.0, 100.0)
-    assert list(callers.asked) == ["new"]
+    assert list(callers.first_arrivals) == ["new"]
