--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -26,7 +26,7 @@
 
 def without_policy(**fields) -> contextlib.AbstractContextManager:
     """Return the policy of routed calls with other fields."""
-    return patch.object(role, "ASKED", replace(role.ASKED, **fields))
+    return patch.object(role, "ASKED", replace(role.ROUTED, **fields))
 
 
 def without_sizes() -> contextlib.AbstractContextManager:
--- a/godwitladder/decisions/policy.py
+++ b/godwitladder/decisions/policy.py
@@ -38,7 +38,7 @@
 STRICT = Policy()
 """The product's own interface."""
 
-ASKED = Policy(
+ROUTED = Policy(
     min_share=0.6,
     uses_measured_throughput=True,
     throttles_slow_targets=False,
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -9,7 +9,7 @@
     AdmissionController,
 )
 from godwitladder.decisions.allocation import allocate
-from godwitladder.decisions.policy import ASKED
+from godwitladder.decisions.policy import ROUTED
 from tests.decisions.pools import add, make_pool, make_target
 
 BEHIND = 2 * MAX_BEHIND_S
@@ -94,7 +94,7 @@
 def test_a_pool_reduces_the_share_of_the_workspace_that_it_sheds():
     """Guards against attributing the flood of one workspace to all."""
     pool = make_pool(make_target(limit=4))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     add(pool, "other", workspace="w1")
     for number in range(40):
         add(pool, f"flood{number}")
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -5,7 +5,7 @@
 
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.entitlement import Entitlements
-from godwitladder.decisions.policy import ASKED
+from godwitladder.decisions.policy import ROUTED
 from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.decisions.quotas import LOWERED_AFTER_S, TokenQuotas, TokenRate
 from godwitladder.decisions.repeat_budget import USED_SHARE, RepeatBounds, RepeatBudget
@@ -193,7 +193,7 @@
 def test_requests_that_wait_for_a_quota_do_not_load_the_pool():
     """Guards against refusing others for slots that such requests don't use."""
     pool = make_pool(make_target(limit=9))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     pool.quotas = TokenQuotas(rates=RATE)
     add_timed(pool, "now", 0, aim=0.8, charge=500)
     add_timed(pool, "soon", 0, aim=0.8, charge=400)
@@ -285,7 +285,7 @@
     arrived is still in time and is served as soon as a slot is free.
     """
     pool = make_pool(make_target(limit=1, used=1))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     add_timed(pool, "letter", 0, aim=1.0)
     pool.waiting["letter"].start_by = 2.0
     add_timed(pool, "question", 2, aim=9.0, arrived=2.9)
@@ -299,7 +299,7 @@
     that can start in time wait, and the others are refused at once.
     """
     pool = make_pool(make_target(limit=1, used=1))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     for number in range(40):
         add_timed(pool, f"q{number:02}", 2, aim=5.0)
     refused = given_up(allocate(pool, 1.0))
@@ -310,7 +310,7 @@
 def refused_verdicts(started):
     """Return how many of twelve verdicts are refused, given the starts so far."""
     pool = make_pool(make_target(limit=10, used=10))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     pool.memory.started = dict(started)
     for number in range(12):
         add_timed(pool, f"v{number:02}", 4, aim=4.0, predicted_tokens=20)
@@ -340,7 +340,7 @@
     slow = make_target("t0", used=2, **SLOW)
     fast = make_target("t1", limit=1, used=1, read_s=0.00001)
     pool = make_pool(slow, fast)
-    pool.policy = ASKED
+    pool.policy = ROUTED
     limits = {"gap_s": 0.3, "event_tokens": 5}
     add_timed(pool, "letter", 0, aim=9.0, prompt_tokens=3000, **limits)
     add_timed(pool, "question", 2, aim=9.0, prompt_tokens=300, **limits)
@@ -352,7 +352,7 @@
 def test_a_prompt_that_stalls_streams_on_any_target_is_still_placed():
     """Guards against a long prompt that never runs while all targets are slow."""
     pool = make_pool(make_target("t0", used=2, **SLOW))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     add_timed(pool, "letter", 0, aim=9.0, prompt_tokens=9000, gap_s=0.3, event_tokens=5)
     assert placed_requests(pool) == ["letter"]
 
@@ -362,7 +362,7 @@
     slow = make_target("t0", first_s=0.4)
     fast = make_target("t1", limit=1, used=1, first_s=0.05)
     pool = make_pool(slow, fast)
-    pool.policy = ASKED
+    pool.policy = ROUTED
     add_timed(pool, "r", 0, aim=0.3, prompt_tokens=10)
     assert placed_requests(pool) == []
     fast.used = 0
