--- a/godwitladder/decisions/returns.py
+++ b/godwitladder/decisions/returns.py
@@ -53,12 +53,14 @@
         while self.first_arrivals and self.is_old(now):
             self.first_arrivals.popitem(last=False)
 
-    def first_asked(self, body: BodyDigest, now: float) -> float | None:
+    def first_arrival(self, body: BodyDigest, now: float) -> float | None:
         """Return when a refused caller first asked; None if it is not known."""
         asked = self.first_arrivals.get(body)
         return None if asked is None or now - asked > RETENTION_S else asked
 
     def is_old(self, now: float) -> bool:
         """Return whether the oldest entry has expired or exceeds the capacity."""
-        first_asked = next(iter(self.first_arrivals.values()))
-        return now - first_asked > RETENTION_S or len(self.first_arrivals) > MAX_CALLERS
+        first_arrival = next(iter(self.first_arrivals.values()))
+        return (
+            now - first_arrival > RETENTION_S or len(self.first_arrivals) > MAX_CALLERS
+        )
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -69,7 +69,7 @@
         each report, a request that waits for long looked like many that came.
     """
     arrived = now - line.waited_s
-    known = role.memory.callers.first_asked(line.body, now)
+    known = role.memory.callers.first_arrival(line.body, now)
     asked = arrived if known is None else min(known, arrived)
     if before is not None:
         entitled = before.within_quota
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -223,15 +223,15 @@
     callers = RefusedCallers()
     callers.note("b1", 1.0, 1.2)
     callers.note("b1", 4.0, 4.2)
-    assert callers.first_asked("b1", 5.0) == 1.0
-    assert callers.first_asked("b2", 5.0) is None
-    assert callers.first_asked("b1", 1.0 + RETENTION_S + 0.1) is None
+    assert callers.first_arrival("b1", 5.0) == 1.0
+    assert callers.first_arrival("b2", 5.0) is None
+    assert callers.first_arrival("b1", 1.0 + RETENTION_S + 0.1) is None
 
 
 def test_calls_without_a_body_of_their_own_are_all_new():
     callers = RefusedCallers()
     callers.note("", 1.0, 1.2)
-    assert callers.first_asked("", 1.3) is None
+    assert callers.first_arrival("", 1.3) is None
 
 
 def test_refused_callers_are_kept_within_bounds():
