--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -13,8 +13,8 @@
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import LONGEST_LOOK_S, allocate
+from godwitladder.decisions.allocator_state import AllocatorMemory
 from godwitladder.decisions.forecast import PrefillForecast
-from godwitladder.decisions.memory import AllocatorMemory
 from godwitladder.decisions.policy import ROUTED, STRICT
 from godwitladder.decisions.quotas import TokenQuotas
 from godwitladder.decisions.reports import LoadReports
