--- a/godwitladder/decisions/repeat_budget.py
+++ b/godwitladder/decisions/repeat_budget.py
@@ -47,7 +47,7 @@
     repeats: deque[float] = field(default_factory=deque)
 
 
-class RepeatBudget:
+class RetryBudget:
     """Retry budget of one host, by service.
 
     Parameters
