--- a/godwitladder/decisions/allocator_state.py
+++ b/godwitladder/decisions/allocator_state.py
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class AllocatorMemory:
+class AllocatorState:
     """Soft state of one pool's allocator; all amounts fade with time.
 
     Attributes
