--- a/godwitladder/decisions/repeat_budget.py
+++ b/godwitladder/decisions/repeat_budget.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class RepeatBounds:
+class RetryLimits:
     """Retries that all hosts together may make of one service's requests.
 
     Attributes
@@ -52,11 +52,11 @@
 
     Parameters
     ----------
-    bounds : RepeatBounds
+    bounds : RetryLimits
         Limits for all hosts together.
     """
 
-    def __init__(self, bounds: RepeatBounds) -> None:
+    def __init__(self, bounds: RetryLimits) -> None:
         self.bounds = bounds
         self.services: dict[str, RequestTimes] = {}
 
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -11,7 +11,7 @@
 
 from godwitladder.base_host import BaseHost
 from godwitladder.clock import Clock
-from godwitladder.decisions.repeat_budget import RepeatBounds, RetryBudget
+from godwitladder.decisions.repeat_budget import RetryBudget, RetryLimits
 from godwitladder.discovery.feed import Feed, StoreView
 from godwitladder.discovery.hostlist import HostList
 from godwitladder.discovery.messages import FeedNews, FeedWanted
@@ -235,7 +235,7 @@
         """Return what sends calls on."""
         bounds = self.settings.bounds
         budget = RetryBudget(
-            RepeatBounds(
+            RetryLimits(
                 bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_s
             )
         )
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -8,7 +8,7 @@
 from godwitladder.decisions.policy import ROUTED
 from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.decisions.quotas import LOWERED_AFTER_S, TokenQuotas, TokenRate
-from godwitladder.decisions.repeat_budget import USED_SHARE, RepeatBounds, RetryBudget
+from godwitladder.decisions.repeat_budget import USED_SHARE, RetryBudget, RetryLimits
 from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import ShedReason
@@ -256,7 +256,7 @@
 
 def test_retries_are_limited_to_a_share_of_the_requests():
     """Guards against doubled load when targets fail every request they get."""
-    budget = RetryBudget(RepeatBounds(0.2, 30.0, 10.0))
+    budget = RetryBudget(RetryLimits(0.2, 30.0, 10.0))
     for _ in range(100):
         budget.note_request("s", 0.0)
     taken = sum(budget.take("s", 3, 1.0) for _ in range(100))
