--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -256,7 +256,7 @@
         self.rooms: list[Room] = []
         for view in pool.targets.values():
             if view.limit > 0:
-                self._add(make_room(view, pool.memory.long_on(view.name)))
+                self._add(make_room(view, pool.state.long_on(view.name)))
 
     def of(self, service: ServiceName) -> ServiceCapacity:
         """Return the capacity for ``service``; an empty one if nothing serves it."""
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -67,9 +67,9 @@
     The time is stored in ``pool.memory``, so a second call at the same time
     returns False.
     """
-    if now - pool.memory.refused_at < REFUSAL_SCAN_INTERVAL_S:
+    if now - pool.state.refused_at < REFUSAL_SCAN_INTERVAL_S:
         return False
-    pool.memory.refused_at = now
+    pool.state.refused_at = now
     return True
 
 
@@ -109,7 +109,7 @@
     ahead_s = backlog.work_s(group.service, group.precedence) - group.work_s
     if now + (ahead_s + group.work_s) / slots <= group.soonest:
         return []
-    queue = TierQueue(group.entries, pool.workspaces, pool.memory.spent, now)
+    queue = TierQueue(group.entries, pool.workspaces, pool.state.spent, now)
     first = group.precedence == backlog.precedences()[0]
     kept, late = split_by_start_time(queue, ahead_s, slots, now, first)
     if pool.floors:
@@ -129,7 +129,7 @@
     """
     slots = group.part.slots
     return max(
-        slots * MIN_SLOT_SHARE, slots - pool.memory.slots_before(group.precedence)
+        slots * MIN_SLOT_SHARE, slots - pool.state.slots_before(group.precedence)
     )
 
 
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -322,7 +322,7 @@
     workspaces: dict[WorkspaceName, WorkspaceView] = field(default_factory=dict)
     floors: dict[PoolName, int] = field(default_factory=dict)
     shed_ranks: dict[PoolName, int] = field(default_factory=dict)
-    memory: AllocatorState = field(default_factory=AllocatorState)
+    state: AllocatorState = field(default_factory=AllocatorState)
     quotas: TokenQuotas = field(default_factory=TokenQuotas)
     policy: Policy = Policy()
     staleness_s: float = 0.0
--- a/godwitladder/decisions/untimely.py
+++ b/godwitladder/decisions/untimely.py
@@ -42,11 +42,11 @@
     """Take out and return the requests of ``group`` that will not start in time."""
     if not group.part.slots:
         return []
-    rate = max(left_over(group, pool), pool.memory.rate(group.precedence), LEAST_RATE)
+    rate = max(left_over(group, pool), pool.state.rate(group.precedence), LEAST_RATE)
     kept: list[QueueEntry] = []
     late: list[QueueEntry] = []
     ahead_s = 0.0
-    queue = TierQueue(group.entries, pool.workspaces, pool.memory.spent, now)
+    queue = TierQueue(group.entries, pool.workspaces, pool.state.spent, now)
     for entry in queue.ordered():
         if now + ahead_s / rate <= start_limit(entry, group):
             kept.append(entry)
@@ -62,8 +62,8 @@
 
     Before work has waited for a while, all slots are taken to come free.
     """
-    flow = pool.memory.flow or group.part.slots
-    return min(flow, group.part.slots) - pool.memory.rate_before(group.precedence)
+    flow = pool.state.flow or group.part.slots
+    return min(flow, group.part.slots) - pool.state.rate_before(group.precedence)
 
 
 def start_limit(entry: QueueEntry, group: Group) -> float:
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -28,7 +28,7 @@
     view = PoolView(
         targets=target_views(role, now),
         workspaces=workspace_views(role, now),
-        memory=role.memory,
+        state=role.memory,
         quotas=role.quotas,
         policy=role.policy,
         staleness_s=role.delays.lately_s(now),
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -102,4 +102,4 @@
         row.ttft_deadline = 0.3
     pool.staleness_s = BEHIND
     allocate(pool, 0.0)
-    assert {workspace for _, workspace in pool.memory.admission.shares} == {"w0"}
+    assert {workspace for _, workspace in pool.state.admission.shares} == {"w0"}
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -198,7 +198,7 @@
     add_timed(pool, "now", 0, aim=0.8, charge=500)
     add_timed(pool, "soon", 0, aim=0.8, charge=400)
     allocate(pool, 0.0)
-    assert pool.memory.flow == 0.0
+    assert pool.state.flow == 0.0
 
 
 def test_a_lowered_quota_applies_one_window_later():
@@ -311,7 +311,7 @@
     """Return how many of twelve verdicts are refused, given the starts so far."""
     pool = make_pool(make_target(limit=10, used=10))
     pool.policy = ROUTED
-    pool.memory.started = dict(started)
+    pool.state.started = dict(started)
     for number in range(12):
         add_timed(pool, f"v{number:02}", 4, aim=4.0, predicted_tokens=20)
     return len(given_up(allocate(pool, 0.0)))
