--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -8,9 +8,9 @@
 from godwitladder.decisions.affinity import HINT_S, PrefixHints
 from godwitladder.decisions.backoff import retry_after_s
 from godwitladder.decisions.cancel import DisconnectAction, disconnect_action
+from godwitladder.decisions.early_retries import RefusedRequests
 from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
 from godwitladder.decisions.rendezvous import choose_host
-from godwitladder.decisions.repeats import RefusedRequests
 from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.returns import MAX_CALLERS, RETENTION_S, RefusedCallers
 from godwitladder.decisions.speeds import TargetSpeeds
