--- a/godwitladder/decisions/allocator_state.py
+++ b/godwitladder/decisions/allocator_state.py
@@ -82,7 +82,7 @@
     long_ends: dict[TargetName, list[float]] = field(default_factory=dict)
     refused_at: float = float("-inf")
     faded: float = 0.0
-    flow: float = 0.0
+    throughput: float = 0.0
     flow_at: float = float("-inf")
     contended: float = 0.0
     contended_since: float = 0.0
--- a/godwitladder/decisions/untimely.py
+++ b/godwitladder/decisions/untimely.py
@@ -62,7 +62,7 @@
 
     Before work has waited for a while, all slots are taken to come free.
     """
-    flow = pool.state.flow or group.part.slots
+    flow = pool.state.throughput or group.part.slots
     return min(flow, group.part.slots) - pool.state.rate_before(group.precedence)
 
 
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -198,7 +198,7 @@
     add_timed(pool, "now", 0, aim=0.8, charge=500)
     add_timed(pool, "soon", 0, aim=0.8, charge=400)
     allocate(pool, 0.0)
-    assert pool.state.flow == 0.0
+    assert pool.state.throughput == 0.0
 
 
 def test_a_lowered_quota_applies_one_window_later():
