--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -11,7 +11,7 @@
 
 from godwitladder.base_host import BaseHost
 from godwitladder.clock import Clock
-from godwitladder.decisions.repeat_budget import RetryBudget, RetryLimits
+from godwitladder.decisions.retry_budget import RetryBudget, RetryLimits
 from godwitladder.discovery.feed import Feed, StoreView
 from godwitladder.discovery.hostlist import HostList
 from godwitladder.discovery.messages import FeedNews, FeedWanted
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -8,7 +8,7 @@
 from godwitladder.decisions.policy import ROUTED
 from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.decisions.quotas import LOWERED_AFTER_S, TokenQuotas, TokenRate
-from godwitladder.decisions.repeat_budget import USED_SHARE, RetryBudget, RetryLimits
+from godwitladder.decisions.retry_budget import USED_SHARE, RetryBudget, RetryLimits
 from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import ShedReason
