--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -114,7 +114,7 @@
                 if len(kept) < len(group.entries):
                     group.keep(kept)
         if self.pool.policy.uses_measured_throughput:
-            self.note_flow()
+            self.record_throughput()
 
     def turns(self) -> list[Precedence]:
         """Return what waits by precedence, the first to be served first."""
@@ -125,11 +125,11 @@
         shares = {each: self.pool.state.share(each) for each in waiting}
         return serving_order(waiting, shares, least)
 
-    def note_flow(self) -> None:
+    def record_throughput(self) -> None:
         """Remember how much was started while more waited."""
         waits = any(group.entries for group in self.backlog.groups.values())
         slots = sum(room.view.limit for room in self.capacity.rooms)
-        self.pool.state.note_flow(self.placed_s, waits, slots, self.now)
+        self.pool.state.record_throughput(self.placed_s, waits, slots, self.now)
 
     def place_groups(
         self, groups: list[Group], free: set[ServiceName]
--- a/godwitladder/decisions/allocator_state.py
+++ b/godwitladder/decisions/allocator_state.py
@@ -135,7 +135,7 @@
         """Return the long requests that ``target`` is taken to run."""
         return len(self.long_ends.get(target, ()))
 
-    def note_flow(
+    def record_throughput(
         self, placed_s: float, contended: bool, slots: float, now: float
     ) -> None:
         """Take in a run that placed ``placed_s`` slot seconds."""
