--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -15,7 +15,7 @@
 from bench.region import MIXES, Load, Region, tally
 from bench.report import table
 from godwitladder.decisions import allocation, backlog, capacity, speeds
-from godwitladder.decisions.returns import RefusedCallers
+from godwitladder.decisions.returning_callers import RefusedCallers
 from godwitladder.decisions.shares import Size
 from godwitladder.decisions.shedding import refuse_early
 from godwitladder.decisions.sizes import CallSizes
--- a/godwitladder/decisions/allocator_state.py
+++ b/godwitladder/decisions/allocator_state.py
@@ -26,7 +26,7 @@
 
 from godwitladder.decisions.admission import AdmissionController
 from godwitladder.decisions.entitlement import Entitlements
-from godwitladder.decisions.returns import RefusedCallers
+from godwitladder.decisions.returning_callers import RefusedCallers
 from godwitladder.decisions.shares import Precedence
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.ids import TargetName, WorkspaceName
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -12,7 +12,11 @@
 from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.decisions.reports import LoadReports
-from godwitladder.decisions.returns import MAX_CALLERS, RETENTION_S, RefusedCallers
+from godwitladder.decisions.returning_callers import (
+    MAX_CALLERS,
+    RETENTION_S,
+    RefusedCallers,
+)
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import fixed_share, standing_grants
 from godwitladder.decisions.throttling import TargetThrottles
