--- a/godwitladder/decisions/admission.py
+++ b/godwitladder/decisions/admission.py
@@ -22,7 +22,7 @@
 
 Thresholds
 ----------
-MAX_BEHIND_S : age of the allocator's information above which shares are
+MAX_STALENESS_S : age of the allocator's information above which shares are
     reduced. With an allocator that keeps up it is a few hundredths of a second.
 CANDIDATES_PER_SERVED : requests to choose from for each one that is served.
 UPDATE_INTERVAL_S : long enough to see several requests of a busy workspace.
@@ -38,7 +38,7 @@
 
 from godwitladder.ids import ServiceName, WorkspaceName
 
-MAX_BEHIND_S = 0.1
+MAX_STALENESS_S = 0.1
 CANDIDATES_PER_SERVED = 2.0
 UPDATE_INTERVAL_S = 0.25
 MIN_SHARE = 0.2
@@ -73,7 +73,7 @@
 
     Attributes
     ----------
-    asked, served, shed : Counter
+    requested, served, shed : Counter
         Requests since the last update, by service and workspace.
     shares : dict
         Shares below 1, by service and workspace.
@@ -87,21 +87,21 @@
     shares: dict[Flow, float] = field(default_factory=dict)
     updated_at: float = float("-inf")
 
-    def update(self, now: float, behind_s: float) -> None:
+    def update(self, now: float, staleness_s: float) -> None:
         """Update the shares, unless the last update was a moment ago.
 
         Parameters
         ----------
         now : float
             Current time, in seconds.
-        behind_s : float
+        staleness_s : float
             Age of the allocator's information, in seconds.
         """
         if now - self.updated_at < UPDATE_INTERVAL_S:
             return
         self.updated_at = now
         for flow in set(self.shares) | set(self.shed):
-            share = self.next_share(flow, behind_s > MAX_BEHIND_S)
+            share = self.next_share(flow, staleness_s > MAX_STALENESS_S)
             if share < 1.0:
                 self.shares[flow] = share
             else:
@@ -109,18 +109,18 @@
         for counts in (self.requested, self.served, self.shed):
             counts.clear()
 
-    def next_share(self, flow: Flow, behind: bool) -> float:
+    def next_share(self, flow: Flow, is_stale: bool) -> float:
         """Return the new share of ``flow``, which may exceed 1.
 
         Parameters
         ----------
         flow : tuple
             Service and workspace.
-        behind : bool
+        is_stale : bool
             Whether the allocator's information is too old.
         """
         previous = self.shares.get(flow, 1.0)
-        if not behind or not self.shed[flow]:
+        if not is_stale or not self.shed[flow]:
             return previous * MAX_STEP
         if self.requested[flow] < MIN_SAMPLE:
             return previous
--- a/godwitladder/decisions/early_retries.py
+++ b/godwitladder/decisions/early_retries.py
@@ -1,6 +1,6 @@
 """Remembers refused requests to recognize retries that come too early.
 
-Load pattern: a retry storm. RefusalRecord callers that ignore Retry-After fill the
+Load pattern: a retry storm. Refused callers that ignore Retry-After fill the
 queue with second and third attempts, and first attempts, which have waited
 least, are shed with them. So a retry that comes too early is refused again
 before it is queued, at the cost of one table look-up. A retry that comes in
--- a/godwitladder/decisions/entitlement.py
+++ b/godwitladder/decisions/entitlement.py
@@ -7,9 +7,10 @@
 whichever requests come first in the queue, requests within the quota are
 refused in favour of requests beyond it.
 
-A request is entitled if the quota, without any slack, has enough tokens left
-when the request arrives, whatever becomes of the request. A request beyond the
-quota still runs where there is capacity, after all requests within their quotas.
+A request is entitled, that is within its quota, if the quota without any slack
+has enough tokens left when the request arrives, whatever becomes of the request.
+A request beyond the quota still runs where there is capacity, after all requests
+within their quotas.
 """
 
 from dataclasses import dataclass, field
--- a/godwitladder/decisions/fairness.py
+++ b/godwitladder/decisions/fairness.py
@@ -8,8 +8,8 @@
 goes first.
 
 Use is counted in slot seconds, not in requests, since one long request costs
-as much as a hundred short ones. Past use decays; `memory` has the half-life and
-its reason.
+as much as a hundred short ones. Past use decays; `allocator_state` has the
+half-life and its reason.
 """
 
 import heapq
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    entries : iterable of Entry
+    entries : iterable of QueueEntry
         Requests of one tier.
     workspaces : mapping
         Views of the workspaces with their shares; one that is missing has a
@@ -38,7 +38,7 @@
     spent : mapping
         Slot seconds that each workspace used recently.
     now : float
-        Current time, in seconds. Requests whose safe time (`Entry.safe`) has
+        Current time, in seconds. Requests whose `QueueEntry.safe_start` has
         passed go last within their workspace.
     """
 
@@ -52,14 +52,14 @@
         self.workspaces = workspaces
         self.queues: dict[WorkspaceName, list[tuple]] = {}
         for entry in entries:
-            line = entry.waiting.demand
-            key = entry.latest_start + line.prior_refusals * RETRY_OFFSET_S
+            demand = entry.waiting.demand
+            key = entry.latest_start + demand.prior_refusals * RETRY_OFFSET_S
             if entry.safe_start < now:
                 key += UNSAFE_OFFSET_S
-            item = (key, line.request, entry)
-            queue = self.queues.get(line.workspace)
+            item = (key, demand.request, entry)
+            queue = self.queues.get(demand.workspace)
             if queue is None:
-                self.queues[line.workspace] = [item]
+                self.queues[demand.workspace] = [item]
             else:
                 queue.append(item)
         for queue in self.queues.values():
--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -160,7 +160,7 @@
         Quotas now in force, by workspace.
     buckets : dict
         Buckets that are in use, by workspace.
-    hosts : int
+    expected_hosts : int
         Hosts that are expected to report their spending to a new allocator.
     first_report_at : float or None
         Time of the first such report, in seconds.
@@ -173,7 +173,7 @@
     former : dict
         Higher quotas that still apply, by workspace.
     applied_rates : mapping
-        The ``rates`` that the last call of `settle` applied.
+        The ``rates`` that the last call of `apply_rates` applied.
     """
 
     slack: float = 0.0
@@ -240,7 +240,7 @@
         ----------
         host : HostId
             The host that reports.
-        spent : iterable of Spent
+        spent : iterable of WorkspaceSpending
             What it spent in the last seconds.
         known_s : float
             For how many seconds back ``spent`` is complete.
@@ -257,7 +257,7 @@
             for age_index, tokens in enumerate(row.tokens[:HISTORY_S]):
                 totals[age_index] += tokens
 
-    def opening(self, workspace: WorkspaceName, rate: TokenRate) -> float:
+    def initial_tokens(self, workspace: WorkspaceName, rate: TokenRate) -> float:
         """Return the tokens that a new bucket starts with.
 
         A full bucket is reduced by the reported spending of the last seconds,
@@ -271,14 +271,14 @@
             1, self.expected_hosts, len(self.coverage)
         )
         coverage *= self.share
-        full = self.size(rate) * (FRESH_SHARE + (1.0 - FRESH_SHARE) * coverage)
+        full = self.capacity(rate) * (FRESH_SHARE + (1.0 - FRESH_SHARE) * coverage)
         gained = rate.rate * RATE_FACTOR * self.share
         sums = accumulate(self.past_spending.get(workspace, ()))
         missing = [spent - gained * (index + 1) for index, spent in enumerate(sums)]
         return full - max([0.0, *missing])
 
     def wait_s(
-        self, workspace: WorkspaceName, charge: int, now: float, promised: int = 0
+        self, workspace: WorkspaceName, charge: int, now: float, queued_tokens: int = 0
     ) -> float:
         """Return the seconds until ``charge`` is within the quota; 0 if it is now.
 
@@ -290,15 +290,15 @@
             Tokens of the request.
         now : float
             Current time, in seconds.
-        promised : int
+        queued_tokens : int
             Tokens of requests that already wait for the quota and go first.
         """
         rate = self.rate_of(workspace, now)
         if rate is None or rate.rate <= 0:
             return 0.0
-        bucket = self.fill(workspace, rate, now)
+        bucket = self.refill(workspace, rate, now)
         # Without this limit, a request larger than the full bucket would never run.
-        missing = min(charge, self.size(rate)) + promised - bucket.tokens
+        missing = min(charge, self.capacity(rate)) + queued_tokens - bucket.tokens
         if missing <= 0:
             return 0.0
         return max(SOONEST_S, missing / (rate.rate * RATE_FACTOR * self.share))
@@ -307,7 +307,7 @@
         """Take the tokens of an admitted request from its workspace's bucket."""
         rate = self.rate_of(workspace, now)
         if rate is not None and rate.rate > 0:
-            self.fill(workspace, rate, now).tokens -= charge
+            self.refill(workspace, rate, now).tokens -= charge
 
     def discard_stale_bucket(
         self, workspace: WorkspaceName, answered_at: float
@@ -329,18 +329,18 @@
         if bucket is not None and answered_at - bucket.updated_at > HISTORY_S:
             del self.buckets[workspace]
 
-    def size(self, rate: TokenRate) -> float:
+    def capacity(self, rate: TokenRate) -> float:
         """Return the capacity of a bucket, in tokens."""
         return (rate.burst + self.slack * SLACK_SHARE) * self.share
 
-    def fill(
+    def refill(
         self, workspace: WorkspaceName, rate: TokenRate, now: float
     ) -> TokenBucket:
         """Return the bucket of a workspace, refilled up to ``now``."""
-        capacity = self.size(rate)
+        capacity = self.capacity(rate)
         bucket = self.buckets.get(workspace)
         if bucket is None:
-            tokens = self.opening(workspace, rate)
+            tokens = self.initial_tokens(workspace, rate)
             start = now if self.first_report_at is None else self.first_report_at
             bucket = self.buckets[workspace] = TokenBucket(tokens, start)
         gained = (now - bucket.updated_at) * rate.rate * RATE_FACTOR * self.share
--- a/godwitladder/decisions/retry_budget.py
+++ b/godwitladder/decisions/retry_budget.py
@@ -44,7 +44,7 @@
     """Times of the recent requests and retries of one service, oldest first."""
 
     requests: deque[float] = field(default_factory=deque)
-    repeats: deque[float] = field(default_factory=deque)
+    retries: deque[float] = field(default_factory=deque)
 
 
 class RetryBudget:
@@ -82,14 +82,14 @@
         self.prune(recent, now)
         bounds = self.bounds
         allowed = bounds.ratio * len(recent.requests) + bounds.slack / max(1, hosts)
-        if len(recent.repeats) + 1 > allowed * USED_SHARE:
+        if len(recent.retries) + 1 > allowed * USED_SHARE:
             return False
-        recent.repeats.append(now)
+        recent.retries.append(now)
         return True
 
     def prune(self, recent: RequestTimes, now: float) -> None:
         """Remove times from before the window."""
         start = now - self.bounds.window_s
-        for times in (recent.requests, recent.repeats):
+        for times in (recent.requests, recent.retries):
             while times and times[0] < start:
                 times.popleft()
--- a/godwitladder/decisions/returning_callers.py
+++ b/godwitladder/decisions/returning_callers.py
@@ -17,7 +17,7 @@
 Thresholds
 ----------
 RETENTION_S : twice the longest time that callers wait; they come back within it.
-KEPT : largest number of callers: those refused in that time at 1,500 requests
+MAX_CALLERS : largest number of callers: those refused in that time at 1,500 requests
     per second, half of which are refused.
 """
 
@@ -30,11 +30,11 @@
 
 
 class RefusedCallers:
-    """Times at which recently refused callers first asked, by body digest.
+    """Times of the first requests of recently refused callers, by body digest.
 
     Attributes
     ----------
-    asked : OrderedDict
+    first_arrivals : OrderedDict
         Time of the first request by body digest, in seconds, oldest refusal
         first.
     """
@@ -42,23 +42,36 @@
     def __init__(self) -> None:
         self.first_arrivals: OrderedDict[BodyDigest, float] = OrderedDict()
 
-    def note(self, body: BodyDigest, asked: float, now: float) -> None:
-        """Record the refusal of a caller that first asked at ``asked``.
+    def note(self, body: BodyDigest, first_arrived: float, now: float) -> None:
+        """Record the refusal of a caller.
 
         An empty digest is ignored, since it doesn't identify a caller.
+
+        Parameters
+        ----------
+        body : BodyDigest
+            Digest of the body of the refused request.
+        first_arrived : float
+            Time of the caller's first request, in seconds.
+        now : float
+            Current time, in seconds.
         """
         if not body:
             return
-        self.first_arrivals.setdefault(body, asked)
-        while self.first_arrivals and self.is_old(now):
+        self.first_arrivals.setdefault(body, first_arrived)
+        while self.first_arrivals and self.is_oldest_expired(now):
             self.first_arrivals.popitem(last=False)
 
     def first_arrival(self, body: BodyDigest, now: float) -> float | None:
-        """Return when a refused caller first asked; None if it is not known."""
-        asked = self.first_arrivals.get(body)
-        return None if asked is None or now - asked > RETENTION_S else asked
+        """Return the time of a caller's first request; None if not known as refused."""
+        first_arrived = self.first_arrivals.get(body)
+        return (
+            None
+            if first_arrived is None or now - first_arrived > RETENTION_S
+            else first_arrived
+        )
 
-    def is_old(self, now: float) -> bool:
+    def is_oldest_expired(self, now: float) -> bool:
         """Return whether the oldest entry has expired or exceeds the capacity."""
         first_arrival = next(iter(self.first_arrivals.values()))
         return (
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -64,7 +64,7 @@
 def is_refusal_scan_due(pool: PoolView, now: float) -> bool:
     """Return whether a scan of the queue is due, and if so record its time.
 
-    The time is stored in ``pool.memory``, so a second call at the same time
+    The time is stored in ``pool.state``, so a second call at the same time
     returns False.
     """
     if now - pool.state.refused_at < REFUSAL_SCAN_INTERVAL_S:
@@ -149,14 +149,15 @@
     now : float
         Current time, in seconds.
     first : bool
-        Whether no higher tier waits. The test is then `Entry.latest` rather
-        than the earlier `Entry.safe`, so a request is refused only when half
-        of the requests like it would be late: no higher tier could use its
-        slot. With `Entry.safe`, requests were refused while slots became free.
+        Whether no higher tier waits. The limit is then
+        `QueueEntry.latest_start` rather than the earlier
+        `QueueEntry.safe_start`, so a request is refused only when half of the
+        requests like it would be late: no higher tier could use its slot. With
+        the earlier limit, requests were refused while slots became free.
 
     Returns
     -------
-    kept, late : list of Entry
+    kept, late : list of QueueEntry
         Those that can start in time, and those that can't.
     """
     kept: list[QueueEntry] = []
@@ -224,13 +225,13 @@
 
     Parameters
     ----------
-    entry : Entry
+    entry : QueueEntry
         The request to refuse.
     reason : ShedReason
         Why it is refused.
     backlog_s : float
         Seconds until the work that waits now will have started.
     """
-    line = entry.waiting.demand
-    wait = retry_after_s(backlog_s, line.request, line.prior_refusals)
-    return ShedDecision(line.request, reason, wait)
+    demand = entry.waiting.demand
+    wait = retry_after_s(backlog_s, demand.request, demand.prior_refusals)
+    return ShedDecision(demand.request, reason, wait)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -3,7 +3,7 @@
 import random
 
 from godwitladder.decisions.admission import (
-    MAX_BEHIND_S,
+    MAX_STALENESS_S,
     MIN_SHARE,
     UPDATE_INTERVAL_S,
     AdmissionController,
@@ -12,7 +12,7 @@
 from godwitladder.decisions.policy import ROUTED
 from tests.decisions.pools import add, make_pool, make_target
 
-BEHIND = 2 * MAX_BEHIND_S
+STALENESS_S = 2 * MAX_STALENESS_S
 FLOOD, QUIET = ("models", "floods"), ("models", "quiet")
 
 
@@ -21,7 +21,7 @@
     seconds: float,
     arrivals: dict,
     slots: int,
-    behind_s: float = BEHIND,
+    staleness_s: float = STALENESS_S,
 ) -> list[int]:
     """Send ``arrivals`` in each update interval; return how many are asked for.
 
@@ -45,7 +45,7 @@
         admission.served.update(requests[:slots])
         admission.shed.update(requests[slots:])
         totals.append(len(requests))
-        admission.update(now, behind_s)
+        admission.update(now, staleness_s)
     return totals
 
 
@@ -64,7 +64,7 @@
         admission.requested.update({FLOOD: 80, QUIET: 5})
         admission.served.update({FLOOD: 10, QUIET: 5})
         admission.shed.update({FLOOD: 70})
-        admission.update(step * UPDATE_INTERVAL_S, BEHIND)
+        admission.update(step * UPDATE_INTERVAL_S, STALENESS_S)
     assert admission.shares[FLOOD] < 1.0
     assert QUIET not in admission.shares
 
@@ -80,7 +80,9 @@
 
 def test_an_allocator_that_keeps_up_sees_all_requests():
     """Guards against refusing unseen what the allocator would have served first."""
-    asked = simulate(AdmissionController(), 3.0, {FLOOD: 100}, slots=10, behind_s=0.02)
+    asked = simulate(
+        AdmissionController(), 3.0, {FLOOD: 100}, slots=10, staleness_s=0.02
+    )
     assert min(asked) == 100
 
 
@@ -100,6 +102,6 @@
         add(pool, f"flood{number}")
     for row in pool.waiting.values():
         row.ttft_deadline = 0.3
-    pool.staleness_s = BEHIND
+    pool.staleness_s = STALENESS_S
     allocate(pool, 0.0)
     assert {workspace for _, workspace in pool.state.admission.shares} == {"w0"}
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -17,10 +17,10 @@
 RATE = {"w0": TokenRate(1000.0, 2000.0)}
 
 
-def add_timed(pool, request, rank, aim, **more):
-    """Add a waiting request whose first output is due at ``aim``."""
+def add_timed(pool, request, rank, ttft_deadline, **more):
+    """Add a waiting request whose first output is due at ``ttft_deadline``."""
     add(pool, request, rank, **more)
-    pool.waiting[request].ttft_deadline = aim
+    pool.waiting[request].ttft_deadline = ttft_deadline
 
 
 def placed_requests(pool, now=0.0):
@@ -36,15 +36,15 @@
     both would be late.
     """
     pool = make_pool(make_target(limit=1))
-    add_timed(pool, "late", 0, aim=1.0)
-    add_timed(pool, "fresh", 2, aim=9.0)
+    add_timed(pool, "late", 0, ttft_deadline=1.0)
+    add_timed(pool, "fresh", 2, ttft_deadline=9.0)
     assert placed_requests(pool, now=5.0) == ["fresh"]
 
 
 def test_among_requests_in_time_the_tier_decides():
     pool = make_pool(make_target(limit=1))
-    add_timed(pool, "low", 2, aim=9.0)
-    add_timed(pool, "high", 0, aim=9.0)
+    add_timed(pool, "low", 2, ttft_deadline=9.0)
+    add_timed(pool, "high", 0, ttft_deadline=9.0)
     assert placed_requests(pool) == ["high"]
 
 
@@ -60,11 +60,11 @@
 
 def test_a_target_with_unprocessed_prompts_gets_no_further_prompt():
     """Guards against a queue at the target, where precedence has no effect."""
-    reading = make_target("t0", pending_prefill_tokens=1000, max_pending_prefill_s=0.1)
-    pool = make_pool(reading)
+    busy = make_target("t0", pending_prefill_tokens=1000, max_pending_prefill_s=0.1)
+    pool = make_pool(busy)
     add(pool, "r")
     assert placed_requests(pool) == []
-    reading.pending_prefill_tokens = 400
+    busy.pending_prefill_tokens = 400
     assert placed_requests(pool) == ["r"]
 
 
@@ -179,9 +179,9 @@
     """Guards against refusals where a short wait would give enough tokens."""
     pool = make_pool(make_target(limit=9))
     pool.quotas = TokenQuotas(rates=RATE)
-    add_timed(pool, "now", 0, aim=0.8, charge=500)
-    add_timed(pool, "soon", 0, aim=0.8, charge=600)
-    add_timed(pool, "too late", 0, aim=0.8, charge=600)
+    add_timed(pool, "now", 0, ttft_deadline=0.8, charge=500)
+    add_timed(pool, "soon", 0, ttft_deadline=0.8, charge=600)
+    add_timed(pool, "too late", 0, ttft_deadline=0.8, charge=600)
     first = allocate(pool, 0.0)
     assert [row.request for row in first.placements] == ["now"]
     assert given_up(first) == {"too late": ShedReason.QUOTA}
@@ -195,8 +195,8 @@
     pool = make_pool(make_target(limit=9))
     pool.policy = ROUTED
     pool.quotas = TokenQuotas(rates=RATE)
-    add_timed(pool, "now", 0, aim=0.8, charge=500)
-    add_timed(pool, "soon", 0, aim=0.8, charge=400)
+    add_timed(pool, "now", 0, ttft_deadline=0.8, charge=500)
+    add_timed(pool, "soon", 0, ttft_deadline=0.8, charge=400)
     allocate(pool, 0.0)
     assert pool.state.throughput == 0.0
 
@@ -210,7 +210,7 @@
     quotas.rates = low
     quotas.apply_rates(1.0)
     assert quotas.wait_s("w0", 2000, 1.0 + LOWERED_AFTER_S - 0.1) == 0.0
-    assert quotas.wait_s("w0", 200, 1.0 + LOWERED_AFTER_S, promised=1) > 0.0
+    assert quotas.wait_s("w0", 200, 1.0 + LOWERED_AFTER_S, queued_tokens=1) > 0.0
     quotas.rates = high
     quotas.apply_rates(8.0)
     assert quotas.rate_of("w0", 8.0) == high["w0"]
@@ -271,8 +271,8 @@
     late while they waited here; refused again, it would have waited in vain.
     """
     pool = make_pool(make_target(limit=1))
-    add_timed(pool, "late", 0, aim=1.0)
-    add_timed(pool, "back", 0, aim=1.0, arrived=4.0)
+    add_timed(pool, "late", 0, ttft_deadline=1.0)
+    add_timed(pool, "back", 0, ttft_deadline=1.0, arrived=4.0)
     pool.waiting["back"].first_arrived = 0.0
     assert placed_requests(pool, now=5.0) == ["back"]
 
@@ -286,9 +286,9 @@
     """
     pool = make_pool(make_target(limit=1, used=1))
     pool.policy = ROUTED
-    add_timed(pool, "letter", 0, aim=1.0)
+    add_timed(pool, "letter", 0, ttft_deadline=1.0)
     pool.waiting["letter"].start_by = 2.0
-    add_timed(pool, "question", 2, aim=9.0, arrived=2.9)
+    add_timed(pool, "question", 2, ttft_deadline=9.0, arrived=2.9)
     assert given_up(allocate(pool, 3.0)) == {"letter": ShedReason.DEADLINE}
 
 
@@ -301,7 +301,7 @@
     pool = make_pool(make_target(limit=1, used=1))
     pool.policy = ROUTED
     for number in range(40):
-        add_timed(pool, f"q{number:02}", 2, aim=5.0)
+        add_timed(pool, f"q{number:02}", 2, ttft_deadline=5.0)
     refused = given_up(allocate(pool, 1.0))
     assert 30 < len(refused) < 40
     assert set(refused.values()) == {ShedReason.OVERLOAD}
@@ -313,7 +313,7 @@
     pool.policy = ROUTED
     pool.state.started = dict(started)
     for number in range(12):
-        add_timed(pool, f"v{number:02}", 4, aim=4.0, predicted_tokens=20)
+        add_timed(pool, f"v{number:02}", 4, ttft_deadline=4.0, predicted_tokens=20)
     return len(given_up(allocate(pool, 0.0)))
 
 
@@ -342,8 +342,8 @@
     pool = make_pool(slow, fast)
     pool.policy = ROUTED
     limits = {"gap_s": 0.3, "event_tokens": 5}
-    add_timed(pool, "letter", 0, aim=9.0, prompt_tokens=3000, **limits)
-    add_timed(pool, "question", 2, aim=9.0, prompt_tokens=300, **limits)
+    add_timed(pool, "letter", 0, ttft_deadline=9.0, prompt_tokens=3000, **limits)
+    add_timed(pool, "question", 2, ttft_deadline=9.0, prompt_tokens=300, **limits)
     assert placed_requests(pool) == ["question"]
     fast.used = 0
     assert "letter" in placed_requests(pool)
@@ -353,7 +353,15 @@
     """Guards against a long prompt that never runs while all targets are slow."""
     pool = make_pool(make_target("t0", used=2, **SLOW))
     pool.policy = ROUTED
-    add_timed(pool, "letter", 0, aim=9.0, prompt_tokens=9000, gap_s=0.3, event_tokens=5)
+    add_timed(
+        pool,
+        "letter",
+        0,
+        ttft_deadline=9.0,
+        prompt_tokens=9000,
+        gap_s=0.3,
+        event_tokens=5,
+    )
     assert placed_requests(pool) == ["letter"]
 
 
@@ -363,7 +371,7 @@
     fast = make_target("t1", limit=1, used=1, first_s=0.05)
     pool = make_pool(slow, fast)
     pool.policy = ROUTED
-    add_timed(pool, "r", 0, aim=0.3, prompt_tokens=10)
+    add_timed(pool, "r", 0, ttft_deadline=0.3, prompt_tokens=10)
     assert placed_requests(pool) == []
     fast.used = 0
     assert placed_requests(pool) == ["r"]
@@ -389,9 +397,9 @@
 def test_a_request_beyond_its_quota_yields_to_late_ones_within_theirs():
     """Guards against a flood beyond a quota that delays another workspace."""
     pool = make_pool(make_target(limit=1))
-    add_timed(pool, "beyond", 0, aim=9.0)
+    add_timed(pool, "beyond", 0, ttft_deadline=9.0)
     pool.waiting["beyond"].within_quota = False
-    add_timed(pool, "late", 2, aim=1.0)
+    add_timed(pool, "late", 2, ttft_deadline=1.0)
     assert placed_requests(pool, now=5.0) == ["late"]
 
 
