--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -11,7 +11,7 @@
 
 Thresholds
 ----------
-LONGEST_LOOK_S : a queue that has lasted for some seconds is taken to last as
+MAX_CONTENTION_S : a queue that has lasted for some seconds is taken to last as
     long again, up to this: callers who come back sooner are refused again.
 MISSES : a tier is left after this many requests in a row that fit no target;
     looking at all of a thousand costs several milliseconds a run, and the
@@ -24,9 +24,10 @@
 
 from godwitladder.decisions.admission import Flow
 from godwitladder.decisions.backlog import Backlog, Group
-from godwitladder.decisions.capacity import Capacity, Room, is_long
+from godwitladder.decisions.capacity import PoolCapacity, TargetCapacity, is_long
 from godwitladder.decisions.fairness import TierQueue
-from godwitladder.decisions.shares import Precedence, Timeliness, serving_order
+from godwitladder.decisions.late_refusal import refuse_late_starts
+from godwitladder.decisions.precedence import Precedence, Timeliness, serving_order
 from godwitladder.decisions.shedding import (
     make_shed_decision,
     refuse_early,
@@ -44,11 +45,10 @@
     ShedReason,
     WorkspaceView,
 )
-from godwitladder.decisions.untimely import refuse_untimely
 from godwitladder.ids import RequestId, ServiceName, WorkspaceName
 
 MISSES = 32
-LONGEST_LOOK_S = 4.0
+MAX_CONTENTION_S = 4.0
 
 
 def allocate(pool: PoolView, now: float) -> Allocation:
@@ -61,7 +61,7 @@
     run.place_all()
     run.drop_expired()
     run.follow_others()
-    refuse = refuse_early if pool.policy.is_strict else refuse_untimely
+    refuse = refuse_early if pool.policy.is_strict else refuse_late_starts
     run.drop(refuse(run.backlog, pool, now), ShedReason.OVERLOAD)
     run.summarize()
     pool.state.admission.update(now, pool.staleness_s)
@@ -79,11 +79,11 @@
     def __init__(self, pool: PoolView, now: float) -> None:
         self.pool = pool
         self.now = now
-        self.capacity = Capacity(pool)
+        self.capacity = PoolCapacity(pool)
         self.allocation = Allocation()
         sizes = pool.state.sizes if pool.policy.min_share else None
         self.backlog = Backlog(self.capacity, sizes)
-        pool.state.fade(now)
+        pool.state.decay(now)
         for entry in self.backlog.sort(list(pool.waiting.values()), now):
             pool.state.admission.requested[flow_of(entry)] += 1
             if not entry.waiting.is_retry:
@@ -112,7 +112,7 @@
                     e for e in group.entries if e.waiting.demand.request not in placed
                 ]
                 if len(kept) < len(group.entries):
-                    group.keep(kept)
+                    group.retain(kept)
         if self.pool.policy.uses_measured_throughput:
             self.record_throughput()
 
@@ -128,7 +128,7 @@
     def record_throughput(self) -> None:
         """Remember how much was started while more waited."""
         waits = any(group.entries for group in self.backlog.groups.values())
-        slots = sum(room.view.limit for room in self.capacity.rooms)
+        slots = sum(room.view.limit for room in self.capacity.targets)
         self.pool.state.record_throughput(self.placed_s, waits, slots, self.now)
 
     def place_groups(
@@ -224,12 +224,14 @@
         row = ShedDecision(entry.waiting.demand.request, ShedReason.QUOTA, wait_s)
         self.allocation.sheds.append(row)
 
-    def note(self, entry: QueueEntry, room: Room, long: bool) -> None:
+    def note(self, entry: QueueEntry, room: TargetCapacity, long: bool) -> None:
         """Remember a placement for the next runs."""
         line = entry.waiting.demand
         memory = self.pool.state
         memory.admission.served[flow_of(entry)] += 1
-        memory.note(entry.precedence_at(self.now), line.workspace, entry.slot_s)
+        memory.record_placement(
+            entry.precedence_at(self.now), line.workspace, entry.slot_s
+        )
         self.placed_s += entry.slot_s
         if long:
             end = self.now + room.seconds(line)
@@ -275,7 +277,7 @@
             if key not in waits:
                 waits[key] = max(
                     self.backlog.wait_s(*key),
-                    min(self.pool.state.contended_s(), LONGEST_LOOK_S),
+                    min(self.pool.state.contended_s(), MAX_CONTENTION_S),
                 )
             if reason is ShedReason.OVERLOAD:
                 self.note_shed(line.tier_rank)
--- a/godwitladder/decisions/allocator_state.py
+++ b/godwitladder/decisions/allocator_state.py
@@ -26,8 +26,8 @@
 
 from godwitladder.decisions.admission import AdmissionController
 from godwitladder.decisions.entitlement import Entitlements
+from godwitladder.decisions.precedence import Precedence
 from godwitladder.decisions.returning_callers import RefusedCallers
-from godwitladder.decisions.shares import Precedence
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.ids import TargetName, WorkspaceName
 
@@ -55,7 +55,7 @@
         where they no longer count as long.
     long_ends : dict
         For each target, when its long requests are expected to end: a heap.
-    refused_at : float
+    last_refusal_check : float
         When the queue was last looked through for early refusals.
     flow : float
         Slot seconds started in each second while more waited; 0 while nothing
@@ -80,7 +80,7 @@
     spent: dict[WorkspaceName, float] = field(default_factory=dict)
     typical_s: float = 0.0
     long_ends: dict[TargetName, list[float]] = field(default_factory=dict)
-    refused_at: float = float("-inf")
+    last_refusal_check: float = float("-inf")
     faded: float = 0.0
     throughput: float = 0.0
     flow_at: float = float("-inf")
@@ -94,7 +94,7 @@
     entitlements: Entitlements = field(default_factory=Entitlements)
     admission: AdmissionController = field(default_factory=AdmissionController)
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Let everything fade up to ``now``."""
         elapsed_s = max(0.0, now - self.faded)
         self.faded = now
@@ -115,7 +115,7 @@
             while ends and ends[0] <= now:
                 heapq.heappop(ends)
 
-    def note(
+    def record_placement(
         self, precedence: Precedence, workspace: WorkspaceName, slot_s: float
     ) -> None:
         """A request was placed."""
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -67,9 +67,9 @@
     The time is stored in ``pool.state``, so a second call at the same time
     returns False.
     """
-    if now - pool.state.refused_at < REFUSAL_SCAN_INTERVAL_S:
+    if now - pool.state.last_refusal_check < REFUSAL_SCAN_INTERVAL_S:
         return False
-    pool.state.refused_at = now
+    pool.state.last_refusal_check = now
     return True
 
 
@@ -107,7 +107,7 @@
     if not slots:
         return []
     ahead_s = backlog.work_s(group.service, group.precedence) - group.work_s
-    if now + (ahead_s + group.work_s) / slots <= group.soonest:
+    if now + (ahead_s + group.work_s) / slots <= group.earliest_safe_start:
         return []
     queue = TierQueue(group.entries, pool.workspaces, pool.state.spent, now)
     first = group.precedence == backlog.precedences()[0]
@@ -116,7 +116,7 @@
         fresh = [e for e in late if now - e.waiting.arrived < SPILL_AFTER_S]
         kept += fresh
         late = [e for e in late if now - e.waiting.arrived >= SPILL_AFTER_S]
-    group.keep(kept)
+    group.retain(kept)
     return late
 
 
@@ -127,7 +127,7 @@
     counted, a low tier would seem to have the whole pool as soon as the last
     of them had started.
     """
-    slots = group.part.slots
+    slots = group.capacity.slots
     return max(
         slots * MIN_SLOT_SHARE, slots - pool.state.slots_before(group.precedence)
     )
@@ -183,7 +183,7 @@
     for group in backlog.groups.values():
         if group.precedence.rank > rank and group.service in affected:
             removed += group.entries
-            group.keep([])
+            group.retain([])
     return removed
 
 
@@ -196,7 +196,7 @@
     return {
         name
         for name, part in capacity.services.items()
-        if any(room.view.name in targets for room in part.rooms)
+        if any(room.view.name in targets for room in part.targets)
     }
 
 
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -11,8 +11,8 @@
 
 from godwitladder.decisions.allocator_state import AllocatorState
 from godwitladder.decisions.policy import Policy
+from godwitladder.decisions.precedence import Precedence
 from godwitladder.decisions.quotas import TokenQuotas
-from godwitladder.decisions.shares import Precedence
 from godwitladder.ids import (
     BodyDigest,
     HostId,
@@ -240,7 +240,7 @@
         return self.precedence if now <= self.ttft_deadline else self.late_precedence
 
 
-class Pace(NamedTuple):
+class TokenTimes(NamedTuple):
     """Seconds for one prompt token and one output token."""
 
     prefill_s: float
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -6,10 +6,15 @@
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.entitlement import Entitlements
 from godwitladder.decisions.policy import ROUTED
+from godwitladder.decisions.precedence import (
+    Precedence,
+    Size,
+    Timeliness,
+    serving_order,
+)
 from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.decisions.quotas import LOWERED_AFTER_S, TokenQuotas, TokenRate
 from godwitladder.decisions.retry_budget import USED_SHARE, RetryBudget, RetryLimits
-from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import ShedReason
 from tests.decisions.pools import add, given_up, make_pool, make_target, take
@@ -140,7 +145,7 @@
 
 def test_late_requests_of_any_rank_go_after_those_in_time():
     """Guards against late requests after a burst that delay those still in time."""
-    returned = Precedence(Timeliness.CAME_BACK, 0)
+    returned = Precedence(Timeliness.RETRIED, 0)
     late = Precedence(Timeliness.LATE, 0)
     rows = [("late", late, 0.0), ("verdict", VERDICT, 1.0), ("back", returned, 0.0)]
     assert order_of(rows) == ["verdict", "back", "late"]
