--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -89,13 +89,13 @@
             break
         groups = backlog.at(precedence)
         for group in groups:
-            refused += refuse_late(group, backlog, pool, now)
+            refused += refuse_late_in_group(group, backlog, pool, now)
         if any(group.entries for group in groups):
             break
     return refused
 
 
-def refuse_late(
+def refuse_late_in_group(
     group: Group, backlog: Backlog, pool: PoolView, now: float
 ) -> list[QueueEntry]:
     """Remove and return the requests of ``group`` that can't start in time.
@@ -192,11 +192,13 @@
 ) -> set[ServiceName]:
     """Return all services that share a target with one of ``services``."""
     capacity = backlog.capacity
-    targets = {room.view.name for name in services for room in capacity.of(name).rooms}
+    targets = {
+        target.view.name for name in services for target in capacity.of(name).targets
+    }
     return {
         name
         for name, part in capacity.services.items()
-        if any(room.view.name in targets for room in part.targets)
+        if any(target.view.name in targets for target in part.targets)
     }
 
 
