--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -17,7 +17,7 @@
 from godwitladder.decisions.retry_budget import USED_SHARE, RetryBudget, RetryLimits
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import ShedReason
-from tests.decisions.pools import add, given_up, make_pool, make_target, take
+from tests.decisions.pools import add, make_pool, make_target, shed_reasons, take
 
 RATE = {"w0": TokenRate(1000.0, 2000.0)}
 
@@ -58,9 +58,9 @@
     pool = make_pool(make_target(limit=0))
     add(pool, "r")
     pool.waiting["r"].start_by = 3.0
-    assert given_up(allocate(pool, 2.9)) == {}
+    assert shed_reasons(allocate(pool, 2.9)) == {}
     pool.waiting["r"].entry = None
-    assert given_up(allocate(pool, 3.1)) == {"r": ShedReason.DEADLINE}
+    assert shed_reasons(allocate(pool, 3.1)) == {"r": ShedReason.DEADLINE}
 
 
 def test_a_target_with_unprocessed_prompts_gets_no_further_prompt():
@@ -189,7 +189,7 @@
     add_timed(pool, "too late", 0, ttft_deadline=0.8, charge=600)
     first = allocate(pool, 0.0)
     assert [row.request for row in first.placements] == ["now"]
-    assert given_up(first) == {"too late": ShedReason.QUOTA}
+    assert shed_reasons(first) == {"too late": ShedReason.QUOTA}
     take(pool, first)
     assert placed_requests(pool, now=0.5) == []
     assert placed_requests(pool, now=0.6) == ["soon"]
@@ -294,7 +294,7 @@
     add_timed(pool, "letter", 0, ttft_deadline=1.0)
     pool.waiting["letter"].start_by = 2.0
     add_timed(pool, "question", 2, ttft_deadline=9.0, arrived=2.9)
-    assert given_up(allocate(pool, 3.0)) == {"letter": ShedReason.DEADLINE}
+    assert shed_reasons(allocate(pool, 3.0)) == {"letter": ShedReason.DEADLINE}
 
 
 def test_a_request_that_will_be_late_is_refused_at_once():
@@ -307,7 +307,7 @@
     pool.policy = ROUTED
     for number in range(40):
         add_timed(pool, f"q{number:02}", 2, ttft_deadline=5.0)
-    refused = given_up(allocate(pool, 1.0))
+    refused = shed_reasons(allocate(pool, 1.0))
     assert 30 < len(refused) < 40
     assert set(refused.values()) == {ShedReason.OVERLOAD}
 
@@ -319,7 +319,7 @@
     pool.state.started = dict(started)
     for number in range(12):
         add_timed(pool, f"v{number:02}", 4, ttft_deadline=4.0, predicted_tokens=20)
-    return len(given_up(allocate(pool, 0.0)))
+    return len(shed_reasons(allocate(pool, 0.0)))
 
 
 def test_a_rank_with_a_share_is_not_refused_for_the_use_of_others():
