--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -15,7 +15,7 @@
     Allowance,
     Completion,
     GrantOffer,
-    Stretch,
+    ThroughputSample,
 )
 from godwitladder.scheduler.pools import Pool
 
@@ -132,7 +132,9 @@
     allowed_until: float = 0.0
     grants: dict[RequestId, HeldGrant] = field(default_factory=dict)
     completions: list[Completion] = field(default_factory=list)
-    stretches: dict[tuple[TargetName, bool], Stretch] = field(default_factory=dict)
+    stretches: dict[tuple[TargetName, bool], ThroughputSample] = field(
+        default_factory=dict
+    )
     asked: dict[RequestId, int] = field(default_factory=dict)
     told: set[RequestId] = field(default_factory=set)
     settled: set[RequestId] = field(default_factory=set)
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True)
-class Stretch:
+class ThroughputSample:
     """Work that a target has done, or should have done by now.
 
     Attributes
@@ -161,7 +161,7 @@
     rest: tuple[TierCount, ...] = ()
     avoided: tuple[TargetName, ...] = ()
     completions: tuple[Completion, ...] = ()
-    stretches: tuple[Stretch, ...] = ()
+    stretches: tuple[ThroughputSample, ...] = ()
     spent: tuple[Spent, ...] = ()
     known_s: float = 0.0
     via: HostId = HostId("")
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -52,7 +52,7 @@
     FloorReport,
     GrantOffer,
     PoolReport,
-    Stretch,
+    ThroughputSample,
 )
 from godwitladder.scheduler.pools import Pool
 from godwitladder.scheduler.quotas import token_rates
@@ -210,7 +210,7 @@
                 row = take_line(self, account.host, line, told_at, before)
                 self.rows[line.request] = row
 
-    def watch(self, row: Stretch, now: float) -> None:
+    def watch(self, row: ThroughputSample, now: float) -> None:
         """Take in how fast a target works while requests run."""
         if not self.speeds.known(row.target):
             return
