--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -88,7 +88,7 @@
     prompt_tokens: int
     output_tokens: int
     taken_s: float
-    open: bool = False
+    in_progress: bool = False
 
 
 @dataclass(frozen=True)
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -217,7 +217,7 @@
         expected_s = self.speeds.expected_s(
             row.target, row.prompt_tokens, row.output_tokens
         )
-        if not row.open or row.taken_s > expected_s:
+        if not row.in_progress or row.taken_s > expected_s:
             self.easing.observe(row.target, expected_s, row.taken_s, now)
 
     def learn(self, row: Completion) -> None:
--- a/godwitladder/scheduler/stretches.py
+++ b/godwitladder/scheduler/stretches.py
@@ -74,9 +74,11 @@
     """Return what ``row`` is waiting for."""
     if not row.first_token:
         taken_s = now - row.dispatched
-        return ThroughputSample(row.target, row.prompt_tokens, 1, taken_s, open=True)
+        return ThroughputSample(
+            row.target, row.prompt_tokens, 1, taken_s, in_progress=True
+        )
     return ThroughputSample(
-        row.target, 0, AWAITED_TOKENS, now - row.progressed, open=True
+        row.target, 0, AWAITED_TOKENS, now - row.progressed, in_progress=True
     )
 
 
@@ -87,5 +89,5 @@
         one.prompt_tokens + other.prompt_tokens,
         one.output_tokens + other.output_tokens,
         one.taken_s + other.taken_s,
-        one.open,
+        one.in_progress,
     )
