--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -132,7 +132,7 @@
     allowed_until: float = 0.0
     grants: dict[RequestId, HeldGrant] = field(default_factory=dict)
     completions: list[Completion] = field(default_factory=list)
-    stretches: dict[tuple[TargetName, bool], ThroughputSample] = field(
+    throughput_samples: dict[tuple[TargetName, bool], ThroughputSample] = field(
         default_factory=dict
     )
     asked: dict[RequestId, int] = field(default_factory=dict)
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -161,7 +161,7 @@
     rest: tuple[TierCount, ...] = ()
     avoided: tuple[TargetName, ...] = ()
     completions: tuple[Completion, ...] = ()
-    stretches: tuple[ThroughputSample, ...] = ()
+    throughput_samples: tuple[ThroughputSample, ...] = ()
     spent: tuple[Spent, ...] = ()
     known_s: float = 0.0
     via: HostId = HostId("")
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -219,7 +219,7 @@
         rest=tuple(TierCount(*item) for item in sorted(rest.items())),
         avoided=tuple(row.name for row in targets if row.avoided_until > now),
         completions=completions,
-        stretches=take_stretches(tables, access, now),
+        throughput_samples=take_stretches(tables, access, now),
         spent=access.history.rows(now) if unanswered else (),
         known_s=access.history.known_s(now) if unanswered else 0.0,
         changes=news.changes,
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -191,7 +191,7 @@
         self.quotas.recall(report.host, report.spent, report.known_s, now)
         for row in report.completions:
             self.learn(row)
-        for stretch in report.stretches:
+        for stretch in report.throughput_samples:
             self.watch(stretch, now)
         wanted = any(row.lines or row.more_waiting for row in self.accounts.values())
         return wanted or account.offered == float("-inf")
--- a/godwitladder/scheduler/stretches.py
+++ b/godwitladder/scheduler/stretches.py
@@ -39,12 +39,12 @@
     one such caller must not take slots from all others.
     """
     key = done.target, done.prompt_tokens > 0
-    held = access.stretches.get(key)
+    held = access.throughput_samples.get(key)
     if held and done.prompt_tokens:
         done = join(held, done)
     elif held and is_faster(held, done):
         done = held
-    access.stretches[key] = done
+    access.throughput_samples[key] = done
 
 
 def is_faster(one: ThroughputSample, other: ThroughputSample) -> bool:
@@ -56,7 +56,7 @@
     tables: Tables, access: PoolAccess, now: float
 ) -> tuple[ThroughputSample, ...]:
     """Return what to report, and start anew."""
-    done, access.stretches = access.stretches, {}
+    done, access.throughput_samples = access.throughput_samples, {}
     waited: dict[TargetName, ThroughputSample] = {}
     for row in tables.running.values():
         if row.target not in access.pool.targets or not row.declared_tokens:
