--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -154,7 +154,7 @@
     number: int
     sent_s: float
     term: int
-    seen: int
+    acked_offer: int
     uses: tuple[TargetUse, ...] = ()
     workspaces: tuple[WorkspaceUse, ...] = ()
     lines: tuple[DemandLine, ...] = ()
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -212,7 +212,7 @@
         number=number,
         sent_s=now,
         term=access.term,
-        seen=access.seen,
+        acked_offer=access.seen,
         uses=report_uses(access, targets),
         workspaces=report_workspaces(tables, access),
         lines=tuple(make_line(tables, shown[request], now) for request in news.lines),
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -184,7 +184,7 @@
         if account is None:
             account = HostAccount(*key, next_number=self.first_number)
             self.accounts[key] = account
-        seen = report.seen if report.term == self.term else 0
+        seen = report.acked_offer if report.term == self.term else 0
         if not account.take(report, seen, now):
             return False
         self.take_lines(account, report, now - delay_s)
