--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -175,7 +175,7 @@
             return False
         self.seen = offer.number
         self.answered = now
-        self.echoed = max(self.echoed, offer.echo)
+        self.echoed = max(self.echoed, offer.acked_report)
         if self.echoed >= self.unanswered[0]:
             self.unanswered = (0, 0.0)
         while self.outstanding and self.outstanding[0][0] <= self.echoed:
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -200,7 +200,7 @@
     pool: PoolName
     term: int
     number: int
-    echo: int
+    acked_report: int
     until_s: float
     urgent: bool = False
     allowances: tuple[Allowance, ...] = ()
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -478,7 +478,7 @@
             pool=self.pool.name,
             term=self.term,
             number=number,
-            echo=account.received,
+            acked_report=account.received,
             until_s=until_s,
             urgent=not before <= set(allowances),
             allowances=tuple(allowances.values()),
--- a/tests/scheduler/test_idle.py
+++ b/tests/scheduler/test_idle.py
@@ -72,7 +72,7 @@
     for step in range(10):
         assert not role.run(HOSTS, START + 1 + step * ANSWER_S)
     role.take_report(report_of("h1", 2, START + 2.5), START + 2.5)
-    assert role.run(HOSTS, START + 4)[0].echo == 2
+    assert role.run(HOSTS, START + 4)[0].acked_report == 2
 
 
 def test_a_target_that_one_busy_host_cannot_reach_is_kept_for_the_silent_ones():
