--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -127,7 +127,7 @@
         self.via = report.via
         self.uses = {use.target: use for use in report.uses}
         self.workspaces = {use.workspace: use.running for use in report.workspaces}
-        self.more_waiting = sum(row.count for row in report.rest)
+        self.more_waiting = sum(row.count for row in report.unlisted)
         self.avoided = frozenset(report.avoided)
         self._acknowledge(seen)
         self._lapse()
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -158,7 +158,7 @@
     uses: tuple[TargetUse, ...] = ()
     workspaces: tuple[WorkspaceUse, ...] = ()
     lines: tuple[DemandLine, ...] = ()
-    rest: tuple[TierCount, ...] = ()
+    unlisted: tuple[TierCount, ...] = ()
     avoided: tuple[TargetName, ...] = ()
     completions: tuple[Completion, ...] = ()
     throughput_samples: tuple[ThroughputSample, ...] = ()
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -297,7 +297,7 @@
     ((_, report),) = due_reports(tables, now)
     assert len(report.lines) == 32
     assert report.lines[-1].request == "least"
-    assert sum(row.count for row in report.rest) == 969
+    assert sum(row.count for row in report.unlisted) == 969
 
 
 def test_use_and_completions_reach_the_allocator():
