--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -149,7 +149,7 @@
         self.known_counted = self.known_running = None
 
     def _take_lines(self, report: PoolReport) -> None:
-        if not report.changes:
+        if not report.incremental:
             self.lines = {}
         for request in report.gone:
             self.lines.pop(request, None)
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -165,7 +165,7 @@
     spent: tuple[Spent, ...] = ()
     known_s: float = 0.0
     via: HostId = HostId("")
-    changes: bool = False
+    incremental: bool = False
     gone: tuple[RequestId, ...] = ()
 
 
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -222,7 +222,7 @@
         throughput_samples=take_stretches(tables, access, now),
         spent=access.history.rows(now) if unanswered else (),
         known_s=access.history.known_s(now) if unanswered else 0.0,
-        changes=news.changes,
+        incremental=news.changes,
         gone=news.gone,
     )
 
