--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -151,7 +151,7 @@
     def _take_lines(self, report: PoolReport) -> None:
         if not report.incremental:
             self.lines = {}
-        for request in report.gone:
+        for request in report.removed:
             self.lines.pop(request, None)
         for line in report.lines:
             # A line whose grant is still on its way must not be granted again:
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -166,7 +166,7 @@
     known_s: float = 0.0
     via: HostId = HostId("")
     incremental: bool = False
-    gone: tuple[RequestId, ...] = ()
+    removed: tuple[RequestId, ...] = ()
 
 
 @peer_message
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -223,7 +223,7 @@
         spent=access.history.rows(now) if unanswered else (),
         known_s=access.history.known_s(now) if unanswered else 0.0,
         incremental=news.changes,
-        gone=news.gone,
+        removed=news.gone,
     )
 
 
