--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -181,9 +181,9 @@
         while self.outstanding and self.outstanding[0][0] <= self.echoed:
             self.outstanding.popleft()
         self.allowances = {row.target: row for row in offer.allowances}
-        self.allowed_until = offer.until_s
+        self.allowed_until = offer.expires_s
         for grant in offer.grants:
-            self.grants[grant.request] = HeldGrant(grant, offer.until_s)
+            self.grants[grant.request] = HeldGrant(grant, offer.expires_s)
         self.dirty |= offer.urgent or bool(offer.grants)
         # The allocator has dropped their lines, whatever becomes of them here.
         self.settled.update(grant.request for grant in offer.grants)
--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -52,12 +52,12 @@
 
     Attributes
     ----------
-    until_s : float
+    expires_s : float
         When they lapse, by the host's own clock.
     """
 
     number: int
-    until_s: float
+    expires_s: float
     allowances: dict[TargetName, Allowance]
 
 
@@ -66,7 +66,7 @@
     """One grant of one offer, for a request of ``workspace``."""
 
     number: int
-    until_s: float
+    expires_s: float
     grant: Grant
     workspace: WorkspaceName
     prompt_tokens: int = 0
@@ -167,10 +167,10 @@
                 del self.grants[request]
 
     def _lapse(self) -> None:
-        while self.allowances and self.allowances[0].until_s <= self.sent_s:
+        while self.allowances and self.allowances[0].expires_s <= self.sent_s:
             self.allowances.popleft()
         for request, sent in list(self.grants.items()):
-            if sent.until_s <= self.sent_s:
+            if sent.expires_s <= self.sent_s:
                 del self.grants[request]
 
     def counted(self) -> dict[TargetName, Counted]:
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -182,7 +182,7 @@
         Counts the allocator's offers to this host.
     echo : int
         Number of the last report it took in from this host.
-    until_s : float
+    expires_s : float
         When all of this lapses, by the clock of the host it is for.
     urgent : bool
         Whether the host is to report at once, since something was taken back.
@@ -201,7 +201,7 @@
     term: int
     number: int
     acked_report: int
-    until_s: float
+    expires_s: float
     urgent: bool = False
     allowances: tuple[Allowance, ...] = ()
     grants: tuple[Grant, ...] = ()
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -363,13 +363,13 @@
 
     def count_grants(self, account: HostAccount, offering: Offering) -> None:
         """Count grants against a host before any allowance is worked out."""
-        until_s = account.sent_s + LAPSE_S
+        expires_s = account.sent_s + LAPSE_S
         for grant in offering.grants:
             line = account.lines.pop(grant.request)
             account.note_grant(
                 SentGrant(
                     account.next_number,
-                    until_s,
+                    expires_s,
                     grant,
                     line.workspace,
                     line.prompt_tokens,
@@ -469,8 +469,8 @@
         number, account.next_number = account.next_number, account.next_number + 1
         account.offered = now
         account.echoed = account.received
-        until_s = account.sent_s + LAPSE_S
-        account.note_allowances(SentAllowances(number, until_s, allowances))
+        expires_s = account.sent_s + LAPSE_S
+        account.note_allowances(SentAllowances(number, expires_s, allowances))
         return GrantOffer(
             host=account.host,
             incarnation=account.incarnation,
@@ -479,7 +479,7 @@
             term=self.term,
             number=number,
             acked_report=account.received,
-            until_s=until_s,
+            expires_s=expires_s,
             urgent=not before <= set(allowances),
             allowances=tuple(allowances.values()),
             grants=tuple(offering.grants),
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -106,11 +106,11 @@
     desk, now = settled({"e0": 4})
     account = desk.roles["h0"].account("h1", now)
     assert account.counted().get("e0", NOTHING).running == 1
-    until_s = account.allowances[-1].until_s
-    late = PoolReport("h1", 1, desk.pool, 99, until_s - 0.1, 1, 0)
+    expires_s = account.allowances[-1].expires_s
+    late = PoolReport("h1", 1, desk.pool, 99, expires_s - 0.1, 1, 0)
     account.take(late, account.next_number - 1, now + LAPSE_S)
     assert account.counted().get("e0", NOTHING).running == 1
-    account.take(replace(late, number=100, sent_s=until_s), 0, now + LAPSE_S)
+    account.take(replace(late, number=100, sent_s=expires_s), 0, now + LAPSE_S)
     assert account.counted().get("e0", NOTHING).running == 0
 
 
