--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -184,7 +184,7 @@
         self.allowed_until = offer.expires_s
         for grant in offer.grants:
             self.grants[grant.request] = HeldGrant(grant, offer.expires_s)
-        self.dirty |= offer.urgent or bool(offer.grants)
+        self.dirty |= offer.report_now or bool(offer.grants)
         # The allocator has dropped their lines, whatever becomes of them here.
         self.settled.update(grant.request for grant in offer.grants)
         self.settled.update(shed.request for shed in offer.sheds)
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -202,7 +202,7 @@
     number: int
     acked_report: int
     expires_s: float
-    urgent: bool = False
+    report_now: bool = False
     allowances: tuple[Allowance, ...] = ()
     grants: tuple[Grant, ...] = ()
     sheds: tuple[Shed, ...] = ()
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -480,7 +480,7 @@
             number=number,
             acked_report=account.received,
             expires_s=expires_s,
-            urgent=not before <= set(allowances),
+            report_now=not before <= set(allowances),
             allowances=tuple(allowances.values()),
             grants=tuple(offering.grants),
             sheds=tuple(offering.sheds),
