--- a/bench/ticks.py
+++ b/bench/ticks.py
@@ -114,7 +114,7 @@
                 number=number,
                 sent_s=now,
                 term=role.term,
-                seen=number - 1,
+                acked_offer=number - 1,
                 lines=rows,
             )
             role.take_report(news, now)
