--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -58,7 +58,7 @@
 from godwitladder.scheduler.quotas import token_rates
 from godwitladder.scheduler.views import pool_view, take_line, target_views
 
-LAPSE_S = 2.5
+OFFER_LIFETIME_S = 2.5
 """An allowance outlives a lost renewal, and lapses before a host that lost
 its allocator helps itself to its fixed share."""
 
@@ -328,7 +328,7 @@
                 request=row.request,
                 tier_rank=waiting.line.tier_rank,
                 reserved_tokens=row.reserved_tokens,
-                lapse_s=LAPSE_S,
+                lapse_s=OFFER_LIFETIME_S,
             )
             self.hints.note_dispatch(row.target, waiting.line.prefix, now)
             self.note_reading(row.target, waiting.line.prompt_tokens, now)
@@ -363,7 +363,7 @@
 
     def count_grants(self, account: HostAccount, offering: Offering) -> None:
         """Count grants against a host before any allowance is worked out."""
-        expires_s = account.sent_s + LAPSE_S
+        expires_s = account.sent_s + OFFER_LIFETIME_S
         for grant in offering.grants:
             line = account.lines.pop(grant.request)
             account.note_grant(
@@ -469,7 +469,7 @@
         number, account.next_number = account.next_number, account.next_number + 1
         account.offered = now
         account.echoed = account.received
-        expires_s = account.sent_s + LAPSE_S
+        expires_s = account.sent_s + OFFER_LIFETIME_S
         account.note_allowances(SentAllowances(number, expires_s, allowances))
         return GrantOffer(
             host=account.host,
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -16,7 +16,7 @@
 )
 from godwitladder.scheduler.messages import HostsChanged
 from godwitladder.scheduler.reports import due_reports, take_offer, update_targets
-from godwitladder.scheduler.role import FORGET_S, LAPSE_S, WARM_UP_S
+from godwitladder.scheduler.role import FORGET_S, OFFER_LIFETIME_S, WARM_UP_S
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.scheduler.systems import finish_request, run_systems
 from tests.scheduler.desk import (
@@ -108,9 +108,9 @@
     assert account.counted().get("e0", NOTHING).running == 1
     expires_s = account.allowances[-1].expires_s
     late = PoolReport("h1", 1, desk.pool, 99, expires_s - 0.1, 1, 0)
-    account.take(late, account.next_number - 1, now + LAPSE_S)
+    account.take(late, account.next_number - 1, now + OFFER_LIFETIME_S)
     assert account.counted().get("e0", NOTHING).running == 1
-    account.take(replace(late, number=100, sent_s=expires_s), 0, now + LAPSE_S)
+    account.take(replace(late, number=100, sent_s=expires_s), 0, now + OFFER_LIFETIME_S)
     assert account.counted().get("e0", NOTHING).running == 0
 
 
