--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -73,7 +73,7 @@
 SILENT_S = 3.0
 """Demand of a host that was silent for so long is no longer answered."""
 
-FORGET_S = 5.0
+HOST_TIMEOUT_S = 5.0
 """Use of a silent host counts for so long: its requests may still run. After
 that the targets' own load reports have had time to show them."""
 
@@ -284,7 +284,7 @@
         """Drop hosts that are gone, and floors that nobody repeats."""
         self.listed_at = None
         for key, account in list(self.accounts.items()):
-            if now - account.heard > FORGET_S:
+            if now - account.heard > HOST_TIMEOUT_S:
                 # A host that comes back still knows the last offer's number,
                 # and would take those from one on for late ones.
                 self.first_number = max(self.first_number, account.next_number)
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -16,7 +16,7 @@
 )
 from godwitladder.scheduler.messages import HostsChanged
 from godwitladder.scheduler.reports import due_reports, take_offer, update_targets
-from godwitladder.scheduler.role import FORGET_S, OFFER_LIFETIME_S, WARM_UP_S
+from godwitladder.scheduler.role import HOST_TIMEOUT_S, OFFER_LIFETIME_S, WARM_UP_S
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.scheduler.systems import finish_request, run_systems
 from tests.scheduler.desk import (
@@ -325,7 +325,7 @@
     """
     desk, now = settled({"e0": 1})
     now = run_for(desk, now, 5.0, lambda now: None)
-    now += FORGET_S + 1.0
+    now += HOST_TIMEOUT_S + 1.0
     desk.tick("h0", now)
     desk.decide("h0", now)
     row = submit(desk.hosts["h1"], make_request("r", now))
