--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -62,7 +62,7 @@
 """An allowance outlives a lost renewal, and lapses before a host that lost
 its allocator helps itself to its fixed share."""
 
-RENEW_S = 1.0
+RENEWAL_INTERVAL_S = 1.0
 """Longest time between two offers to a host that reports: what idle hosts cost
 their allocator grows with their number."""
 
@@ -408,7 +408,7 @@
         if not self.has_standing and account.echoed == account.received:
             return False
         taken_back = contended and account.holds_allowances()
-        longest_s = ANSWER_S if account.lines else RENEW_S
+        longest_s = ANSWER_S if account.lines else RENEWAL_INTERVAL_S
         return taken_back or now - account.offered >= longest_s
 
     def standing(
