--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -66,7 +66,7 @@
 """Longest time between two offers to a host that reports: what idle hosts cost
 their allocator grows with their number."""
 
-ANSWER_S = 0.2
+ANSWER_INTERVAL_S = 0.2
 """Longest time between two offers to a host that asks for requests, also if
 nothing was decided: it then knows that its allocator can be reached."""
 
@@ -408,7 +408,7 @@
         if not self.has_standing and account.echoed == account.received:
             return False
         taken_back = contended and account.holds_allowances()
-        longest_s = ANSWER_S if account.lines else RENEWAL_INTERVAL_S
+        longest_s = ANSWER_INTERVAL_S if account.lines else RENEWAL_INTERVAL_S
         return taken_back or now - account.offered >= longest_s
 
     def standing(
