--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -192,7 +192,7 @@
         for row in report.completions:
             self.learn(row)
         for stretch in report.throughput_samples:
-            self.watch(stretch, now)
+            self.observe_throughput(stretch, now)
         wanted = any(row.lines or row.more_waiting for row in self.accounts.values())
         return wanted or account.offered == float("-inf")
 
@@ -210,7 +210,7 @@
                 row = take_line(self, account.host, line, told_at, before)
                 self.rows[line.request] = row
 
-    def watch(self, row: ThroughputSample, now: float) -> None:
+    def observe_throughput(self, row: ThroughputSample, now: float) -> None:
         """Take in how fast a target works while requests run."""
         if not self.speeds.known(row.target):
             return
