--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -190,7 +190,7 @@
         self.take_lines(account, report, now - delay_s)
         self.quotas.recall(report.host, report.spent, report.known_s, now)
         for row in report.completions:
-            self.learn(row)
+            self.observe_completion(row)
         for stretch in report.throughput_samples:
             self.observe_throughput(stretch, now)
         wanted = any(row.lines or row.more_waiting for row in self.accounts.values())
@@ -220,7 +220,7 @@
         if not row.in_progress or row.taken_s > expected_s:
             self.easing.observe(row.target, expected_s, row.taken_s, now)
 
-    def learn(self, row: Completion) -> None:
+    def observe_completion(self, row: Completion) -> None:
         """Take in the speed at which a request was completed."""
         if row.target not in self.speeds.learned:
             return
--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -127,7 +127,7 @@
     desk, now = settled({"e0": 8})
     role = desk.roles["h0"]
     for _ in range(KNOWN - 1):
-        role.learn(Completion("e0", "w", "chat", 10, 10, 5.0, 50.0))
+        role.observe_completion(Completion("e0", "w", "chat", 10, 10, 5.0, 50.0))
         role.observe_throughput(ThroughputSample("e0", 0, 64, 60.0), now)
     assert role.easing.limit("e0", 8, now) == 8
 
