--- a/godwitladder/scheduler/allocator.py
+++ b/godwitladder/scheduler/allocator.py
@@ -246,7 +246,7 @@
         its own for as long as the cut lasts.
         """
         self.tables.seen.note(self.tables.hosts, now)
-        return len(self.tables.hosts) / self.tables.seen.recent(now)
+        return len(self.tables.hosts) / self.tables.seen.count_recent(now)
 
     def pass_on(self, message: PoolReport | FloorReport, pool: PoolName) -> None:
         """Pass a message from another zone on to this zone's allocator, once."""
