--- a/bench/queues.py
+++ b/bench/queues.py
@@ -305,7 +305,7 @@
         while self.arrivals and self.arrivals[0][0] <= now:
             self.arrive(heapq.heappop(self.arrivals)[-1], now)
         if int(now) > int(now - STEP_S):
-            self.policy.observe_throughput(self.queues, now)
+            self.policy.watch(self.queues, now)
             self.run_.shares.append(
                 {
                     name: len(q.running) + len(q.queued)
