--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -20,29 +20,29 @@
 from godwitladder.scheduler.exchange import Allowance, PoolReport
 
 
-class Counted(NamedTuple):
+class Usage(NamedTuple):
     """Requests and tokens that count against a target."""
 
     running: int = 0
     tokens: int = 0
-    unread: int = 0
+    unread_tokens: int = 0
     unread_requests: int = 0
 
-    def __add__(self, other: "Counted") -> "Counted":
-        return Counted(*map(operator.add, self, other))
+    def __add__(self, other: "Usage") -> "Usage":
+        return Usage(*map(operator.add, self, other))
 
 
-NOTHING = Counted()
+NO_USAGE = Usage()
 
 
-def add_up(counts: Iterable[Mapping[TargetName, Counted]]) -> dict[TargetName, Counted]:
+def sum_usage(counts: Iterable[Mapping[TargetName, Usage]]) -> dict[TargetName, Usage]:
     """Return the sum for each target."""
-    rows: dict[TargetName, list[Counted]] = {}
+    rows: dict[TargetName, list[Usage]] = {}
     for count in counts:
         for name, row in count.items():
             rows.setdefault(name, []).append(row)
     return {
-        name: Counted(*map(sum, zip(*row, strict=True))) for name, row in rows.items()
+        name: Usage(*map(sum, zip(*row, strict=True))) for name, row in rows.items()
     }
 
 
@@ -85,26 +85,26 @@
     ----------
     via : str
         The host that passes messages on; empty if there is a link.
-    received, sent_s : int, float
+    last_report, sent_s : int, float
         Number of the last report, and when the host sent it by its own clock.
-    echoed : int
+    answered_report : int
         Number of the last report that an offer has answered.
-    heard, offered : float
+    received_at, offered_at : float
         When it was taken in, and when the last offer was sent.
     next_number : int
         Number of the next offer.
-    known_counted, known_running : dict or None
+    cached_max_usage, cached_usage : dict or None
         Kept from one run to the next until anything that they are made of changes.
     """
 
     host: HostId
     incarnation: Incarnation
     via: HostId = HostId("")
-    received: int = 0
-    echoed: int = 0
+    last_report: int = 0
+    answered_report: int = 0
     sent_s: float = 0.0
-    heard: float = 0.0
-    offered: float = float("-inf")
+    received_at: float = 0.0
+    offered_at: float = float("-inf")
     next_number: int = 1
     uses: dict[TargetName, TargetUse] = field(default_factory=dict)
     workspaces: dict[WorkspaceName, int] = field(default_factory=dict)
@@ -113,40 +113,40 @@
     avoided: frozenset[TargetName] = frozenset()
     allowances: deque[SentAllowances] = field(default_factory=deque)
     grants: dict[RequestId, SentGrant] = field(default_factory=dict)
-    known_counted: dict[TargetName, Counted] | None = None
-    known_running: dict[TargetName, Counted] | None = None
+    cached_max_usage: dict[TargetName, Usage] | None = None
+    cached_usage: dict[TargetName, Usage] | None = None
 
     def take(self, report: PoolReport, seen: int, now: float) -> bool:
         """Take in a report; return False for one that came out of order."""
-        if report.number <= self.received:
+        if report.number <= self.last_report:
             return False
-        self.forget_counts()
-        self.received = report.number
+        self.clear_cached_usage()
+        self.last_report = report.number
         self.sent_s = report.sent_s
-        self.heard = now
+        self.received_at = now
         self.via = report.via
         self.uses = {use.target: use for use in report.uses}
         self.workspaces = {use.workspace: use.running for use in report.workspaces}
         self.more_waiting = sum(row.count for row in report.unlisted)
         self.avoided = frozenset(report.avoided)
         self._acknowledge(seen)
-        self._lapse()
+        self._drop_expired()
         self._take_lines(report)
         return True
 
     def note_grant(self, sent: SentGrant) -> None:
         """Count a grant that an offer brings."""
         self.grants[sent.grant.request] = sent
-        self.forget_counts()
+        self.clear_cached_usage()
 
     def note_allowances(self, sent: SentAllowances) -> None:
         """Count the allowances of an offer."""
         self.allowances.append(sent)
-        self.forget_counts()
+        self.clear_cached_usage()
 
-    def forget_counts(self) -> None:
+    def clear_cached_usage(self) -> None:
         """Let the counts be worked out anew."""
-        self.known_counted = self.known_running = None
+        self.cached_max_usage = self.cached_usage = None
 
     def _take_lines(self, report: PoolReport) -> None:
         if not report.incremental:
@@ -166,28 +166,28 @@
             if sent.number <= seen:
                 del self.grants[request]
 
-    def _lapse(self) -> None:
+    def _drop_expired(self) -> None:
         while self.allowances and self.allowances[0].expires_s <= self.sent_s:
             self.allowances.popleft()
         for request, sent in list(self.grants.items()):
             if sent.expires_s <= self.sent_s:
                 del self.grants[request]
 
-    def counted(self) -> dict[TargetName, Counted]:
+    def max_usage(self) -> dict[TargetName, Usage]:
         """Return the most that the host may have on each target by now."""
-        if self.known_counted is None:
-            self.known_counted = self._count_most()
-        return self.known_counted
+        if self.cached_max_usage is None:
+            self.cached_max_usage = self._compute_max_usage()
+        return self.cached_max_usage
 
-    def running(self) -> dict[TargetName, Counted]:
+    def current_usage(self) -> dict[TargetName, Usage]:
         """Return what runs by the last report, or is granted by name."""
-        if self.known_running is None:
-            self.known_running = self._count_running()
-        return self.known_running
+        if self.cached_usage is None:
+            self.cached_usage = self._compute_usage()
+        return self.cached_usage
 
-    def _count_most(self) -> dict[TargetName, Counted]:
+    def _compute_max_usage(self) -> dict[TargetName, Usage]:
         most = {
-            name: Counted(
+            name: Usage(
                 use.running,
                 use.reserved_tokens,
                 use.unread_tokens,
@@ -197,29 +197,27 @@
         }
         for sent in self.allowances:
             for name, allowance in sent.allowances.items():
-                held = most.get(name, NOTHING)
-                most[name] = Counted(
+                held = most.get(name, NO_USAGE)
+                most[name] = Usage(
                     max(held.running, allowance.running),
                     max(held.tokens, allowance.tokens),
-                    held.unread,
+                    held.unread_tokens,
                     held.unread_requests,
                 )
-        return self._add_granted(most)
+        return self._add_grants(most)
 
-    def _count_running(self) -> dict[TargetName, Counted]:
+    def _compute_usage(self) -> dict[TargetName, Usage]:
         known = {
-            name: Counted(use.running, use.reserved_tokens)
+            name: Usage(use.running, use.reserved_tokens)
             for name, use in self.uses.items()
         }
-        return self._add_granted(known)
+        return self._add_grants(known)
 
-    def _add_granted(
-        self, counts: dict[TargetName, Counted]
-    ) -> dict[TargetName, Counted]:
+    def _add_grants(self, counts: dict[TargetName, Usage]) -> dict[TargetName, Usage]:
         for sent in self.grants.values():
             grant = sent.grant
-            held = counts.get(grant.target, NOTHING)
-            counts[grant.target] = held + Counted(
+            held = counts.get(grant.target, NO_USAGE)
+            counts[grant.target] = held + Usage(
                 1, grant.reserved_tokens, sent.prompt_tokens, 1
             )
         return counts
--- a/godwitladder/scheduler/allocator.py
+++ b/godwitladder/scheduler/allocator.py
@@ -26,12 +26,12 @@
 
 log = part_logger("allocator")
 
-LONGEST_WAIT_S = 0.1
+MAX_BATCH_DELAY_S = 0.1
 """Roles run after so long also if messages keep coming: half of the time in which
 hosts expect an answer."""
 
 
-MOST_SHARES = 16
+MAX_LOGGED_SHARES = 16
 """Workspaces that a log line names."""
 
 
@@ -94,9 +94,9 @@
         self.clock = clock
         self.send = send
         self.due: set[PoolName] = set()
-        self.ran = float("-inf")
-        self.floors_sent = float("-inf")
-        self.told_shares: dict[PoolName, tuple[float, bool]] = {}
+        self.last_run_at = float("-inf")
+        self.floors_sent_at = float("-inf")
+        self.logged_shares: dict[PoolName, tuple[float, bool]] = {}
 
     def on_receive(self, message) -> None:
         """Take ``message`` in, and run the roles if no other is at hand.
@@ -108,9 +108,9 @@
         if not self.due:
             return
         now = self.clock.monotonic()
-        if self.actor_inbox.empty() or now - self.ran >= LONGEST_WAIT_S:
+        if self.actor_inbox.empty() or now - self.last_run_at >= MAX_BATCH_DELAY_S:
             self.run(now)
-            self.ran = self.clock.monotonic()
+            self.last_run_at = self.clock.monotonic()
 
     def run(self, now: float) -> None:
         """Run the roles that are due and send their offers."""
@@ -130,13 +130,13 @@
     def _(self, message: Tick) -> None:
         self.due |= set(self.tables.roles)
         now = self.clock.monotonic()
-        share = self.seen_share(now)
+        share = self.visible_share(now)
         for role in self.tables.roles.values():
             role.quotas.share = share
-            self.tell_delays(role, now)
-            self.tell_shares(role, now)
-        if now - self.floors_sent >= RENEWAL_INTERVAL_S:
-            self.floors_sent = now
+            self.log_delays(role, now)
+            self.log_admission_shares(role, now)
+        if now - self.floors_sent_at >= RENEWAL_INTERVAL_S:
+            self.floors_sent_at = now
             for role in self.tables.roles.values():
                 self.send_floors(role, now)
 
@@ -144,7 +144,7 @@
     def _(self, message: PoolReport) -> None:
         role = self.tables.roles.get(message.pool)
         if role is None:
-            self.pass_on(message, message.pool)
+            self.forward(message, message.pool)
         elif role.take_report(message, self.clock.monotonic()):
             self.due.add(message.pool)
 
@@ -152,7 +152,7 @@
     def _(self, message: FloorReport) -> None:
         role = self.tables.roles.get(message.to)
         if role is None:
-            self.pass_on(message, message.to)
+            self.forward(message, message.to)
         else:
             role.take_floor(message, self.clock.monotonic())
 
@@ -203,32 +203,36 @@
             role = tables.roles[name]
             role.configure(pool, tables.config, tables.leaving)
             role.quotas.slack = tables.quota_slack
-            role.quotas.share = self.seen_share(now)
+            role.quotas.share = self.visible_share(now)
 
-    def tell_delays(self, role: PoolRole, now: float) -> None:
+    def log_delays(self, role: PoolRole, now: float) -> None:
         """Log that reports come late, or that they are in time again."""
-        news = role.delays.look(now)
-        if news is None:
+        status = role.delays.poll_status(now)
+        if status is None:
             return
         queued = self.actor_inbox.qsize()
-        extra = {"pool": pool_key(role.pool.name), "queued": queued, **news.fields()}
-        if news.late:
+        extra = {"pool": pool_key(role.pool.name), "queued": queued, **status.fields()}
+        if status.late:
             log.warning("Reports come late", extra=extra)
         else:
             log.info("Reports are in time again", extra=extra)
 
-    def tell_shares(self, role: PoolRole, now: float) -> None:
+    def log_admission_shares(self, role: PoolRole, now: float) -> None:
         """Log of whose calls hosts ask for a part only, or that they ask for all."""
         shares = role.memory.admission.shares
-        told_at, told = self.told_shares.get(role.pool.name, (float("-inf"), False))
-        if not shares and not told:
+        logged_at, logged = self.logged_shares.get(
+            role.pool.name, (float("-inf"), False)
+        )
+        if not shares and not logged:
             return
-        if shares and now - told_at < RENEWAL_INTERVAL_S:
+        if shares and now - logged_at < RENEWAL_INTERVAL_S:
             return
-        self.told_shares[role.pool.name] = now, bool(shares)
+        self.logged_shares[role.pool.name] = now, bool(shares)
         rows = {
             f"{service}/{workspace}": round(share, 2)
-            for (service, workspace), share in sorted(shares.items())[:MOST_SHARES]
+            for (service, workspace), share in sorted(shares.items())[
+                :MAX_LOGGED_SHARES
+            ]
         }
         extra = {
             "pool": pool_key(role.pool.name),
@@ -238,7 +242,7 @@
         }
         log.info("A part of the calls is asked for", extra=extra)
 
-    def seen_share(self, now: float) -> float:
+    def visible_share(self, now: float) -> float:
         """Return the part of the hosts that this one sees, of all lately seen.
 
         Hosts that are cut off from this one may be served by an allocator of
@@ -248,7 +252,7 @@
         self.tables.seen.note(self.tables.hosts, now)
         return len(self.tables.hosts) / self.tables.seen.count_recent(now)
 
-    def pass_on(self, message: PoolReport | FloorReport, pool: PoolName) -> None:
+    def forward(self, message: PoolReport | FloorReport, pool: PoolName) -> None:
         """Pass a message from another zone on to this zone's allocator, once."""
         holder = choose_host(self.tables.allocators, pool_key(pool))
         if pool.zone != self.tables.zone or message.via or holder is None:
@@ -263,10 +267,10 @@
         """
         for name, pool in self.tables.pools.items():
             hosts = self.tables.linked.get(name.zone, ())
-            gate = choose_host(hosts, self.tables.host)
-            if gate is None or not pool.services & role.pool.services:
+            relay = choose_host(hosts, self.tables.host)
+            if relay is None or not pool.services & role.pool.services:
                 continue
-            self.send(gate, role.floor_report(name, now))
+            self.send(relay, role.floor_report(name, now))
 
     def targets_to_watch(self) -> dict[TargetName, str]:
         """Return the address of each target whose load is to be read."""
--- a/godwitladder/scheduler/delays.py
+++ b/godwitladder/scheduler/delays.py
@@ -13,16 +13,16 @@
 from godwitladder.ids import HostId, Incarnation
 from godwitladder.scheduler.exchange import PoolReport
 
-LATE_S = 0.3
+LATE_REPORT_S = 0.3
 """Delay that is told of: most of the time that a short call has to its first output."""
-FADE_S = 0.25
+PEAK_HALF_LIFE_S = 0.25
 """Half-life of the longest delay of late: some reports of each host."""
-TELL_S = 1.0
+LOG_INTERVAL_S = 1.0
 """Between two lines about reports that come late."""
 
 
 @dataclass(frozen=True)
-class DelayNews:
+class DelayStatus:
     """What is to be logged of a pool's reports.
 
     Attributes
@@ -34,7 +34,7 @@
     late_s : float
         Seconds for which they have come late.
     reports, lines : int
-        Taken in since the last news, and the waiting requests that they told of.
+        Taken in since the last status, and the waiting requests that they told of.
     """
 
     late: bool
@@ -63,22 +63,22 @@
 
     Attributes
     ----------
-    least : dict
+    min_offsets : dict
         That least difference of each process of a host, in seconds.
-    worst_s : float
+    max_delay_s : float
         The longest delay since the last look.
     late_since : float or None
         Since when reports come late.
-    told : float
+    logged_at : float
         When this was last told of.
     peak_s, peak_at : float
         The longest delay of late, and when it was seen.
     """
 
-    least: dict[tuple[HostId, Incarnation], float] = field(default_factory=dict)
-    worst_s: float = 0.0
+    min_offsets: dict[tuple[HostId, Incarnation], float] = field(default_factory=dict)
+    max_delay_s: float = 0.0
     late_since: float | None = None
-    told: float = float("-inf")
+    logged_at: float = float("-inf")
     reports: int = 0
     lines: int = 0
     peak_s: float = 0.0
@@ -87,41 +87,41 @@
     def note(self, report: PoolReport, now: float) -> float:
         """Take in that ``report`` is taken in now; return its delay in seconds."""
         key = report.host, report.incarnation
-        passed_s = now - report.sent_s
-        least_s = min(passed_s, self.least.get(key, passed_s))
-        self.least[key] = least_s
-        self.worst_s = max(self.worst_s, passed_s - least_s)
+        offset_s = now - report.sent_s
+        min_offset_s = min(offset_s, self.min_offsets.get(key, offset_s))
+        self.min_offsets[key] = min_offset_s
+        self.max_delay_s = max(self.max_delay_s, offset_s - min_offset_s)
         self.reports += 1
         self.lines += len(report.lines)
-        delay_s = passed_s - least_s
-        if delay_s >= self.lately_s(now):
+        delay_s = offset_s - min_offset_s
+        if delay_s >= self.recent_peak_s(now):
             self.peak_s, self.peak_at = delay_s, now
         return delay_s
 
-    def lately_s(self, now: float) -> float:
+    def recent_peak_s(self, now: float) -> float:
         """Return the longest delay of late, which fades, in seconds."""
-        return self.peak_s * 0.5 ** ((now - self.peak_at) / FADE_S)
+        return self.peak_s * 0.5 ** ((now - self.peak_at) / PEAK_HALF_LIFE_S)
 
     def forget(self, host: HostId, incarnation: Incarnation) -> None:
         """Drop what is known of a process that is gone."""
-        self.least.pop((host, incarnation), None)
+        self.min_offsets.pop((host, incarnation), None)
 
-    def look(self, now: float) -> DelayNews | None:
+    def poll_status(self, now: float) -> DelayStatus | None:
         """Return what is to be told now, if anything."""
-        worst_s, self.worst_s = self.worst_s, 0.0
-        late = worst_s > LATE_S
-        if not self.is_worth_telling(late, now):
+        max_delay_s, self.max_delay_s = self.max_delay_s, 0.0
+        late = max_delay_s > LATE_REPORT_S
+        if not self.should_log(late, now):
             return None
         since = now if self.late_since is None else self.late_since
         self.late_since = since if late else None
-        self.told = now
-        news = DelayNews(late, worst_s, now - since, self.reports, self.lines)
+        self.logged_at = now
+        status = DelayStatus(late, max_delay_s, now - since, self.reports, self.lines)
         self.reports = self.lines = 0
-        return news
+        return status
 
-    def is_worth_telling(self, late: bool, now: float) -> bool:
+    def should_log(self, late: bool, now: float) -> bool:
         """Return whether that reports are ``late``, or not, is to be told now."""
         was_late = self.late_since is not None
         if late != was_late:
             return True
-        return late and now - self.told >= TELL_S
+        return late and now - self.logged_at >= LOG_INTERVAL_S
--- a/godwitladder/scheduler/load.py
+++ b/godwitladder/scheduler/load.py
@@ -15,8 +15,8 @@
 
 log = part_logger("load")
 
-PERIOD_S = 1.0
-READERS = 4
+READ_INTERVAL_S = 1.0
+READER_THREADS = 4
 """Threads that read at once, so that a silent target holds up no other."""
 
 
@@ -46,8 +46,8 @@
 
     def run(self) -> None:
         """Read until stopped."""
-        with ThreadPoolExecutor(READERS, "load") as pool:
-            while not self.clock.wait(self.stopping, PERIOD_S):
+        with ThreadPoolExecutor(READER_THREADS, "load") as pool:
+            while not self.clock.wait(self.stopping, READ_INTERVAL_S):
                 watched = self.allocator.proxy().targets_to_watch().get()
                 list(pool.map(self.read, watched, watched.values()))
 
--- a/godwitladder/scheduler/quotas.py
+++ b/godwitladder/scheduler/quotas.py
@@ -10,7 +10,7 @@
 from godwitladder.decisions.quotas import TokenRate
 from godwitladder.ids import HostId, WorkspaceName
 
-UNSEEN_S = 30.0
+HOST_EXPIRY_S = 30.0
 """Cuts last for seconds; a host gone for longer has ended, and its part of the
 quotas goes back to the others."""
 
@@ -28,12 +28,15 @@
 class SeenHosts:
     """When each host was last among the live ones."""
 
-    at: dict[HostId, float] = field(default_factory=dict)
+    last_seen: dict[HostId, float] = field(default_factory=dict)
 
     def note(self, hosts: Collection[HostId], now: float) -> None:
         """Take in the live hosts."""
-        self.at.update(dict.fromkeys(hosts, now))
+        self.last_seen.update(dict.fromkeys(hosts, now))
 
     def count_recent(self, now: float) -> int:
         """Return how many hosts were live lately."""
-        return max(1, sum(now - at <= UNSEEN_S for at in self.at.values()))
+        return max(
+            1,
+            sum(now - seen_at <= HOST_EXPIRY_S for seen_at in self.last_seen.values()),
+        )
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -37,12 +37,12 @@
     TargetName,
 )
 from godwitladder.scheduler.accounts import (
-    NOTHING,
-    Counted,
+    NO_USAGE,
     HostAccount,
     SentAllowances,
     SentGrant,
-    add_up,
+    Usage,
+    sum_usage,
 )
 from godwitladder.scheduler.delays import ReportDelays
 from godwitladder.scheduler.exchange import (
@@ -56,7 +56,7 @@
 )
 from godwitladder.scheduler.pools import Pool
 from godwitladder.scheduler.quotas import token_rates
-from godwitladder.scheduler.views import pool_view, take_line, target_views
+from godwitladder.scheduler.views import make_waiting, pool_view, target_views
 
 OFFER_LIFETIME_S = 2.5
 """An allowance outlives a lost renewal, and lapses before a host that lost
@@ -70,7 +70,7 @@
 """Longest time between two offers to a host that asks for requests, also if
 nothing was decided: it then knows that its allocator can be reached."""
 
-SILENT_S = 3.0
+DEMAND_TIMEOUT_S = 3.0
 """Demand of a host that was silent for so long is no longer answered."""
 
 HOST_TIMEOUT_S = 5.0
@@ -88,7 +88,7 @@
 reads in chunks between the output of all that it runs: what is sent early
 waits where no one can order it, and slows everything beside it."""
 
-FLOOR_S = 3.0
+FLOOR_TIMEOUT_S = 3.0
 """A floor that was not repeated for so long says nothing any more."""
 
 
@@ -98,11 +98,11 @@
 
     floor: int
     shed_rank: int
-    heard: float
+    received_at: float
 
 
 @dataclass
-class Offering:
+class PendingOffer:
     """What is to go to one host in its next offer, beside allowances."""
 
     grants: list[Grant] = field(default_factory=list)
@@ -117,7 +117,7 @@
     ----------
     pool : Pool
         What it hands out.
-    me : HostId
+    host : HostId
         The host that has the role.
     term : int
         Higher than that of every earlier term of this host.
@@ -128,21 +128,21 @@
     """
 
     def __init__(
-        self, pool: Pool, me: HostId, term: int, now: float, standing: bool = True
+        self, pool: Pool, host: HostId, term: int, now: float, standing: bool = True
     ) -> None:
         self.has_standing = standing
         self.unread_s = math.inf if standing else UNREAD_S
         self.policy = STRICT if standing else ASKED
         self.pool = pool
-        self.me = me
+        self.host = host
         self.term = term
-        self.began = now
+        self.started_at = now
         self.config = ConfigState()
         self.leaving: frozenset[str] = frozenset()
         self.accounts: dict[tuple[HostId, Incarnation], HostAccount] = {}
-        self.listed: list[HostAccount] = []
-        self.listed_at: float | None = None
-        self.first_number = 1
+        self.current_accounts: list[HostAccount] = []
+        self.current_at: float | None = None
+        self.first_offer_number = 1
         self.floors: dict[PoolName, Floor] = {}
         self.speeds = TargetSpeeds()
         self.easing = TargetEasing()
@@ -150,7 +150,7 @@
         self.forecast = ReadingForecast()
         self.memory = AllocatorMemory()
         self.quotas = QuotaBook()
-        self.rows: dict[RequestId, Waiting] = {}
+        self.waiting: dict[RequestId, Waiting] = {}
         self.loads = LoadReports()
         self.delays = ReportDelays()
         self.shed_rank = NO_RANK
@@ -178,47 +178,47 @@
     def take_report(self, report: PoolReport, now: float) -> bool:
         """Take in a host's report; return whether it calls for a run at once."""
         key = report.host, report.incarnation
-        self.listed_at = None
+        self.current_at = None
         delay_s = self.delays.note(report, now)
         account = self.accounts.get(key)
         if account is None:
-            account = HostAccount(*key, next_number=self.first_number)
+            account = HostAccount(*key, next_number=self.first_offer_number)
             self.accounts[key] = account
         seen = report.acked_offer if report.term == self.term else 0
         if not account.take(report, seen, now):
             return False
-        self.take_lines(account, report, now - delay_s)
+        self.update_waiting(account, report, now - delay_s)
         self.quotas.recall(report.host, report.spent, report.known_s, now)
         for row in report.completions:
             self.observe_completion(row)
-        for stretch in report.throughput_samples:
-            self.observe_throughput(stretch, now)
+        for sample in report.throughput_samples:
+            self.observe_throughput(sample, now)
         wanted = any(row.lines or row.more_waiting for row in self.accounts.values())
-        return wanted or account.offered == float("-inf")
+        return wanted or account.offered_at == float("-inf")
 
-    def take_lines(
-        self, account: HostAccount, report: PoolReport, told_at: float
+    def update_waiting(
+        self, account: HostAccount, report: PoolReport, sent_at: float
     ) -> None:
         """Take in requests as they stood when their host told of them.
 
-        Counted from the moment in which a report is taken in, what a caller has
+        Usage from the moment in which a report is taken in, what a caller has
         left would grow by the delay, and places would go to calls that have left.
         """
         for line in report.lines:
             if account.lines.get(line.request) is line:
-                before = self.rows.get(line.request)
-                row = take_line(self, account.host, line, told_at, before)
-                self.rows[line.request] = row
+                before = self.waiting.get(line.request)
+                row = make_waiting(self, account.host, line, sent_at, before)
+                self.waiting[line.request] = row
 
-    def observe_throughput(self, row: ThroughputSample, now: float) -> None:
+    def observe_throughput(self, sample: ThroughputSample, now: float) -> None:
         """Take in how fast a target works while requests run."""
-        if not self.speeds.known(row.target):
+        if not self.speeds.known(sample.target):
             return
         expected_s = self.speeds.expected_s(
-            row.target, row.prompt_tokens, row.output_tokens
+            sample.target, sample.prompt_tokens, sample.output_tokens
         )
-        if not row.in_progress or row.taken_s > expected_s:
-            self.easing.observe(row.target, expected_s, row.taken_s, now)
+        if not sample.in_progress or sample.taken_s > expected_s:
+            self.easing.observe(sample.target, expected_s, sample.taken_s, now)
 
     def observe_completion(self, row: Completion) -> None:
         """Take in the speed at which a request was completed."""
@@ -237,16 +237,16 @@
         """Take in a target's own, lagging count of its requests."""
         self.loads.observe(target, requests)
 
-    def warm(self, expected: Collection[HostId], now: float) -> bool:
+    def is_warmed_up(self, expected: Collection[HostId], now: float) -> bool:
         """Return whether enough is known to hand anything out.
 
         A new allocator that granted at its first report would hand out slots
-        that hosts it has not heard from are using: the targets would run up
+        that hosts it has not received_at from are using: the targets would run up
         to twice their slots for a while. Hosts that are silent for longer
         than the warm-up are unlikely to be there.
         """
-        heard = {account.host for account in self.accounts.values()}
-        return heard >= set(expected) or now - self.began >= WARM_UP_S
+        reporting = {account.host for account in self.accounts.values()}
+        return reporting >= set(expected) or now - self.started_at >= WARM_UP_S
 
     def run(self, expected: Collection[HostId], now: float) -> list[GrantOffer]:
         """Decide, and return the offers that are due.
@@ -256,9 +256,9 @@
         expected : collection of HostId
             The live hosts of the zone.
         """
-        self.forget(now)
+        self.drop_expired(now)
         self.quotas.settle(now)
-        if not self.warm(expected, now):
+        if not self.is_warmed_up(expected, now):
             return []
         if self.is_quiet(now):
             # With nothing left to decide, a flood's shares would stay as they are.
@@ -267,11 +267,11 @@
         self.quotas.hosts = len(expected)
         view = pool_view(self, now)
         allocation = allocate(view, now)
-        offerings = self.collect(allocation, view, now)
-        for host, offering in offerings.items():
-            self.count_grants(self.account(host, now), offering)
+        pending = self.group_by_host(allocation, view, now)
+        for host, offer in pending.items():
+            self.record_grants(self.account(host, now), offer)
         contended = any(row.lines or row.more_waiting for row in self.current(now))
-        return self.make_offers(offerings, contended, expected, now)
+        return self.make_offers(pending, contended, expected, now)
 
     def is_quiet(self, now: float) -> bool:
         """Return whether nothing waits and no host is due for an offer."""
@@ -280,45 +280,51 @@
             for row in self.current(now)
         )
 
-    def forget(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop hosts that are gone, and floors that nobody repeats."""
-        self.listed_at = None
+        self.current_at = None
         for key, account in list(self.accounts.items()):
-            if now - account.heard > HOST_TIMEOUT_S:
+            if now - account.received_at > HOST_TIMEOUT_S:
                 # A host that comes back still knows the last offer's number,
                 # and would take those from one on for late ones.
-                self.first_number = max(self.first_number, account.next_number)
+                self.first_offer_number = max(
+                    self.first_offer_number, account.next_number
+                )
                 del self.accounts[key]
                 self.delays.forget(*key)
         for name, floor in list(self.floors.items()):
-            if now - floor.heard > FLOOR_S:
+            if now - floor.received_at > FLOOR_TIMEOUT_S:
                 del self.floors[name]
 
     def current(self, now: float) -> list[HostAccount]:
         """Return the account of each host that still reports: its newest."""
-        if self.listed_at != now:
+        if self.current_at != now:
             rows = sorted(self.accounts.values(), key=attrgetter("incarnation"))
-            newest = {row.host: row for row in rows if now - row.heard < SILENT_S}
-            self.listed, self.listed_at = list(newest.values()), now
-        return self.listed
+            newest = {
+                row.host: row
+                for row in rows
+                if now - row.received_at < DEMAND_TIMEOUT_S
+            }
+            self.current_accounts, self.current_at = list(newest.values()), now
+        return self.current_accounts
 
     def account(self, host: HostId, now: float) -> HostAccount:
         """Return the account of a host that still reports."""
         return next(row for row in self.current(now) if row.host == host)
 
-    def counted(self) -> dict[TargetName, Counted]:
+    def max_usage(self) -> dict[TargetName, Usage]:
         """Return the most that all hosts may have on each target."""
-        return add_up(row.counted() for row in self.accounts.values())
+        return sum_usage(row.max_usage() for row in self.accounts.values())
 
-    def running(self) -> dict[TargetName, Counted]:
+    def current_usage(self) -> dict[TargetName, Usage]:
         """Return what all hosts run on each target or are granted by name."""
-        return add_up(row.running() for row in self.accounts.values())
+        return sum_usage(row.current_usage() for row in self.accounts.values())
 
-    def collect(
+    def group_by_host(
         self, allocation: Allocation, view: PoolView, now: float
-    ) -> dict[HostId, Offering]:
+    ) -> dict[HostId, PendingOffer]:
         """Return what was decided, by host."""
-        offerings: dict[HostId, Offering] = {}
+        pending: dict[HostId, PendingOffer] = {}
         for row in allocation.placements:
             waiting = view.waiting[row.request]
             grant = Grant(
@@ -331,8 +337,8 @@
                 lapse_s=OFFER_LIFETIME_S,
             )
             self.hints.note_dispatch(row.target, waiting.line.prefix, now)
-            self.note_reading(row.target, waiting.line.prompt_tokens, now)
-            offerings.setdefault(waiting.host, Offering()).grants.append(grant)
+            self.record_prompt(row.target, waiting.line.prompt_tokens, now)
+            pending.setdefault(waiting.host, PendingOffer()).grants.append(grant)
         for row in allocation.given_up:
             waiting = view.waiting[row.request]
             shed = Shed(
@@ -342,29 +348,29 @@
                 row.retry_after_s,
                 exact=not self.policy.is_strict,
             )
-            offerings.setdefault(waiting.host, Offering()).sheds.append(shed)
+            pending.setdefault(waiting.host, PendingOffer()).sheds.append(shed)
         if allocation.shed_rank is not None:
-            self.note_shed(allocation.shed_rank, now)
+            self.record_shed(allocation.shed_rank, now)
         for request in allocation.spill:
             host = view.waiting[request].host
-            offerings.setdefault(host, Offering()).spill.append(request)
-        return offerings
+            pending.setdefault(host, PendingOffer()).spill.append(request)
+        return pending
 
-    def note_reading(self, target: TargetName, tokens: int, now: float) -> None:
+    def record_prompt(self, target: TargetName, tokens: int, now: float) -> None:
         """Foretell when a prompt is read that has just been granted."""
         _, read_s = self.speeds.reading(target)
         self.forecast.note(target, tokens, tokens * read_s, now)
 
-    def note_shed(self, rank: int, now: float) -> None:
+    def record_shed(self, rank: int, now: float) -> None:
         """Remember the most important tier shed within the last seconds."""
-        old = now - self.shed_at > FLOOR_S
+        old = now - self.shed_at > FLOOR_TIMEOUT_S
         if self.shed_rank == NO_RANK or rank <= self.shed_rank or old:
             self.shed_rank, self.shed_at = rank, now
 
-    def count_grants(self, account: HostAccount, offering: Offering) -> None:
+    def record_grants(self, account: HostAccount, offer: PendingOffer) -> None:
         """Count grants against a host before any allowance is worked out."""
         expires_s = account.sent_s + OFFER_LIFETIME_S
-        for grant in offering.grants:
+        for grant in offer.grants:
             line = account.lines.pop(grant.request)
             account.note_grant(
                 SentGrant(
@@ -375,12 +381,12 @@
                     line.prompt_tokens,
                 )
             )
-        for shed in offering.sheds:
+        for shed in offer.sheds:
             account.lines.pop(shed.request, None)
 
     def make_offers(
         self,
-        offerings: dict[HostId, Offering],
+        pending: dict[HostId, PendingOffer],
         contended: bool,
         expected: Collection[HostId],
         now: float,
@@ -389,46 +395,46 @@
         offers = []
         due = [row for row in self.current(now) if self.is_due(row, contended, now)]
         home = [row.host for row in self.current(now) if row.host in expected]
-        open_handed = due and not contended and self.has_standing
-        standing = self.standing(home, now) if open_handed else {}
-        total = self.counted() if standing else {}
+        may_allow = due and not contended and self.has_standing
+        standing = self.standing_targets(home, now) if may_allow else {}
+        total = self.max_usage() if standing else {}
         for account in self.current(now):
             allowances = account.allowed()
             if account in due:
                 targets = standing.get(account.host, [])
-                allowances = self.allow(account, targets, total, len(home))
-            elif account.host not in offerings:
+                allowances = self.make_allowances(account, targets, total, len(home))
+            elif account.host not in pending:
                 continue
-            offering = offerings.get(account.host, Offering())
-            offers.append(self.make_offer(account, offering, allowances, now))
+            offer = pending.get(account.host, PendingOffer())
+            offers.append(self.make_offer(account, offer, allowances, now))
         return offers
 
     def is_due(self, account: HostAccount, contended: bool, now: float) -> bool:
         """Return whether ``account`` is to be answered, or its allowances set anew."""
-        if not self.has_standing and account.echoed == account.received:
+        if not self.has_standing and account.answered_report == account.last_report:
             return False
         taken_back = contended and account.holds_allowances()
         longest_s = ANSWER_INTERVAL_S if account.lines else RENEWAL_INTERVAL_S
-        return taken_back or now - account.offered >= longest_s
+        return taken_back or now - account.offered_at >= longest_s
 
-    def standing(
+    def standing_targets(
         self, home: list[HostId], now: float
     ) -> dict[HostId, list[TargetView]]:
         """Return, for each host of the zone, where it may have one more."""
         views = target_views(self, now)
-        running = self.running()
+        usage = self.current_usage()
         for name, target in views.items():
-            target.used = running.get(name, NOTHING).running + self.loads.others(name)
+            target.used = usage.get(name, NO_USAGE).running + self.loads.others(name)
         standing: dict[HostId, list[TargetView]] = {}
         for grant in standing_grants(PoolView(targets=views), home):
             standing.setdefault(grant.host, []).append(views[grant.target])
         return standing
 
-    def allow(
+    def make_allowances(
         self,
         account: HostAccount,
         targets: list[TargetView],
-        total: dict[TargetName, Counted],
+        total: dict[TargetName, Usage],
         hosts: int,
     ) -> dict[TargetName, Allowance]:
         """Return an allowance of one more than what runs, where that fits.
@@ -441,18 +447,18 @@
         rows: dict[TargetName, Allowance] = {}
         if not targets:
             return rows
-        counted, running = account.counted(), account.running()
+        max_usage, usage = account.max_usage(), account.current_usage()
         for target in targets:
             name = target.name
-            own, used = counted.get(name, NOTHING), running.get(name, NOTHING)
-            all_counted = total.get(name, NOTHING)
-            others = all_counted.running - own.running + self.loads.others(name)
+            own, used = max_usage.get(name, NO_USAGE), usage.get(name, NO_USAGE)
+            total_usage = total.get(name, NO_USAGE)
+            others = total_usage.running - own.running + self.loads.others(name)
             if others + used.running >= target.limit:
                 continue
-            free = target.memory_tokens - all_counted.tokens + own.tokens - used.tokens
+            free = target.memory_tokens - total_usage.tokens + own.tokens - used.tokens
             tokens = used.tokens + max(0, free // (2 * hosts))
             rows[name] = Allowance(name, used.running + 1, tokens)
-            total[name] = all_counted + Counted(
+            total[name] = total_usage + Usage(
                 max(0, used.running + 1 - own.running), max(0, tokens - own.tokens)
             )
         return rows
@@ -460,31 +466,31 @@
     def make_offer(
         self,
         account: HostAccount,
-        offering: Offering,
+        offer: PendingOffer,
         allowances: dict[TargetName, Allowance],
         now: float,
     ) -> GrantOffer:
         """Return one offer and count its allowances against the host."""
         before = set(account.allowed())
         number, account.next_number = account.next_number, account.next_number + 1
-        account.offered = now
-        account.echoed = account.received
+        account.offered_at = now
+        account.answered_report = account.last_report
         expires_s = account.sent_s + OFFER_LIFETIME_S
         account.note_allowances(SentAllowances(number, expires_s, allowances))
         return GrantOffer(
             host=account.host,
             incarnation=account.incarnation,
-            allocator=self.me,
+            allocator=self.host,
             pool=self.pool.name,
             term=self.term,
             number=number,
-            acked_report=account.received,
+            acked_report=account.last_report,
             expires_s=expires_s,
             report_now=not before <= set(allowances),
             allowances=tuple(allowances.values()),
-            grants=tuple(offering.grants),
-            sheds=tuple(offering.sheds),
-            spill=tuple(offering.spill),
+            grants=tuple(offer.grants),
+            sheds=tuple(offer.sheds),
+            spill=tuple(offer.spill),
             via=account.via,
             shares=self.admission_shares(),
         )
@@ -505,5 +511,5 @@
         ranks = [
             line.tier_rank for row in self.current(now) for line in row.lines.values()
         ]
-        shed = self.shed_rank if now - self.shed_at <= FLOOR_S else NO_RANK
+        shed = self.shed_rank if now - self.shed_at <= FLOOR_TIMEOUT_S else NO_RANK
         return FloorReport(self.pool.name, to, max(ranks, default=NO_RANK), shed)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -16,7 +16,7 @@
     WorkspaceView,
 )
 from godwitladder.ids import HostId, TargetName, WorkspaceName
-from godwitladder.scheduler.accounts import NOTHING
+from godwitladder.scheduler.accounts import NO_USAGE
 from godwitladder.scheduler.exchange import NO_RANK
 
 if TYPE_CHECKING:
@@ -31,18 +31,18 @@
         memory=role.memory,
         quotas=role.quotas,
         policy=role.policy,
-        behind_s=role.delays.lately_s(now),
+        behind_s=role.delays.recent_peak_s(now),
     )
     for account in role.current(now):
         for line in account.lines.values():
             # Kept from run to run: a row that is new is weighed anew, and its
             # deadline would move on with each run between two reports.
-            row = role.rows.get(line.request)
+            row = role.waiting.get(line.request)
             if row is None or row.line is not line:
-                row = take_line(role, account.host, line, now, row)
+                row = make_waiting(role, account.host, line, now, row)
             row.avoided = account.avoided
             view.waiting[line.request] = row
-    role.rows = view.waiting
+    role.waiting = view.waiting
     for name, floor in role.floors.items():
         view.floors[name] = floor.floor
         if floor.shed_rank != NO_RANK:
@@ -50,7 +50,7 @@
     return view
 
 
-def take_line(
+def make_waiting(
     role: "PoolRole",
     host: HostId,
     line: DemandLine,
@@ -65,7 +65,7 @@
     Parameters
     ----------
     before : Waiting or None
-        The same request as an earlier report told of it. Counted anew with
+        The same request as an earlier report told of it. Usage anew with
         each report, a request that waits for long looked like many that came.
     """
     arrived = now - line.waited_s
@@ -97,7 +97,7 @@
 def target_views(role: "PoolRole", now: float) -> dict[TargetName, TargetView]:
     """Return every target that may take work."""
     views = {}
-    counted, running = role.counted(), role.running()
+    max_usage, usage = role.max_usage(), role.current_usage()
     unreachable = unreachable_targets(role, now)
     for name in sorted(role.pool.targets):
         target = role.config.targets.get(name)
@@ -105,10 +105,10 @@
             continue
         if target.address in role.leaving or name in unreachable:
             continue
-        count = counted.get(name, NOTHING)
-        role.loads.note_ours(name, running.get(name, NOTHING).running, now)
+        count = max_usage.get(name, NO_USAGE)
+        role.loads.note_ours(name, usage.get(name, NO_USAGE).running, now)
         speed = role.speeds.learned[name]
-        told = Unread(count.unread, count.unread_requests)
+        told = Unread(count.unread_tokens, count.unread_requests)
         unread = role.forecast.unread(name, told, now)
         first_s, read_s = role.speeds.reading(name)
         views[name] = TargetView(
@@ -120,7 +120,7 @@
             decode_tps=speed.decode_tps,
             used=count.running + role.loads.others(name),
             reserved_tokens=count.tokens,
-            limit=limit_of(role, name, target.slots, now),
+            limit=concurrency_limit(role, name, target.slots, now),
             prefixes=role.hints.prefixes(name, now),
             unread_tokens=unread.tokens,
             unread_requests=unread.requests,
@@ -132,7 +132,9 @@
     return views
 
 
-def limit_of(role: "PoolRole", name: TargetName, slots: int, now: float) -> int:
+def concurrency_limit(
+    role: "PoolRole", name: TargetName, slots: int, now: float
+) -> int:
     """Return how many requests a target may run at once."""
     return role.easing.limit(name, slots, now) if role.policy.eases_off else slots
 
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -9,7 +9,7 @@
 from godwitladder.ids import HostId, Zone
 from godwitladder.outcomes import Reason, RequestState
 from godwitladder.scheduler.access import REACH_S
-from godwitladder.scheduler.accounts import NOTHING, HostAccount
+from godwitladder.scheduler.accounts import NO_USAGE, HostAccount
 from godwitladder.scheduler.exchange import (
     GrantOffer,
     PoolReport,
@@ -90,11 +90,11 @@
     role.take_report(report("h0", 1, 4), START)
     role.take_report(report("h1", 1, 0), START)
     role.run(hosts, START)
-    assert role.account("h0", START).counted().get("e0", NOTHING).running == 5
+    assert role.account("h0", START).max_usage().get("e0", NO_USAGE).running == 5
     role.take_report(report("h0", 2, 0), START + 1)
     role.take_report(report("h1", 2, 3), START + 1)
     role.run(hosts, START + 1)
-    assert role.counted().get("e0", NOTHING).running == 8
+    assert role.max_usage().get("e0", NO_USAGE).running == 8
 
 
 def test_what_lapsed_counts_until_a_report_was_sent_after_it():
@@ -105,13 +105,13 @@
     """
     desk, now = settled({"e0": 4})
     account = desk.roles["h0"].account("h1", now)
-    assert account.counted().get("e0", NOTHING).running == 1
+    assert account.max_usage().get("e0", NO_USAGE).running == 1
     expires_s = account.allowances[-1].expires_s
     late = PoolReport("h1", 1, desk.pool, 99, expires_s - 0.1, 1, 0)
     account.take(late, account.next_number - 1, now + OFFER_LIFETIME_S)
-    assert account.counted().get("e0", NOTHING).running == 1
+    assert account.max_usage().get("e0", NO_USAGE).running == 1
     account.take(replace(late, number=100, sent_s=expires_s), 0, now + OFFER_LIFETIME_S)
-    assert account.counted().get("e0", NOTHING).running == 0
+    assert account.max_usage().get("e0", NO_USAGE).running == 0
 
 
 def test_a_report_out_of_order_is_not_taken_in():
@@ -120,7 +120,7 @@
     report = PoolReport("h1", 1, make_desk({"e0": 1}, ("h0",)).pool, 2, 1.0, 1, 0)
     assert account.take(replace(report, uses=(TargetUse("e0", 3, 0),)), 0, 1.0)
     assert not account.take(replace(report, number=1, sent_s=0.5), 0, 1.1)
-    assert account.counted().get("e0", NOTHING).running == 3
+    assert account.max_usage().get("e0", NO_USAGE).running == 3
 
 
 def test_a_new_allocator_waits_for_the_hosts_of_its_zone():
@@ -306,12 +306,12 @@
     row = submit(desk.hosts["h1"], make_request("r", now))
     desk.settle(now)
     now += 2.0
-    assert desk.roles["h0"].running().get("e0", NOTHING).running == 1
+    assert desk.roles["h0"].current_usage().get("e0", NO_USAGE).running == 1
     row.first_token, row.produced_tokens = now - 1.0, 10
     finish_request(desk.hosts["h1"], row, RequestState.COMPLETED, now)
     desk.tick("h1", now)
     desk.deliver_report("h1", "h0", now)
-    assert desk.roles["h0"].running().get("e0", NOTHING).running == 0
+    assert desk.roles["h0"].current_usage().get("e0", NO_USAGE).running == 0
     speeds = desk.roles["h0"].speeds
     assert speeds.learned["e0"] != speeds.expected["e0"]
 
--- a/tests/scheduler/test_delays.py
+++ b/tests/scheduler/test_delays.py
@@ -2,7 +2,7 @@
 
 from godwitladder.decisions.types import PoolName
 from godwitladder.ids import HostId, Incarnation
-from godwitladder.scheduler.delays import LATE_S, TELL_S, ReportDelays
+from godwitladder.scheduler.delays import LATE_REPORT_S, LOG_INTERVAL_S, ReportDelays
 from godwitladder.scheduler.exchange import PoolReport
 from tests.scheduler.desk import START
 
@@ -17,20 +17,20 @@
     delays = ReportDelays()
     for number in range(5):
         delays.note(report_of(number, 9_000.0 + number), START + number)
-    assert delays.look(START + 5) is None
+    assert delays.poll_status(START + 5) is None
 
 
 def test_late_reports_are_told_of_at_once_then_each_second_and_when_it_is_over():
     delays = ReportDelays()
     delays.note(report_of(1, 0.0), START)
-    assert delays.look(START) is None
-    told = []
+    assert delays.poll_status(START) is None
+    logged = []
     for step in range(1, 13):
         now = START + step * 0.25
-        late_s = 2 * LATE_S if step <= 8 else 0.0
+        late_s = 2 * LATE_REPORT_S if step <= 8 else 0.0
         delays.note(report_of(step, step * 0.25 - late_s), now)
-        news = delays.look(now)
-        if news is not None:
-            told.append((step, news.late))
-    assert told == [(1, True), (5, True), (9, False)]
-    assert TELL_S == 1.0
+        status = delays.poll_status(now)
+        if status is not None:
+            logged.append((step, status.late))
+    assert logged == [(1, True), (5, True), (9, False)]
+    assert LOG_INTERVAL_S == 1.0
--- a/tests/scheduler/test_flood.py
+++ b/tests/scheduler/test_flood.py
@@ -48,7 +48,7 @@
         row = submit(tables, make_request(name, at, timeout_s=1.0))
         ((_, report),) = due_reports(tables, at)
         role.take_report(report, at + delay_s)
-        assert role.rows[name].deadline == pytest.approx(row.deadline)
+        assert role.waiting[name].deadline == pytest.approx(row.deadline)
 
 
 def test_a_call_of_no_use_any_more_is_told_so_without_an_allocator():
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -22,7 +22,7 @@
 from godwitladder.outcomes import Reason, Refusal
 from godwitladder.scheduler.actor import Scheduler
 from godwitladder.scheduler.messages import HostsChanged, Tick
-from godwitladder.scheduler.quotas import UNSEEN_S, token_rates
+from godwitladder.scheduler.quotas import HOST_EXPIRY_S, token_rates
 from godwitladder.scheduler.reports import update_targets
 from godwitladder.scheduler.rows import Dispatch, RequestRow, Tables
 from godwitladder.scheduler.systems import add_request, run_systems
@@ -70,7 +70,7 @@
 
 def test_hosts_that_are_gone_for_long_leave_their_part():
     tables = make_tables(["h1", "h2", "h3", "h4", "h5"])
-    now = UNSEEN_S + 1
+    now = HOST_EXPIRY_S + 1
     tables.seen.note(["h1"], now)
     decided = [submit(tables, number, now) for number in range(10)]
     assert sum(isinstance(row, Refusal) for row in decided) < 9
@@ -88,7 +88,7 @@
         tables, clock, Metrics(), Ticker(clock, 1.0), lambda host, report: None
     )
     scheduler.take(HostsChanged(("h1", "h2", "h3", "h4", "h5"), {}))
-    clock.advance(2 * UNSEEN_S)
+    clock.advance(2 * HOST_EXPIRY_S)
     scheduler.take(Tick())
     scheduler.take(HostsChanged(("h1",), {}))
     assert tables.seen.count_recent(clock.monotonic()) == 5
