--- a/godwitladder/scheduler/__init__.py
+++ b/godwitladder/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The tables of one host and the systems that run over them."""
+"""Request tables of a host and the systems that process them."""
--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -1,6 +1,8 @@
-"""What an allocator counts against each host: use, allowances and grants.
+"""Accounts of what an allocator counts against each host.
 
-Pure: times are handed in.
+An account contains the reported use of a host, its allowances and its grants.
+
+Pure: times are passed in as arguments.
 """
 
 import operator
@@ -21,7 +23,18 @@
 
 
 class Usage(NamedTuple):
-    """Requests and tokens that count against a target."""
+    """Requests and tokens that count against a target.
+
+    Attributes
+    ----------
+    running : int
+        Number of requests.
+    tokens : int
+        Tokens of memory reserved for them.
+    unread_tokens, unread_requests : int
+        Prompt tokens of requests without any output yet, and the number of these
+        requests.
+    """
 
     running: int = 0
     tokens: int = 0
@@ -36,7 +49,7 @@
 
 
 def sum_usage(counts: Iterable[Mapping[TargetName, Usage]]) -> dict[TargetName, Usage]:
-    """Return the sum for each target."""
+    """Return the sum of all usages, by target."""
     rows: dict[TargetName, list[Usage]] = {}
     for count in counts:
         for name, row in count.items():
@@ -48,12 +61,16 @@
 
 @dataclass(frozen=True)
 class SentAllowances:
-    """The allowances of one offer; they replace those of offers before it.
+    """Allowances of one offer, which replace those of earlier offers.
 
     Attributes
     ----------
+    number : int
+        Number of the offer.
     expires_s : float
-        When they lapse, by the host's own clock.
+        Expiry in seconds, on the clock of the host.
+    allowances : dict
+        The allowances by target.
     """
 
     number: int
@@ -63,7 +80,19 @@
 
 @dataclass(frozen=True)
 class SentGrant:
-    """One grant of one offer, for a request of ``workspace``."""
+    """One grant of an offer.
+
+    Attributes
+    ----------
+    number : int
+        Number of the offer.
+    expires_s : float
+        Expiry in seconds, on the clock of the host.
+    workspace : WorkspaceName
+        Workspace of the request.
+    prompt_tokens : int
+        Prompt tokens of the request.
+    """
 
     number: int
     expires_s: float
@@ -74,27 +103,31 @@
 
 @dataclass
 class HostAccount:
-    """One process of one host, as an allocator knows it.
+    """What an allocator knows of one process of a host.
 
-    What was sent counts until a report says that it was taken in, from then on
-    that report's use holds whatever became of it, or until a report comes that
-    was sent after it lapsed. A host that is silent keeps all that it was given:
-    it may have used it in the moment before its connection was lost.
+    An offer counts until a report acknowledges it, since the use in that report
+    then includes whatever became of the offer, or until a report arrives that was
+    sent after the offer expired. A host that stops reporting keeps everything that
+    it was given: it may have used it just before its connection was lost.
 
     Attributes
     ----------
     via : str
-        The host that passes messages on; empty if there is a link.
+        Host that forwards messages; empty if there is a direct link.
     last_report, sent_s : int, float
-        Number of the last report, and when the host sent it by its own clock.
+        Number of the last report, and the time at which the host sent it, on its
+        own clock.
     answered_report : int
         Number of the last report that an offer has answered.
     received_at, offered_at : float
-        When it was taken in, and when the last offer was sent.
+        Times at which the last report was received and the last offer was sent.
     next_number : int
         Number of the next offer.
+    more_waiting : int
+        Number of waiting requests that are not listed in ``lines``.
     cached_max_usage, cached_usage : dict or None
-        Kept from one run to the next until anything that they are made of changes.
+        Results of `max_usage` and `current_usage`, kept between runs until
+        anything that they are computed from changes.
     """
 
     host: HostId
@@ -116,8 +149,8 @@
     cached_max_usage: dict[TargetName, Usage] | None = None
     cached_usage: dict[TargetName, Usage] | None = None
 
-    def take(self, report: PoolReport, seen: int, now: float) -> bool:
-        """Take in a report; return False for one that came out of order."""
+    def take(self, report: PoolReport, acked_offer: int, now: float) -> bool:
+        """Process a report; return False if it arrived out of order."""
         if report.number <= self.last_report:
             return False
         self.clear_cached_usage()
@@ -129,23 +162,23 @@
         self.workspaces = {use.workspace: use.running for use in report.workspaces}
         self.more_waiting = sum(row.count for row in report.unlisted)
         self.avoided = frozenset(report.avoided)
-        self._acknowledge(seen)
+        self._acknowledge(acked_offer)
         self._drop_expired()
         self._take_lines(report)
         return True
 
     def note_grant(self, sent: SentGrant) -> None:
-        """Count a grant that an offer brings."""
+        """Count a grant that was sent in an offer."""
         self.grants[sent.grant.request] = sent
         self.clear_cached_usage()
 
     def note_allowances(self, sent: SentAllowances) -> None:
-        """Count the allowances of an offer."""
+        """Count the allowances that were sent in an offer."""
         self.allowances.append(sent)
         self.clear_cached_usage()
 
     def clear_cached_usage(self) -> None:
-        """Let the counts be worked out anew."""
+        """Discard the cached usages, so that they are computed again."""
         self.cached_max_usage = self.cached_usage = None
 
     def _take_lines(self, report: PoolReport) -> None:
@@ -154,16 +187,16 @@
         for request in report.removed:
             self.lines.pop(request, None)
         for line in report.lines:
-            # A line whose grant is still on its way must not be granted again:
-            # the host would have two targets held for one request until both lapse.
+            # A request whose grant is still in transit must not be granted again.
+            # Its host would otherwise hold two targets for it until both expire.
             if line.request not in self.grants:
                 self.lines[line.request] = line
 
-    def _acknowledge(self, seen: int) -> None:
-        while len(self.allowances) > 1 and self.allowances[1].number <= seen:
+    def _acknowledge(self, acked_offer: int) -> None:
+        while len(self.allowances) > 1 and self.allowances[1].number <= acked_offer:
             self.allowances.popleft()
         for request, sent in list(self.grants.items()):
-            if sent.number <= seen:
+            if sent.number <= acked_offer:
                 del self.grants[request]
 
     def _drop_expired(self) -> None:
@@ -174,13 +207,13 @@
                 del self.grants[request]
 
     def max_usage(self) -> dict[TargetName, Usage]:
-        """Return the most that the host may have on each target by now."""
+        """Return the maximum that the host may use by now, by target."""
         if self.cached_max_usage is None:
             self.cached_max_usage = self._compute_max_usage()
         return self.cached_max_usage
 
     def current_usage(self) -> dict[TargetName, Usage]:
-        """Return what runs by the last report, or is granted by name."""
+        """Return the reported running requests plus the granted ones, by target."""
         if self.cached_usage is None:
             self.cached_usage = self._compute_usage()
         return self.cached_usage
@@ -207,11 +240,11 @@
         return self._add_grants(most)
 
     def _compute_usage(self) -> dict[TargetName, Usage]:
-        known = {
+        usage = {
             name: Usage(use.running, use.reserved_tokens)
             for name, use in self.uses.items()
         }
-        return self._add_grants(known)
+        return self._add_grants(usage)
 
     def _add_grants(self, counts: dict[TargetName, Usage]) -> dict[TargetName, Usage]:
         for sent in self.grants.values():
@@ -223,14 +256,14 @@
         return counts
 
     def workspace_running(self, name: WorkspaceName) -> int:
-        """Return the requests of a workspace that run or are granted by name."""
+        """Return the number of running and granted requests of a workspace."""
         granted = sum(sent.workspace == name for sent in self.grants.values())
         return self.workspaces.get(name, 0) + granted
 
     def allowed(self) -> dict[TargetName, Allowance]:
-        """Return the allowances of the last offer that has not lapsed."""
+        """Return the allowances of the last offer, if it has not expired."""
         return self.allowances[-1].allowances if self.allowances else {}
 
     def holds_allowances(self) -> bool:
-        """Return whether the last offer allowed anything beyond what runs."""
+        """Return whether the last valid offer allows more than what runs."""
         return bool(self.allowed())
--- a/godwitladder/scheduler/allocator.py
+++ b/godwitladder/scheduler/allocator.py
@@ -1,4 +1,4 @@
-"""The actor that holds this host's roles as allocator."""
+"""Actor that runs the allocator roles of this host."""
 
 import functools
 from collections.abc import Callable, Mapping
@@ -27,28 +27,34 @@
 log = part_logger("allocator")
 
 MAX_BATCH_DELAY_S = 0.1
-"""Roles run after so long also if messages keep coming: half of the time in which
-hosts expect an answer."""
+"""Maximum time for which messages are batched before roles run. It is half of the
+time within which hosts expect an answer."""
 
 
 MAX_LOGGED_SHARES = 16
-"""Workspaces that a log line names."""
+"""Maximum number of workspaces in a log line."""
 
 
 @dataclass
 class AllocatorTables:
-    """What an allocator knows beside its roles.
+    """Roles of an allocator, and the state that they share.
 
     Attributes
     ----------
+    hosts : tuple of HostId
+        Live hosts of this zone.
+    able : tuple of HostId or None
+        Hosts of this zone that may be allocators; None if all may.
+    linked : mapping
+        Hosts of other zones that this host has a link to, by zone.
+    leaving : frozenset of str
+        Addresses of targets that are leaving.
     standing : bool
-        Whether hosts are allowed some requests unasked while nothing waits.
+        Whether hosts get allowances in advance while no request waits.
     quota_slack : float
-        Tokens that a workspace may have beyond its quota in a window.
+        Tokens that a workspace may use beyond its quota in a window.
     seen : SeenHosts
-        When each host was last among the live ones.
-    able : tuple of HostId or None
-        Hosts of this zone that may be allocators; None if all may.
+        Times at which each host was last seen alive.
     """
 
     host: HostId
@@ -71,16 +77,16 @@
 
 
 class Allocator(pykka.ThreadingActor):
-    """Hands out the pools for which this host is the allocator.
+    """Allocates the pools for which this host is the allocator.
 
     Parameters
     ----------
     tables : AllocatorTables
-        Nothing else may touch them.
+        State of the allocator. Only this actor may access it.
     clock : Clock
         The host's clock.
     send : callable
-        Called with a host and a message for it.
+        Called with a host and the message to send to it.
     """
 
     def __init__(
@@ -99,10 +105,10 @@
         self.logged_shares: dict[PoolName, tuple[float, bool]] = {}
 
     def on_receive(self, message) -> None:
-        """Take ``message`` in, and run the roles if no other is at hand.
+        """Process ``message``, and run the roles if no other message is queued.
 
-        Where more messages come than can be taken in, there is always one at
-        hand: without the bound nothing would be decided any more.
+        The queue is never empty if messages arrive faster than they are
+        processed. Roles would then never run without the limit on batching.
         """
         self.take(message)
         if not self.due:
@@ -113,7 +119,7 @@
             self.last_run_at = self.clock.monotonic()
 
     def run(self, now: float) -> None:
-        """Run the roles that are due and send their offers."""
+        """Run the roles that are due, and send their offers."""
         for name in self.due & set(self.tables.roles):
             role = self.tables.roles[name]
             for offer in role.run(self.tables.hosts, now):
@@ -123,7 +129,7 @@
 
     @functools.singledispatchmethod
     def take(self, message) -> None:
-        """Take one message in."""
+        """Process one message."""
         raise TypeError(f"unknown message {message!r}")
 
     @take.register
@@ -182,7 +188,7 @@
         self.update_roles()
 
     def update_roles(self) -> None:
-        """Take up and give up roles as the live hosts and the pools stand."""
+        """Start and end roles to match the live hosts and the pools."""
         tables, now = self.tables, self.clock.monotonic()
         mine = {
             name: pool
@@ -192,33 +198,33 @@
         }
         for name in set(tables.roles) - set(mine):
             del tables.roles[name]
-            log.info("A role was given up", extra={"pool": pool_key(name)})
+            log.info("Allocator role ended", extra={"pool": pool_key(name)})
         for name, pool in mine.items():
             if name not in tables.roles:
                 term = int(self.clock.wall() * 1000)
                 tables.roles[name] = PoolRole(
                     pool, tables.host, term, now, tables.standing
                 )
-                log.info("A role was taken up", extra={"pool": pool_key(name)})
+                log.info("Allocator role started", extra={"pool": pool_key(name)})
             role = tables.roles[name]
             role.configure(pool, tables.config, tables.leaving)
             role.quotas.slack = tables.quota_slack
             role.quotas.share = self.visible_share(now)
 
     def log_delays(self, role: PoolRole, now: float) -> None:
-        """Log that reports come late, or that they are in time again."""
+        """Log that reports are late, or that they are in time again."""
         status = role.delays.poll_status(now)
         if status is None:
             return
         queued = self.actor_inbox.qsize()
         extra = {"pool": pool_key(role.pool.name), "queued": queued, **status.fields()}
         if status.late:
-            log.warning("Reports come late", extra=extra)
+            log.warning("Reports are late", extra=extra)
         else:
             log.info("Reports are in time again", extra=extra)
 
     def log_admission_shares(self, role: PoolRole, now: float) -> None:
-        """Log of whose calls hosts ask for a part only, or that they ask for all."""
+        """Log the admission shares, and once that none is in effect any more."""
         shares = role.memory.admission.shares
         logged_at, logged = self.logged_shares.get(
             role.pool.name, (float("-inf"), False)
@@ -240,20 +246,20 @@
             "shares": rows,
             "contended_s": round(role.memory.contended_s(), 3),
         }
-        log.info("A part of the calls is asked for", extra=extra)
+        log.info("Current admission shares", extra=extra)
 
     def visible_share(self, now: float) -> float:
-        """Return the part of the hosts that this one sees, of all lately seen.
+        """Return the ratio of live hosts to all hosts that were seen recently.
 
-        Hosts that are cut off from this one may be served by an allocator of
-        their own. If both gave out whole quotas, a workspace would get twice
-        its own for as long as the cut lasts.
+        Hosts on the other side of a network partition may have an allocator of
+        their own. If both granted whole quotas, a workspace would get twice its
+        quota for as long as the partition lasts.
         """
         self.tables.seen.note(self.tables.hosts, now)
         return len(self.tables.hosts) / self.tables.seen.count_recent(now)
 
     def forward(self, message: PoolReport | FloorReport, pool: PoolName) -> None:
-        """Pass a message from another zone on to this zone's allocator, once."""
+        """Forward a message from another zone to this zone's allocator, once."""
         holder = choose_host(self.tables.allocators, pool_key(pool))
         if pool.zone != self.tables.zone or message.via or holder is None:
             return
@@ -261,9 +267,10 @@
             self.send(holder, replace(message, via=self.tables.host))
 
     def send_floors(self, role: PoolRole, now: float) -> None:
-        """Tell allocators of other zones which tiers wait here, or that none do.
+        """Send floor reports to the allocators of other zones.
 
-        Silence would read as a zone out of reach, to which nothing spills.
+        A report is sent even if no request waits. A zone without reports is taken
+        to be unreachable, and requests don't spill to it.
         """
         for name, pool in self.tables.pools.items():
             hosts = self.tables.linked.get(name.zone, ())
@@ -273,7 +280,7 @@
             self.send(relay, role.floor_report(name, now))
 
     def targets_to_watch(self) -> dict[TargetName, str]:
-        """Return the address of each target whose load is to be read."""
+        """Return the addresses of the targets whose load is to be read, by target."""
         return {
             name: self.tables.config.targets[name].address
             for role in self.tables.roles.values()
--- a/godwitladder/scheduler/delays.py
+++ b/godwitladder/scheduler/delays.py
@@ -1,10 +1,10 @@
-"""How long reports take to an allocator, its queue of messages included.
+"""Delays of reports to an allocator, including the time in its message queue.
 
-Pure: times are handed in.
+Pure: times are passed in as arguments.
 
-Load pattern: hosts report more than their allocator can take in. It then decides
-from what was true a while ago: calls that it grants have left, and what it
-grants has lapsed before the host hears of it.
+Load pattern: hosts send more reports than their allocator can process. It then
+decides on outdated information: callers of the requests that it grants have left,
+and grants expire before the host receives them.
 """
 
 from collections.abc import Mapping
@@ -14,27 +14,29 @@
 from godwitladder.scheduler.exchange import PoolReport
 
 LATE_REPORT_S = 0.3
-"""Delay that is told of: most of the time that a short call has to its first output."""
+"""Delay that is logged. It is most of the time in which a short call must get its
+first output."""
 PEAK_HALF_LIFE_S = 0.25
-"""Half-life of the longest delay of late: some reports of each host."""
+"""Half-life of the recent peak delay. It covers several reports of each host."""
 LOG_INTERVAL_S = 1.0
-"""Between two lines about reports that come late."""
+"""Minimum time between two log lines about late reports."""
 
 
 @dataclass(frozen=True)
 class DelayStatus:
-    """What is to be logged of a pool's reports.
+    """Delays of a pool's reports, to be logged.
 
     Attributes
     ----------
     late : bool
-        Whether they come late; False where they are in time again.
+        Whether reports are late; False if they are in time again.
     delay_s : float
-        The longest delay since the last look, in seconds.
+        Longest delay since the last poll, in seconds.
     late_s : float
-        Seconds for which they have come late.
+        Seconds for which reports have been late.
     reports, lines : int
-        Taken in since the last status, and the waiting requests that they told of.
+        Number of reports received since the last status, and of the waiting
+        requests listed in them.
     """
 
     late: bool
@@ -44,7 +46,7 @@
     lines: int
 
     def fields(self) -> Mapping[str, float]:
-        """Return what a log line says of it."""
+        """Return the fields for the log line."""
         return {
             "delay_s": round(self.delay_s, 3),
             "late_s": round(self.late_s, 3),
@@ -55,24 +57,28 @@
 
 @dataclass
 class ReportDelays:
-    """The delays of one pool's reports.
+    """Delays of one pool's reports.
 
-    Hosts share no clock. What passes from the sending of a report, by its host's
-    clock, to the moment in which it is taken in has a part that does not change,
-    and the least that was seen of a host stands for no delay.
+    Hosts don't share a clock. The difference between the time of receipt, on the
+    allocator's clock, and the time of sending, on the host's clock, is the sum of
+    a constant clock offset and the delay. The smallest difference seen for a host
+    is taken as no delay.
 
     Attributes
     ----------
     min_offsets : dict
-        That least difference of each process of a host, in seconds.
+        Smallest difference seen for each process of a host, in seconds.
     max_delay_s : float
-        The longest delay since the last look.
+        Longest delay since the last poll, in seconds.
     late_since : float or None
-        Since when reports come late.
+        Time since which reports are late; None if they are in time.
     logged_at : float
-        When this was last told of.
+        Time of the last status that was returned.
+    reports, lines : int
+        Number of reports received since then, and of the waiting requests listed
+        in them.
     peak_s, peak_at : float
-        The longest delay of late, and when it was seen.
+        Recent peak delay in seconds, and the time at which it occurred.
     """
 
     min_offsets: dict[tuple[HostId, Incarnation], float] = field(default_factory=dict)
@@ -85,7 +91,7 @@
     peak_at: float = 0.0
 
     def note(self, report: PoolReport, now: float) -> float:
-        """Take in that ``report`` is taken in now; return its delay in seconds."""
+        """Record that ``report`` is received now; return its delay in seconds."""
         key = report.host, report.incarnation
         offset_s = now - report.sent_s
         min_offset_s = min(offset_s, self.min_offsets.get(key, offset_s))
@@ -99,15 +105,15 @@
         return delay_s
 
     def recent_peak_s(self, now: float) -> float:
-        """Return the longest delay of late, which fades, in seconds."""
+        """Return the recent peak delay in seconds, which decays exponentially."""
         return self.peak_s * 0.5 ** ((now - self.peak_at) / PEAK_HALF_LIFE_S)
 
     def forget(self, host: HostId, incarnation: Incarnation) -> None:
-        """Drop what is known of a process that is gone."""
+        """Drop the offset of a host process that no longer exists."""
         self.min_offsets.pop((host, incarnation), None)
 
     def poll_status(self, now: float) -> DelayStatus | None:
-        """Return what is to be told now, if anything."""
+        """Return the status to log now, or None if there is nothing to log."""
         max_delay_s, self.max_delay_s = self.max_delay_s, 0.0
         late = max_delay_s > LATE_REPORT_S
         if not self.should_log(late, now):
@@ -120,7 +126,10 @@
         return status
 
     def should_log(self, late: bool, now: float) -> bool:
-        """Return whether that reports are ``late``, or not, is to be told now."""
+        """Return whether the state ``late`` is to be logged now.
+
+        A change of state is logged at once, and late reports at intervals.
+        """
         was_late = self.late_since is not None
         if late != was_late:
             return True
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -1,19 +1,20 @@
-"""What hosts and allocators send each other.
-
-A host sends each allocator one report, which holds its demand, its use, and
-what it has completed. Of the demand most reports tell only what has changed, and
-one in a while tells all, for an allocator that is new or has missed something.
-Use and demand are in one message, since a request that leaves the demand
-appears in the use, and a reader that saw only one of the two would count it
-twice or not at all. The allocator answers with an offer, which likewise holds
-allowances, grants and sheds.
-
-Hosts share no clock. A report is stamped by its host's own clock, and an
-offer says on that same clock when it lapses: so many seconds after the sending
-of the report that it answers. The allocator frees what it gave only when a
-report *sent* after that moment has come, which no longer holds it. So it never
-gives out what a host may still use, however long either end was paused or a
-message was on its way.
+"""Messages between hosts and allocators.
+
+A host sends each allocator reports that contain its demand (waiting requests),
+its use (running requests) and its completions. Most reports are incremental:
+they contain only the changes in demand. A full report follows at intervals, for
+an allocator that is new or has missed a report. Demand and use are in the same
+message because a request that leaves the demand appears in the use: a reader
+that saw only one of the two would count it twice or not at all. For the same
+reason the allocator answers with a single offer that contains allowances, grants
+and sheds.
+
+Hosts don't share a clock. A report is timestamped with the clock of its host, and
+the expiry of an offer is given on that same clock, as a fixed time after the
+report that it answers was sent. The allocator reclaims what it gave only when it
+receives a report that was *sent* after the expiry and no longer includes it. It
+therefore never reassigns capacity that a host may still use, no matter how long
+either process was paused or a message was delayed.
 """
 
 from dataclasses import dataclass
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True)
 class TierCount:
-    """Waiting requests of one tier that have no line of their own."""
+    """Number of waiting requests of one tier that are not listed one by one."""
 
     tier_rank: int
     count: int
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True)
 class WorkspaceUse:
-    """Running requests of one workspace with a quota."""
+    """Number of running requests of one workspace that has a quota."""
 
     workspace: WorkspaceName
     running: int
@@ -52,12 +53,14 @@
 
 @dataclass(frozen=True)
 class Completion:
-    """One request that came to its end; times from its dispatch on.
+    """A completed request.
 
     Attributes
     ----------
     first_token_s : float
-        0 where it is not known.
+        Seconds from dispatch to the first token; 0 if unknown.
+    total_s : float
+        Seconds from dispatch to the end of the request.
     """
 
     target: TargetName
@@ -71,17 +74,19 @@
 
 @dataclass(frozen=True)
 class ThroughputSample:
-    """Work that a target has done, or should have done by now.
+    """Work of a target and the time that it took.
 
     Attributes
     ----------
     prompt_tokens, output_tokens : int
-        Prompts read and tokens produced, over all requests of the host.
+        Prompt tokens processed and output tokens produced, summed over all
+        requests of the host.
     taken_s : float
-        Seconds that the requests took for it, added up.
-    open : bool
-        Whether the work is not done yet; then the tokens are what the
-        requests wait for, and only a ``taken_s`` that is too long says anything.
+        Seconds that the work took, summed over the requests.
+    in_progress : bool
+        Whether the work is unfinished. The tokens are then those that the
+        requests are waiting for, and ``taken_s`` is a lower bound: it shows that
+        the target is slow if it is too long, and nothing otherwise.
     """
 
     target: TargetName
@@ -93,17 +98,19 @@
 
 @dataclass(frozen=True)
 class Allowance:
-    """How much a host may have on a target without asking for each request.
+    """Capacity of a target that a host may use without asking for each request.
 
-    A bound on what runs, not a number of grants to be used up: it can be
-    renewed while a report is on its way without being counted twice.
+    An allowance limits what runs concurrently; it is not a number of grants to
+    be used up. It can therefore be renewed while a report is in transit without
+    being counted twice.
 
     Attributes
     ----------
     running : int
-        Requests of the host on the target, those now running included.
+        Maximum number of requests of the host on the target, including those
+        that are running now.
     tokens : int
-        Tokens of memory that these may hold.
+        Maximum number of tokens of memory that these requests may reserve.
     """
 
     target: TargetName
@@ -114,38 +121,47 @@
 @peer_message
 @dataclass(frozen=True)
 class PoolReport:
-    """What one host wants from and has in one pool.
+    """Demand and use of one host in one pool.
 
     Attributes
     ----------
     number : int
-        Counts the host's reports on this pool.
+        Sequence number of the host's reports on this pool.
     sent_s : float
-        When it was sent, by the host's own clock; only differences count.
-    term, seen : int
-        The allocator's term, and the last of its offers taken in.
+        Time of sending in seconds, on the clock of the host. Only differences
+        between such times are meaningful.
+    term, acked_offer : int
+        Term of the allocator, and number of the last offer received from it.
     uses : tuple of TargetUse
-        Requests running, and grants held for requests that can't go yet.
+        Running requests, and grants held for requests that can't be dispatched
+        yet.
+    workspaces : tuple of WorkspaceUse
+        Running requests of the workspaces that have a quota.
     lines : tuple of DemandLine
-        The first requests in the host's order; if the report tells of changes,
-        those of them that the reports before it did not hold.
-    rest : tuple of TierCount
-        Those without a line.
-    stretches : tuple of Stretch
-        How fast targets were since the last report: at most two for each.
+        Waiting requests that are listed one by one: the first and the last ones
+        in the dispatch order of the host. An incremental report contains only
+        those that previous reports did not.
+    unlisted : tuple of TierCount
+        Number of all other waiting requests, by tier.
     avoided : tuple of TargetName
-        Targets that this host could not connect to a moment ago.
+        Targets to which the host recently failed to connect.
+    completions : tuple of Completion
+        Requests completed since the last report.
+    throughput_samples : tuple of ThroughputSample
+        Speed of targets since the last report: for each target at most two samples
+        of finished work and one of work in progress.
     spent : tuple of Spent
-        Tokens that workspaces spent by this host, for an allocator that has
-        not answered yet and may be new.
+        Tokens that workspaces spent through this host. Sent until the allocator
+        answers, since it may be new.
     known_s : float
-        For how many seconds back ``spent`` misses nothing.
+        Number of past seconds for which ``spent`` is complete.
     via : str
-        The host that passed the report on; empty if none did.
-    changes : bool
-        Whether ``lines`` and ``gone`` are what has changed since the last report.
-    gone : tuple of RequestId
-        Requests that have no line any more.
+        Host that forwarded the report; empty if it came directly.
+    incremental : bool
+        Whether ``lines`` and ``removed`` are changes since the last report. If
+        not, ``lines`` replaces all earlier lines.
+    removed : tuple of RequestId
+        Requests that are no longer listed.
     """
 
     host: HostId
@@ -172,26 +188,34 @@
 @peer_message
 @dataclass(frozen=True)
 class GrantOffer:
-    """What an allocator gives one host; its allowances replace earlier ones.
+    """Decisions of an allocator for one host.
 
     Attributes
     ----------
     term : int
-        Drawn by the allocator when it took the role; a higher one is newer.
+        Chosen by the allocator when it took the role; a higher term is newer.
     number : int
-        Counts the allocator's offers to this host.
-    echo : int
-        Number of the last report it took in from this host.
+        Sequence number of the allocator's offers to this host.
+    acked_report : int
+        Number of the last report received from this host.
     expires_s : float
-        When all of this lapses, by the clock of the host it is for.
-    urgent : bool
-        Whether the host is to report at once, since something was taken back.
+        Expiry of the offer in seconds, on the clock of the receiving host.
+    report_now : bool
+        Whether the host is to report immediately because an allowance was
+        withdrawn.
+    allowances : tuple of Allowance
+        Replace the allowances of all earlier offers.
+    grants : tuple of Grant
+        Requests that may be dispatched, each to one target.
+    sheds : tuple of Shed
+        Requests that are shed.
     spill : tuple of RequestId
-        Requests that should be asked for in other zones too.
+        Requests that should also be reported to other zones.
     via : str
-        The host that passed on the report which this answers; empty if none did.
+        Host that forwarded the report which this offer answers; empty if the
+        report came directly.
     shares : tuple of AdmissionShare
-        Workspaces of whose calls only a part is to be asked for.
+        Workspaces for which hosts report only a share of the calls.
     """
 
     host: HostId
@@ -214,16 +238,19 @@
 @peer_message
 @dataclass(frozen=True)
 class FloorReport:
-    """What tiers one allocator keeps and sheds, for those of other zones.
+    """Tiers that an allocator keeps and sheds, for allocators of other zones.
 
     Attributes
     ----------
     pool, to : PoolName
-        The pool it is about, and the pool whose allocator it is for.
+        The pool described, and the pool whose allocator receives the report.
     floor : int
-        Highest rank number still waiting, or NO_RANK.
+        Highest rank number still waiting, which is the least important tier, or
+        NO_RANK.
     shed_rank : int
-        Lowest rank number lately shed under overload, or NO_RANK.
+        Lowest rank number recently shed under overload, or NO_RANK.
+    via : str
+        Host that forwarded the report; empty if it came directly.
     """
 
     pool: PoolName
--- a/godwitladder/scheduler/load.py
+++ b/godwitladder/scheduler/load.py
@@ -1,4 +1,4 @@
-"""Reads the load reports of targets, for the allocators on this host."""
+"""Polling of the targets' load reports, for the allocators on this host."""
 
 import threading
 from concurrent.futures import ThreadPoolExecutor
@@ -17,16 +17,17 @@
 
 READ_INTERVAL_S = 1.0
 READER_THREADS = 4
-"""Threads that read at once, so that a silent target holds up no other."""
+"""Number of threads that read concurrently, so that an unresponsive target does
+not delay the others."""
 
 
 class LoadReader:
-    """Reads each watched target's report once a second, in threads.
+    """Reads the load report of each watched target once a second.
 
     Parameters
     ----------
     allocator : pykka.ActorRef
-        Asked what to read, and told what was read.
+        Provides the targets to read, and receives their load.
     clock : Clock
         The host's clock.
     """
@@ -37,11 +38,11 @@
         self.stopping = threading.Event()
 
     def start(self) -> None:
-        """Start to read."""
+        """Start reading in a background thread."""
         threading.Thread(target=self.run, name="load", daemon=True).start()
 
     def stop(self) -> None:
-        """Stop after the reads in progress."""
+        """Stop once the reads in progress have finished."""
         self.stopping.set()
 
     def run(self) -> None:
@@ -52,10 +53,13 @@
                 list(pool.map(self.read, watched, watched.values()))
 
     def read(self, target: TargetName, address: str) -> None:
-        """Read one report and hand it on."""
+        """Read the load report of one target and send it to the allocator."""
         try:
             load = read_load(address)
         except (NotSent, MayHaveRun, ValueError, KeyError) as error:
-            log.info("No load report", extra={"target": target, "error": str(error)})
+            log.info(
+                "Load report could not be read",
+                extra={"target": target, "error": str(error)},
+            )
             return
         self.allocator.tell(TargetLoad(target, load.running + load.queued))
--- a/godwitladder/scheduler/quotas.py
+++ b/godwitladder/scheduler/quotas.py
@@ -1,6 +1,6 @@
-"""Which part of the workspaces' tokens a host may give out.
+"""Token quotas of workspaces, and the share of them that a host may grant.
 
-Pure: times are handed in.
+Pure: times are passed in as arguments.
 """
 
 from collections.abc import Collection
@@ -11,12 +11,12 @@
 from godwitladder.ids import HostId, WorkspaceName
 
 HOST_EXPIRY_S = 30.0
-"""Cuts last for seconds; a host gone for longer has ended, and its part of the
-quotas goes back to the others."""
+"""Network partitions last for seconds. A host that was not seen for longer has
+ended, and its share of the quotas returns to the others."""
 
 
 def token_rates(config: ConfigState) -> dict[WorkspaceName, TokenRate]:
-    """Return the token quotas of a configuration."""
+    """Return the token quotas of ``config``, by workspace."""
     return {
         name: TokenRate(workspace.token_rate, workspace.token_burst)
         for name, workspace in config.workspaces.items()
@@ -26,16 +26,16 @@
 
 @dataclass
 class SeenHosts:
-    """When each host was last among the live ones."""
+    """Times at which each host was last seen alive."""
 
     last_seen: dict[HostId, float] = field(default_factory=dict)
 
     def note(self, hosts: Collection[HostId], now: float) -> None:
-        """Take in the live hosts."""
+        """Record that ``hosts`` are alive."""
         self.last_seen.update(dict.fromkeys(hosts, now))
 
     def count_recent(self, now: float) -> int:
-        """Return how many hosts were live lately."""
+        """Return the number of hosts that were seen recently, at least 1."""
         return max(
             1,
             sum(now - seen_at <= HOST_EXPIRY_S for seen_at in self.last_seen.values()),
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -1,7 +1,7 @@
-"""The role of an allocator for one pool: soft state, rebuilt from reports.
+"""Allocator role for one pool: soft state that is rebuilt from reports.
 
-Pure: reports and times go in, offers come out. Any host can take the role
-over at any moment, since all of it comes back with the hosts' next reports.
+Pure: the input is reports and times, the output is offers. Any host can take over
+the role at any time, since the hosts' next reports restore its whole state.
 """
 
 import math
@@ -59,42 +59,44 @@
 from godwitladder.scheduler.views import make_waiting, pool_view, target_views
 
 OFFER_LIFETIME_S = 2.5
-"""An allowance outlives a lost renewal, and lapses before a host that lost
-its allocator helps itself to its fixed share."""
+"""Time after a report for which the offer that answers it is valid. An allowance
+survives one lost renewal, and expires before a host that has lost its allocator
+starts to use its fixed share."""
 
 RENEWAL_INTERVAL_S = 1.0
-"""Longest time between two offers to a host that reports: what idle hosts cost
+"""Maximum time between two offers to a host that reports. The cost of idle hosts to
 their allocator grows with their number."""
 
 ANSWER_INTERVAL_S = 0.2
-"""Longest time between two offers to a host that asks for requests, also if
-nothing was decided: it then knows that its allocator can be reached."""
+"""Maximum time between two offers to a host with waiting requests. An offer is sent
+even if nothing was decided, so that the host knows that its allocator is reachable."""
 
 DEMAND_TIMEOUT_S = 3.0
-"""Demand of a host that was silent for so long is no longer answered."""
+"""Demand of a host that has not reported for this time is no longer answered."""
 
 HOST_TIMEOUT_S = 5.0
-"""Use of a silent host counts for so long: its requests may still run. After
-that the targets' own load reports have had time to show them."""
+"""Use of a host that stopped reporting counts for this time, since its requests may
+still run. After that the targets' own load reports have had time to show them."""
 
 WARM_UP_S = 0.5
-"""A new allocator waits so long for hosts it expects to hear from. They report as
-soon as they see the change, and heartbeats bring it to all within two periods;
-everything stands still meanwhile."""
+"""Time for which a new allocator waits for reports of the hosts that it expects.
+Hosts report as soon as they learn of the new allocator, and heartbeats reach all of
+them within two periods. Nothing is granted in the meantime."""
 
 UNREAD_S = 0.06
-"""Where each dispatch is asked for, a target gets no further prompt while it has
-more than this to read of those it was sent. It admits in order of arrival and
-reads in chunks between the output of all that it runs: what is sent early
-waits where no one can order it, and slows everything beside it."""
+"""Limit on the prefill backlog of a target, in seconds, where a host asks for each
+dispatch. A target above the limit gets no further prompt. Targets admit requests in
+order of arrival and process prompts in chunks, between the output of all requests
+that they run. A request that is sent early therefore waits where it can't be
+reordered, and slows down all others on the target."""
 
 FLOOR_TIMEOUT_S = 3.0
-"""A floor that was not repeated for so long says nothing any more."""
+"""Time after which a floor that was not repeated is no longer valid."""
 
 
 @dataclass
 class Floor:
-    """Another allocator's last word on its tiers."""
+    """The last floor report of another allocator."""
 
     floor: int
     shed_rank: int
@@ -103,7 +105,7 @@
 
 @dataclass
 class PendingOffer:
-    """What is to go to one host in its next offer, beside allowances."""
+    """Content of the next offer to one host, except for its allowances."""
 
     grants: list[Grant] = field(default_factory=list)
     sheds: list[Shed] = field(default_factory=list)
@@ -111,20 +113,21 @@
 
 
 class PoolRole:
-    """One host's term as allocator of one pool.
+    """State of one host as allocator of one pool, for one term.
 
     Parameters
     ----------
     pool : Pool
-        What it hands out.
+        The pool whose capacity is allocated.
     host : HostId
         The host that has the role.
     term : int
-        Higher than that of every earlier term of this host.
+        Number of the term, higher than that of every earlier term of this host.
     now : float
-        When the term began.
+        Time at which the term begins.
     standing : bool
-        Whether hosts are allowed some requests unasked while nothing waits.
+        Whether hosts get allowances in advance while no request waits. If not, a
+        host has to ask for each dispatch.
     """
 
     def __init__(
@@ -159,7 +162,7 @@
     def configure(
         self, pool: Pool, config: ConfigState, leaving: frozenset[str]
     ) -> None:
-        """Take in the targets as they stand, and addresses that are leaving."""
+        """Update the pool, the configuration and the addresses that are leaving."""
         for name in self.pool.targets - pool.targets:
             for learned in (
                 self.speeds,
@@ -176,7 +179,7 @@
             self.speeds.expect(name, target.prefill_tps, target.decode_tps)
 
     def take_report(self, report: PoolReport, now: float) -> bool:
-        """Take in a host's report; return whether it calls for a run at once."""
+        """Process a host's report; return whether the role should run at once."""
         key = report.host, report.incarnation
         self.current_at = None
         delay_s = self.delays.note(report, now)
@@ -184,8 +187,8 @@
         if account is None:
             account = HostAccount(*key, next_number=self.first_offer_number)
             self.accounts[key] = account
-        seen = report.acked_offer if report.term == self.term else 0
-        if not account.take(report, seen, now):
+        acked_offer = report.acked_offer if report.term == self.term else 0
+        if not account.take(report, acked_offer, now):
             return False
         self.update_waiting(account, report, now - delay_s)
         self.quotas.recall(report.host, report.spent, report.known_s, now)
@@ -199,10 +202,11 @@
     def update_waiting(
         self, account: HostAccount, report: PoolReport, sent_at: float
     ) -> None:
-        """Take in requests as they stood when their host told of them.
+        """Update waiting requests as of ``sent_at``, when their report was sent.
 
-        Usage from the moment in which a report is taken in, what a caller has
-        left would grow by the delay, and places would go to calls that have left.
+        If times counted from the receipt of the report, the remaining time of
+        each caller would grow by the delay, and slots would be granted to
+        requests whose callers have left.
         """
         for line in report.lines:
             if account.lines.get(line.request) is line:
@@ -211,7 +215,7 @@
                 self.waiting[line.request] = row
 
     def observe_throughput(self, sample: ThroughputSample, now: float) -> None:
-        """Take in how fast a target works while requests run."""
+        """Update the easing of a target by a throughput sample of running requests."""
         if not self.speeds.known(sample.target):
             return
         expected_s = self.speeds.expected_s(
@@ -221,7 +225,7 @@
             self.easing.observe(sample.target, expected_s, sample.taken_s, now)
 
     def observe_completion(self, row: Completion) -> None:
-        """Take in the speed at which a request was completed."""
+        """Update the learned speed of a target by a completed request."""
         if row.target not in self.speeds.learned:
             return
         prompt, output = row.prompt_tokens, row.output_tokens
@@ -230,38 +234,46 @@
         self.speeds.observe(row.target, prompt, output, row.first_token_s, row.total_s)
 
     def take_floor(self, report: FloorReport, now: float) -> None:
-        """Take in another allocator's floor."""
+        """Store the floor report of another allocator."""
         self.floors[report.pool] = Floor(report.floor, report.shed_rank, now)
 
     def take_load(self, target: TargetName, requests: int) -> None:
-        """Take in a target's own, lagging count of its requests."""
+        """Store a target's own count of its requests, which lags behind."""
         self.loads.observe(target, requests)
 
     def is_warmed_up(self, expected: Collection[HostId], now: float) -> bool:
-        """Return whether enough is known to hand anything out.
+        """Return whether enough hosts have reported to allocate anything.
 
-        A new allocator that granted at its first report would hand out slots
-        that hosts it has not received_at from are using: the targets would run up
-        to twice their slots for a while. Hosts that are silent for longer
-        than the warm-up are unlikely to be there.
+        An allocator that granted on its first report would grant slots that are
+        in use by hosts which have not reported yet. Targets would then run up to
+        twice their slots for a while. Hosts that stay silent for longer than the
+        warm-up are unlikely to exist.
         """
         reporting = {account.host for account in self.accounts.values()}
         return reporting >= set(expected) or now - self.started_at >= WARM_UP_S
 
     def run(self, expected: Collection[HostId], now: float) -> list[GrantOffer]:
-        """Decide, and return the offers that are due.
+        """Allocate the pool, and return the offers that are due.
 
         Parameters
         ----------
         expected : collection of HostId
             The live hosts of the zone.
+        now : float
+            The current time.
+
+        Returns
+        -------
+        list of GrantOffer
+            At most one offer for each host; empty during the warm-up.
         """
         self.drop_expired(now)
         self.quotas.settle(now)
         if not self.is_warmed_up(expected, now):
             return []
         if self.is_quiet(now):
-            # With nothing left to decide, a flood's shares would stay as they are.
+            # `allocate` updates the admission shares, and does not run here. The
+            # shares of an overload that is over would otherwise stay in force.
             self.memory.admission.look(now, 0.0)
             return []
         self.quotas.hosts = len(expected)
@@ -274,19 +286,19 @@
         return self.make_offers(pending, contended, expected, now)
 
     def is_quiet(self, now: float) -> bool:
-        """Return whether nothing waits and no host is due for an offer."""
+        """Return whether no request waits and no offer is due."""
         return not any(
             row.lines or row.more_waiting or self.is_due(row, False, now)
             for row in self.current(now)
         )
 
     def drop_expired(self, now: float) -> None:
-        """Drop hosts that are gone, and floors that nobody repeats."""
+        """Drop hosts that stopped reporting, and floors that were not repeated."""
         self.current_at = None
         for key, account in list(self.accounts.items()):
             if now - account.received_at > HOST_TIMEOUT_S:
-                # A host that comes back still knows the last offer's number,
-                # and would take those from one on for late ones.
+                # A host that reports again still remembers the number of its last
+                # offer, and would discard offers numbered from one as outdated.
                 self.first_offer_number = max(
                     self.first_offer_number, account.next_number
                 )
@@ -297,7 +309,7 @@
                 del self.floors[name]
 
     def current(self, now: float) -> list[HostAccount]:
-        """Return the account of each host that still reports: its newest."""
+        """Return the account of the newest process of each host that still reports."""
         if self.current_at != now:
             rows = sorted(self.accounts.values(), key=attrgetter("incarnation"))
             newest = {
@@ -313,17 +325,17 @@
         return next(row for row in self.current(now) if row.host == host)
 
     def max_usage(self) -> dict[TargetName, Usage]:
-        """Return the most that all hosts may have on each target."""
+        """Return the maximum usage of all hosts together, by target."""
         return sum_usage(row.max_usage() for row in self.accounts.values())
 
     def current_usage(self) -> dict[TargetName, Usage]:
-        """Return what all hosts run on each target or are granted by name."""
+        """Return the running and granted requests of all hosts together, by target."""
         return sum_usage(row.current_usage() for row in self.accounts.values())
 
     def group_by_host(
         self, allocation: Allocation, view: PoolView, now: float
     ) -> dict[HostId, PendingOffer]:
-        """Return what was decided, by host."""
+        """Return the decisions of ``allocation`` by host."""
         pending: dict[HostId, PendingOffer] = {}
         for row in allocation.placements:
             waiting = view.waiting[row.request]
@@ -357,18 +369,21 @@
         return pending
 
     def record_prompt(self, target: TargetName, tokens: int, now: float) -> None:
-        """Foretell when a prompt is read that has just been granted."""
+        """Record a granted prompt in the forecast of its target's prefill."""
         _, read_s = self.speeds.reading(target)
         self.forecast.note(target, tokens, tokens * read_s, now)
 
     def record_shed(self, rank: int, now: float) -> None:
-        """Remember the most important tier shed within the last seconds."""
+        """Record the rank of a shed request; keep the most important recent one."""
         old = now - self.shed_at > FLOOR_TIMEOUT_S
         if self.shed_rank == NO_RANK or rank <= self.shed_rank or old:
             self.shed_rank, self.shed_at = rank, now
 
     def record_grants(self, account: HostAccount, offer: PendingOffer) -> None:
-        """Count grants against a host before any allowance is worked out."""
+        """Count the grants of an offer against a host, before allowances are computed.
+
+        Requests that were granted or shed no longer count as demand.
+        """
         expires_s = account.sent_s + OFFER_LIFETIME_S
         for grant in offer.grants:
             line = account.lines.pop(grant.request)
@@ -391,18 +406,20 @@
         expected: Collection[HostId],
         now: float,
     ) -> list[GrantOffer]:
-        """Return offers to hosts for which something was decided or is due."""
+        """Return an offer for each host with a decision or an offer that is due."""
         offers = []
         due = [row for row in self.current(now) if self.is_due(row, contended, now)]
-        home = [row.host for row in self.current(now) if row.host in expected]
+        zone_hosts = [row.host for row in self.current(now) if row.host in expected]
         may_allow = due and not contended and self.has_standing
-        standing = self.standing_targets(home, now) if may_allow else {}
+        standing = self.standing_targets(zone_hosts, now) if may_allow else {}
         total = self.max_usage() if standing else {}
         for account in self.current(now):
             allowances = account.allowed()
             if account in due:
                 targets = standing.get(account.host, [])
-                allowances = self.make_allowances(account, targets, total, len(home))
+                allowances = self.make_allowances(
+                    account, targets, total, len(zone_hosts)
+                )
             elif account.host not in pending:
                 continue
             offer = pending.get(account.host, PendingOffer())
@@ -410,23 +427,23 @@
         return offers
 
     def is_due(self, account: HostAccount, contended: bool, now: float) -> bool:
-        """Return whether ``account`` is to be answered, or its allowances set anew."""
+        """Return whether a host is to be answered, or its allowances replaced."""
         if not self.has_standing and account.answered_report == account.last_report:
             return False
-        taken_back = contended and account.holds_allowances()
+        withdrawn = contended and account.holds_allowances()
         longest_s = ANSWER_INTERVAL_S if account.lines else RENEWAL_INTERVAL_S
-        return taken_back or now - account.offered_at >= longest_s
+        return withdrawn or now - account.offered_at >= longest_s
 
     def standing_targets(
-        self, home: list[HostId], now: float
+        self, zone_hosts: list[HostId], now: float
     ) -> dict[HostId, list[TargetView]]:
-        """Return, for each host of the zone, where it may have one more."""
+        """Return the targets on which each host may run one more request."""
         views = target_views(self, now)
         usage = self.current_usage()
         for name, target in views.items():
             target.used = usage.get(name, NO_USAGE).running + self.loads.others(name)
         standing: dict[HostId, list[TargetView]] = {}
-        for grant in standing_grants(PoolView(targets=views), home):
+        for grant in standing_grants(PoolView(targets=views), zone_hosts):
             standing.setdefault(grant.host, []).append(views[grant.target])
         return standing
 
@@ -437,12 +454,22 @@
         total: dict[TargetName, Usage],
         hosts: int,
     ) -> dict[TargetName, Allowance]:
-        """Return an allowance of one more than what runs, where that fits.
+        """Return allowances for one request more than what runs, where that fits.
 
-        It must fit beside all that other hosts may have by now, which is
-        ``total`` and grows with what is allowed here, and not only beside
-        what they run: allowances that were taken back count until the host
-        has said that it knows.
+        An allowance has to fit beside the maximum usage of all other hosts, and
+        not only beside what they run: an allowance that was withdrawn counts
+        until its host has acknowledged that.
+
+        Parameters
+        ----------
+        account : HostAccount
+            The host.
+        targets : list of TargetView
+            Targets on which the host may run one more request.
+        total : dict
+            Maximum usage of all hosts by target. The new allowances are added.
+        hosts : int
+            Number of hosts among which free memory is divided.
         """
         rows: dict[TargetName, Allowance] = {}
         if not targets:
@@ -470,7 +497,7 @@
         allowances: dict[TargetName, Allowance],
         now: float,
     ) -> GrantOffer:
-        """Return one offer and count its allowances against the host."""
+        """Return an offer, and count its allowances against the host."""
         before = set(account.allowed())
         number, account.next_number = account.next_number, account.next_number + 1
         account.offered_at = now
@@ -496,7 +523,7 @@
         )
 
     def admission_shares(self) -> tuple[AdmissionShare, ...]:
-        """Return of whose calls hosts are to ask for a part only."""
+        """Return the workspaces for which hosts are to report a share of the calls."""
         memory = self.memory
         if self.policy.is_strict or not memory.admission.shares:
             return ()
@@ -507,7 +534,7 @@
         )
 
     def floor_report(self, to: PoolName, now: float) -> FloorReport:
-        """Return what to tell the allocator of pool ``to``."""
+        """Return the floor report for the allocator of pool ``to``."""
         ranks = [
             line.tier_rank for row in self.current(now) for line in row.lines.values()
         ]
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -1,6 +1,6 @@
-"""What an allocator's role shows to the decisions under load.
+"""Views of an allocator's state, from which allocation decisions are made.
 
-Pure: a role and a time go in, views come out.
+Pure: views are computed from a role and a time.
 """
 
 from collections import Counter
@@ -24,7 +24,7 @@
 
 
 def pool_view(role: "PoolRole", now: float) -> PoolView:
-    """Return everything that `allocate` decides from."""
+    """Return the input of `allocate`."""
     view = PoolView(
         targets=target_views(role, now),
         workspaces=workspace_views(role, now),
@@ -35,8 +35,8 @@
     )
     for account in role.current(now):
         for line in account.lines.values():
-            # Kept from run to run: a row that is new is weighed anew, and its
-            # deadline would move on with each run between two reports.
+            # Rows are kept between runs. A new row would be weighed again, and
+            # its deadline would move with each run between two reports.
             row = role.waiting.get(line.request)
             if row is None or row.line is not line:
                 row = make_waiting(role, account.host, line, now, row)
@@ -57,16 +57,16 @@
     now: float,
     before: Waiting | None,
 ) -> Waiting:
-    """Return a demand line as of ``now``, with its times by the allocator's clock.
+    """Return a demand line as of ``now``, with times on the allocator's clock.
 
-    The aim counts from when the caller first asked, also if it was refused
-    since then and has come back.
+    The time limit for the first output (``aim``) counts from the caller's first
+    attempt, even if that was refused and the caller has retried.
 
     Parameters
     ----------
     before : Waiting or None
-        The same request as an earlier report told of it. Usage anew with
-        each report, a request that waits for long looked like many that came.
+        The same request as of an earlier report. If each report counted the
+        request again, one that waits for long would look like many arrivals.
     """
     arrived = now - line.waited_s
     known = role.memory.callers.first_asked(line.body, now)
@@ -74,7 +74,7 @@
     if before is not None:
         entitled = before.entitled
     else:
-        # One that has come back was counted when it first came.
+        # A retried request was counted at its first attempt.
         entitled = known is not None or role.memory.entitlements.take(
             line.workspace,
             line.charge,
@@ -95,7 +95,7 @@
 
 
 def target_views(role: "PoolRole", now: float) -> dict[TargetName, TargetView]:
-    """Return every target that may take work."""
+    """Return a view of each target that may be given requests."""
     views = {}
     max_usage, usage = role.max_usage(), role.current_usage()
     unreachable = unreachable_targets(role, now)
@@ -108,8 +108,8 @@
         count = max_usage.get(name, NO_USAGE)
         role.loads.note_ours(name, usage.get(name, NO_USAGE).running, now)
         speed = role.speeds.learned[name]
-        told = Unread(count.unread_tokens, count.unread_requests)
-        unread = role.forecast.unread(name, told, now)
+        reported = Unread(count.unread_tokens, count.unread_requests)
+        unread = role.forecast.unread(name, reported, now)
         first_s, read_s = role.speeds.reading(name)
         views[name] = TargetView(
             name=name,
@@ -135,15 +135,15 @@
 def concurrency_limit(
     role: "PoolRole", name: TargetName, slots: int, now: float
 ) -> int:
-    """Return how many requests a target may run at once."""
+    """Return the number of requests that a target may run concurrently."""
     return role.easing.limit(name, slots, now) if role.policy.eases_off else slots
 
 
 def unreachable_targets(role: "PoolRole", now: float) -> set[TargetName]:
-    """Return the targets to which half of the hosts can't connect.
+    """Return the targets to which at least half of the hosts can't connect.
 
-    One host's broken path must not take a target from all others, nor from
-    itself alone while the rest have nothing to report.
+    The broken network path of one host must not make a target unavailable to all
+    hosts, even while no other host has anything to report.
     """
     current = role.current(now)
     avoiding = Counter(name for row in current for name in row.avoided)
@@ -152,7 +152,7 @@
 
 
 def workspace_views(role: "PoolRole", now: float) -> dict[WorkspaceName, WorkspaceView]:
-    """Return weight, bound and use of each workspace that waits."""
+    """Return the share, quota and use of each workspace with waiting requests."""
     names = {
         line.workspace
         for account in role.current(now)
@@ -167,5 +167,5 @@
 
 
 def workspace_running(role: "PoolRole", name: WorkspaceName) -> int:
-    """Return the requests of a workspace that run on all hosts."""
+    """Return the number of requests that a workspace runs, over all hosts."""
     return sum(row.workspace_running(name) for row in role.accounts.values())
