--- a/tests/scheduler/__init__.py
+++ b/tests/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the scheduler."""
+"""Tests for `godwitladder.scheduler`."""
--- a/tests/scheduler/flood.py
+++ b/tests/scheduler/flood.py
@@ -1,4 +1,4 @@
-"""Hosts, an allocator and targets that read prompts, with news that take a while."""
+"""Simulation of hosts, an allocator and targets, with delayed messages."""
 
 import heapq
 import itertools
@@ -25,31 +25,31 @@
 
 @dataclass
 class Flood:
-    """A region in which prompts are read one after the other at each target.
+    """Simulation of a region in which each target processes one prompt at a time.
 
     Attributes
     ----------
-    news_s : float
-        Seconds that a report or an offer is on its way.
-    stuck : set of str
-        Targets that read nothing.
-    used : list of int
-        Places in use after each step.
-    sent : list of str
+    delay_s : float
+        Seconds that a report or an offer is in transit.
+    stalled : set of str
+        Targets that process nothing.
+    used_slots : list of int
+        Number of slots in use after each step.
+    dispatched : list of str
         Targets of all dispatches, in order.
     """
 
     hosts: int = 6
     targets: int = 4
     slots: int = 5
-    prompt: int = 6_000
-    output: int = 100
-    news_s: float = 0.2
-    stuck: set[str] = field(default_factory=set)
+    prompt_tokens: int = 6_000
+    output_tokens: int = 100
+    delay_s: float = 0.2
+    stalled: set[str] = field(default_factory=set)
     now: float = START
     arrivals: float = 0.0
-    used: list[int] = field(default_factory=list)
-    sent: list[str] = field(default_factory=list)
+    used_slots: list[int] = field(default_factory=list)
+    dispatched: list[str] = field(default_factory=list)
     rows: list[tuple[Tables, RequestRow]] = field(default_factory=list)
     events: list[tuple] = field(default_factory=list)
     free_at: dict[str, float] = field(default_factory=dict)
@@ -70,34 +70,36 @@
         self.role = PoolRole(pool, access.allocator, 1, self.now, standing=False)
         self.role.configure(pool, config, frozenset())
 
-    def play(self, seconds: float, calls_per_s: float) -> None:
-        """Let time pass while callers ask ``calls_per_s`` times a second."""
+    def run(self, seconds: float, calls_per_s: float) -> None:
+        """Simulate ``seconds`` in which ``calls_per_s`` calls arrive each second."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
-            self.arrive(calls_per_s)
-            self.happen()
+            self.add_arrivals(calls_per_s)
+            self.run_due_events()
             for tables in self.tables.values():
                 run_systems(tables, self.now)
                 for _, report in due_reports(tables, self.now):
-                    self.later(self.news_s, self.role.take_report, report)
-            self.look()
+                    self.schedule(self.delay_s, self.role.take_report, report)
+            self.start_granted()
             for offer in self.role.run(tuple(self.tables), self.now):
-                self.later(self.news_s, take_offer, self.tables[offer.host], offer)
+                self.schedule(self.delay_s, take_offer, self.tables[offer.host], offer)
             running = [len(tables.running) for tables in self.tables.values()]
-            self.used.append(sum(running))
+            self.used_slots.append(sum(running))
 
-    def later(self, seconds: float, act, *args) -> None:
-        """Let ``act`` happen in ``seconds``, with the time as its last argument."""
-        heapq.heappush(self.events, (self.now + seconds, next(self.count), act, args))
+    def schedule(self, seconds: float, action, *args) -> None:
+        """Call ``action`` in ``seconds``, with the time as its last argument."""
+        heapq.heappush(
+            self.events, (self.now + seconds, next(self.count), action, args)
+        )
 
-    def happen(self) -> None:
-        """Let happen what is due."""
+    def run_due_events(self) -> None:
+        """Call the scheduled actions that are due."""
         while self.events and self.events[0][0] <= self.now:
-            _, _, act, args = heapq.heappop(self.events)
-            act(*args, self.now)
+            _, _, action, args = heapq.heappop(self.events)
+            action(*args, self.now)
 
-    def arrive(self, calls_per_s: float) -> None:
-        """Let new calls come, to one host after the other."""
+    def add_arrivals(self, calls_per_s: float) -> None:
+        """Submit new calls to the hosts in turn."""
         self.arrivals += calls_per_s * STEP_S
         while self.arrivals >= 1.0:
             self.arrivals -= 1.0
@@ -107,15 +109,15 @@
                 f"{number:016x}",
                 self.now,
                 timeout_s=12.0,
-                prompt_tokens=self.prompt,
-                declared_tokens=self.output,
+                prompt_tokens=self.prompt_tokens,
+                declared_tokens=self.output_tokens,
                 aim=self.now + 0.8,
             )
             row.start_by = self.now + 3.0
             self.rows.append((tables, submit(tables, row)))
 
-    def look(self) -> None:
-        """Send what was granted to its target."""
+    def start_granted(self) -> None:
+        """Start the calls that were dispatched on their targets."""
         kept = []
         for tables, row in self.rows:
             if row.decisions.empty():
@@ -123,27 +125,27 @@
                 continue
             decision = row.decisions.get_nowait()
             if isinstance(decision, Dispatch):
-                self.send(tables, row, decision.target)
+                self.start(tables, row, decision.target)
         self.rows = kept
 
-    def send(self, tables: Tables, row: RequestRow, target: str) -> None:
-        """Let ``target`` read the prompt of ``row`` after those before it."""
-        self.sent.append(target)
-        if target in self.stuck:
+    def start(self, tables: Tables, row: RequestRow, target: str) -> None:
+        """Schedule the prefill and the end of ``row`` after earlier prefills."""
+        self.dispatched.append(target)
+        if target in self.stalled:
             return
         begin = max(self.now, self.free_at.get(target, 0.0))
         read_at = begin + row.prompt_tokens / PREFILL_TPS
         self.free_at[target] = read_at
-        self.later(read_at - self.now, self.read, tables, row)
-        hold_s = read_at - self.now + self.output / DECODE_TPS
-        self.later(hold_s, self.end, tables, row)
+        self.schedule(read_at - self.now, self.finish_prefill, tables, row)
+        hold_s = read_at - self.now + self.output_tokens / DECODE_TPS
+        self.schedule(hold_s, self.complete, tables, row)
 
-    def read(self, tables: Tables, row: RequestRow, now: float) -> None:
-        """Take in that a prompt was read."""
+    def finish_prefill(self, tables: Tables, row: RequestRow, now: float) -> None:
+        """Record the end of a prefill."""
         note_read(tables, row)
         row.first_token = now
 
-    def end(self, tables: Tables, row: RequestRow, now: float) -> None:
-        """Take in that an answer is whole."""
-        row.produced_tokens = self.output
+    def complete(self, tables: Tables, row: RequestRow, now: float) -> None:
+        """Record the end of an answer."""
+        row.produced_tokens = self.output_tokens
         finish_request(tables, row, RequestState.COMPLETED, now)
--- a/tests/scheduler/overload.py
+++ b/tests/scheduler/overload.py
@@ -1,4 +1,4 @@
-"""Hosts, their allocator and the link to it, of which the capacity is bounded."""
+"""Simulation of hosts, their allocator and its link, which has limited bandwidth."""
 
 from collections import Counter, deque
 from dataclasses import dataclass, field
@@ -19,34 +19,34 @@
 )
 
 STEP_S = 0.01
-READ_S = 0.02
+PREFILL_S = 0.02
 
 
 @dataclass
 class Region:
-    """A region of hosts whose allocator has one link to all of them.
+    """Simulation of a region whose hosts share one link to their allocator.
 
     Parameters
     ----------
     slots : int
-        Calls that the only target runs at once.
+        Number of calls that the only target runs concurrently.
     hold_s : float
-        Seconds that a call holds one.
+        Seconds for which a call holds a slot.
     patience_s : float
-        Seconds after which a caller leaves.
+        Seconds after which a caller gives up.
     link_bytes_s : float
-        Bytes that the allocator's link takes in each second.
+        Bytes per second that the allocator's link carries.
 
     Attributes
     ----------
     link : deque
-        Reports on their way, with what is left to be sent of each.
+        Reports in transit, each with its remaining bytes and time of sending.
     delays : list
-        Seconds that each report took, with the time of its arrival.
-    ended : Counter
-        Answers in each second.
-    held : Counter
-        Calls in each second that had no answer when their time was up.
+        Time of arrival and delay in seconds of each report.
+    answered : Counter
+        Number of answered calls in each second.
+    unanswered : Counter
+        Number of calls in each second that got no answer before their deadline.
     """
 
     hosts: int
@@ -61,8 +61,8 @@
     sent_bytes: Counter = field(default_factory=Counter)
     delays: list = field(default_factory=list)
     running: list = field(default_factory=list)
-    ended: Counter = field(default_factory=Counter)
-    held: Counter = field(default_factory=Counter)
+    answered: Counter = field(default_factory=Counter)
+    unanswered: Counter = field(default_factory=Counter)
 
     def __post_init__(self) -> None:
         names = tuple(f"h{number}" for number in range(self.hosts))
@@ -76,23 +76,23 @@
         self.role = PoolRole(pool, access.allocator, 1, self.now, standing=False)
         self.role.configure(pool, config, frozenset())
 
-    def play(self, seconds: float, calls_per_s: float) -> None:
-        """Let time pass while callers ask ``calls_per_s`` times a second."""
+    def run(self, seconds: float, calls_per_s: float) -> None:
+        """Simulate ``seconds`` in which ``calls_per_s`` calls arrive each second."""
         for _ in range(round(seconds / STEP_S)):
             self.now += STEP_S
-            self.arrive(calls_per_s)
+            self.add_arrivals(calls_per_s)
             for tables, rows in zip(self.tables, self.rows, strict=True):
                 run_systems(tables, self.now)
                 for _, report in due_reports(tables, self.now):
-                    self.put(report)
-                self.look(tables, rows)
-            self.move_link()
+                    self.send_report(report)
+                self.collect_decisions(tables, rows)
+            self.advance_link()
             for offer in self.role.run([row.host for row in self.tables], self.now):
                 take_offer(self.tables[int(offer.host[1:])], offer, self.now)
-            self.work()
+            self.advance_target()
 
-    def arrive(self, calls_per_s: float) -> None:
-        """Let new calls come, to one host after the other."""
+    def add_arrivals(self, calls_per_s: float) -> None:
+        """Submit new calls to the hosts in turn."""
         self.arrivals += calls_per_s * STEP_S
         while self.arrivals >= 1.0:
             self.arrivals -= 1.0
@@ -101,26 +101,26 @@
             row = make_request(f"{self.count:016x}", self.now, 0, self.patience_s)
             self.rows[host].append(submit(self.tables[host], row))
 
-    def put(self, report) -> None:
-        """Send a report."""
+    def send_report(self, report) -> None:
+        """Put a report on the link."""
         data = encode(report)
         self.sent_bytes[int(self.now - START)] += len(data)
         self.link.append([data, float(len(data)), self.now])
 
-    def move_link(self) -> None:
-        """Let the link take in what it can."""
-        room = self.link_bytes_s * STEP_S
-        while self.link and room > 0:
-            moved = min(room, self.link[0][1])
+    def advance_link(self) -> None:
+        """Transfer reports for one step, and deliver those that are complete."""
+        free_bytes = self.link_bytes_s * STEP_S
+        while self.link and free_bytes > 0:
+            moved = min(free_bytes, self.link[0][1])
             self.link[0][1] -= moved
-            room -= moved
+            free_bytes -= moved
             if self.link[0][1] <= 0:
                 data, _, at = self.link.popleft()
                 self.delays.append((self.now, self.now - at))
                 self.role.take_report(decode(data), self.now)
 
-    def look(self, tables: Tables, rows: list[RequestRow]) -> None:
-        """Look what was decided of a host's calls."""
+    def collect_decisions(self, tables: Tables, rows: list[RequestRow]) -> None:
+        """Start the dispatched calls of a host, and count the unanswered ones."""
         for row in list(rows):
             if row.decisions.empty():
                 continue
@@ -128,24 +128,24 @@
             rows.remove(row)
             if isinstance(decision, Dispatch):
                 self.running.append((self.now, tables, row))
-            elif is_held(decision, row, self.now):
-                self.held[int(self.now - START)] += 1
+            elif is_unanswered(decision, row, self.now):
+                self.unanswered[int(self.now - START)] += 1
 
-    def work(self) -> None:
-        """Let the target work."""
+    def advance_target(self) -> None:
+        """Advance the calls that run on the target."""
         kept = []
-        for began, tables, row in self.running:
-            if self.now - began >= self.hold_s:
+        for started, tables, row in self.running:
+            if self.now - started >= self.hold_s:
                 finish_request(tables, row, RequestState.COMPLETED, self.now)
-                self.ended[int(self.now - START)] += 1
+                self.answered[int(self.now - START)] += 1
                 continue
-            if self.now - began >= READ_S and not row.first_token:
+            if self.now - started >= PREFILL_S and not row.first_token:
                 note_read(tables, row)
                 row.first_token = self.now
-            kept.append((began, tables, row))
+            kept.append((started, tables, row))
         self.running = kept
 
 
-def is_held(refusal: Refusal, row: RequestRow, now: float) -> bool:
-    """Return whether a caller heard nothing before its time was up."""
+def is_unanswered(refusal: Refusal, row: RequestRow, now: float) -> bool:
+    """Return whether a caller got no answer before its deadline."""
     return refusal.reason is Reason.DEADLINE and now >= row.deadline
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -1,4 +1,4 @@
-"""Hosts and one allocator by hand, on a clock that the test moves."""
+"""Allocation between hosts and one allocator, with a manually driven clock."""
 
 from dataclasses import replace
 
@@ -35,10 +35,10 @@
 
 
 def test_an_unloaded_request_needs_no_message():
-    """An idle pool's request is dispatched in the tick that takes it in.
+    """A request to an idle pool is dispatched in the tick in which it arrives.
 
-    The host holds an allowance, and the report that tells of its use waits
-    for the next heartbeat: what was allowed is counted already.
+    The host has an allowance. The report of its use can wait for the next
+    heartbeat, since the allocator counts the allowance already.
     """
     desk, now = settled({"e0": 8, "e1": 8})
     row = submit(desk.hosts["h1"], make_request("r", now))
@@ -46,12 +46,13 @@
     assert isinstance(decision(row), Dispatch)
 
 
-def test_an_allowance_taken_back_counts_until_the_host_knows():
-    """No target gets more than its slots while a taken-back allowance is out.
+def test_a_withdrawn_allowance_counts_until_the_host_acknowledges_it():
+    """Guards against granting the slot of a withdrawn allowance too early.
 
-    h1 has more work than the pool; the allocator takes h0's allowance back,
-    but h0 still reports without having read that, and then uses it. Had the
-    slot been given to h1, five requests would run on four slots.
+    h1 has more requests than the pool has slots, and the allocator withdraws the
+    allowance of h0. h0 keeps reporting without having received that, and then
+    uses the allowance. If h1 had got the slot, five requests would run on four
+    slots.
     """
     desk, now = settled({"e0": 4})
     rows = [submit(desk.hosts["h1"], make_request(f"r{n}", now)) for n in range(6)]
@@ -71,12 +72,12 @@
     assert len(ran) == 4
 
 
-def test_a_new_allowance_fits_beside_all_that_others_may_have():
-    """A host's allowance that was not yet replaced is not taken for free slots.
+def test_a_new_allowance_fits_beside_the_maximum_usage_of_other_hosts():
+    """Guards against treating an allowance that was not yet replaced as free slots.
 
-    Of eight slots h0 was allowed five and h1 uses three. h0 has finished all
-    it ran, but has not read yet that it is allowed less, and may start five
-    again. What runs leaves five slots free; none of them may go to h1.
+    Of eight slots, h0 has an allowance of five and h1 uses three. h0 has
+    finished all its requests but has not received its lower allowance, and may
+    start five again. Five slots are idle, and none of them may go to h1.
     """
     role, hosts = make_role("h0", make_config({"e0": 8}), START), ("h0", "h1")
 
@@ -97,11 +98,11 @@
     assert role.max_usage().get("e0", NO_USAGE).running == 8
 
 
-def test_what_lapsed_counts_until_a_report_was_sent_after_it():
-    """A report that was long on its way doesn't free what the host used since.
+def test_an_expired_allowance_counts_until_a_later_report_was_sent():
+    """Guards against a delayed report that frees what the host has used since.
 
-    The host sent it, used its allowance, and then lost its link. The report
-    arrives after the allowance has lapsed, but was sent before.
+    The host sent the report, used its allowance and then lost its link. The
+    report arrives after the allowance has expired, but was sent before.
     """
     desk, now = settled({"e0": 4})
     account = desk.roles["h0"].account("h1", now)
@@ -114,8 +115,8 @@
     assert account.max_usage().get("e0", NO_USAGE).running == 0
 
 
-def test_a_report_out_of_order_is_not_taken_in():
-    """A report that was passed on by a slower way doesn't undo a newer one."""
+def test_a_report_out_of_order_is_ignored():
+    """Guards against a report on a slower path that overwrites a newer one."""
     account = HostAccount(HostId("h1"), 1)
     report = PoolReport("h1", 1, make_desk({"e0": 1}, ("h0",)).pool, 2, 1.0, 1, 0)
     assert account.take(replace(report, uses=(TargetUse("e0", 3, 0),)), 0, 1.0)
@@ -124,11 +125,10 @@
 
 
 def test_a_new_allocator_waits_for_the_hosts_of_its_zone():
-    """After an allocator's death its targets are not filled a second time.
+    """Guards against filling targets a second time after an allocator has failed.
 
-    h1 runs four requests on four slots. The new allocator hears of h0's
-    demand first; it grants nothing before h1 has reported, or is silent for
-    the warm-up.
+    h1 runs four requests on four slots. The new allocator receives the demand of
+    h0 first. It grants nothing until h1 has reported or the warm-up is over.
     """
     config = make_config({"e0": 4})
     line = DemandLine("r", "advisers", "letters", 0, 10, 10, 60.0, 0.0)
@@ -147,11 +147,11 @@
     assert any(offer.grants for offer in silent.run(("h0", "h1"), START + WARM_UP_S))
 
 
-def test_a_host_drops_what_an_earlier_allocator_gave():
-    """A host that turns to a new allocator uses nothing of the old one's.
+def test_a_host_drops_the_allowances_of_its_former_allocator():
+    """Guards against using an allowance of the former allocator.
 
-    Its first report to the new one tells of what runs only, and the new one
-    hands out all the rest.
+    The first report to a new allocator contains only running requests, and the
+    new allocator grants all remaining capacity.
     """
     desk, now = settled({"e0": 4})
     desk.point("h1", "h9", now)
@@ -161,7 +161,7 @@
 
 
 def test_a_late_offer_of_another_process_of_the_host_is_ignored():
-    """A host that restarted at the same address doesn't use its old grants."""
+    """Guards against a restarted host that uses grants of its former process."""
     desk, now = settled({"e0": 4})
     tables = desk.hosts["h1"]
     access = tables.pools[desk.pool]
@@ -171,11 +171,12 @@
     assert access.allowances == before
 
 
-def test_a_host_without_an_allocator_goes_by_its_fixed_share():
-    """Nothing is used unasked while the allocator may still count on it.
+def test_a_host_without_an_allocator_uses_its_fixed_share():
+    """Guards against using the fixed share while the allocator may still grant it.
 
-    The allocator falls silent; the host's allowance lapses, and for a while
-    its request waits. Then it uses its half of the four slots, and no more.
+    The allocator stops answering. The allowance of the host expires, and its
+    other requests wait for a while. Then the host uses its half of the four
+    slots, and no more.
     """
     desk, now = settled({"e0": 4})
     tables = desk.hosts["h1"]
@@ -190,10 +191,11 @@
 
 
 def test_a_workspace_with_a_quota_always_asks():
-    """A quota holds over all hosts, also when the pool is idle.
+    """Guards against exceeding a quota through allowances in an idle pool.
 
-    Each host holds an allowance; if each used it for the same workspace, its
-    quota of one would be broken without any of them knowing.
+    A quota applies to all hosts together. Each host has an allowance. If each used
+    it for the same workspace, its quota of one would be exceeded without any host
+    noticing.
     """
     desk, now = settled({"e0": 8})
     bounded = desk.config.workspaces["bounded"]
@@ -207,7 +209,7 @@
 
 @pytest.mark.parametrize("news", ["ticket", "list"])
 def test_a_leaving_target_gets_no_grant(news):
-    """The allocator gives nothing more on a target once it has the news."""
+    """The allocator grants nothing on a target once it knows that the target leaves."""
     desk, now = settled({"e0": 4, "e1": 4})
     role = desk.roles["h0"]
     config, leaving = desk.config, frozenset()
@@ -238,7 +240,7 @@
 
 
 def shed(tables, request, now, number, grants=()):
-    """Let the home allocator give ``request`` up."""
+    """Deliver a shed of ``request`` from the allocator of the host's own zone."""
     home = next(access for access in tables.pools.values() if access.home)
     order = Shed("h0", request, ShedReason.OVERLOAD, 3.0)
     offer = GrantOffer(
@@ -248,10 +250,10 @@
 
 
 def test_work_spills_to_other_zones_before_it_is_shed():
-    """A request is refused at home only after the other zone had no room.
+    """A request is shed only after the other zone had no capacity either.
 
-    The home allocator gives it up at once. The host asks zone b first, and
-    refuses the request when b has answered without a grant.
+    The allocator of the own zone sheds it at once. The host asks zone b first,
+    and refuses the request once b has answered without a grant.
     """
     tables, now = two_zones(), START
     row = submit(tables, make_request("r", now))
@@ -275,10 +277,10 @@
     assert (refusal.reason, refusal.retry_after_s) == (Reason.SHED, 3.0)
 
 
-def test_a_lower_tier_is_shed_before_the_one_named():
-    """A shed order made from an older report falls on the lowest tier here.
+def test_a_lower_tier_is_shed_before_the_specified_one():
+    """A shed that was decided on an older report applies to the host's lowest tier.
 
-    The allocator names an urgent request; meanwhile a normal one has come.
+    The allocator sheds an urgent request. A normal one has arrived since.
     """
     tables, now = make_tables("h0", ("h0",), make_config({"e0": 1})), START
     first = submit(tables, make_request("first", now, 0))
@@ -288,8 +290,8 @@
     assert later.state is RequestState.NOT_RUN
 
 
-def test_the_last_of_a_long_queue_is_seen_by_the_allocator():
-    """Of a thousand waiting requests the least important has a line."""
+def test_the_end_of_a_long_queue_is_reported():
+    """Of a thousand waiting requests the least important one is listed."""
     tables, now = make_tables("h0", ("h0",), make_config({"e0": 1})), START
     for index in range(1000):
         submit(tables, make_request(f"r{index}", now, 0, 50.0 + index))
@@ -300,8 +302,8 @@
     assert sum(row.count for row in report.unlisted) == 969
 
 
-def test_use_and_completions_reach_the_allocator():
-    """What a target did is learned from, and its slot is free again at once."""
+def test_use_and_completions_are_reported():
+    """A completion updates the learned speed and frees the slot at once."""
     desk, now = settled({"e0": 2})
     row = submit(desk.hosts["h1"], make_request("r", now))
     desk.settle(now)
@@ -317,11 +319,12 @@
 
 
 def test_a_host_that_was_forgotten_is_answered_as_before():
-    """A host's first request after a quiet time is granted in one round trip.
+    """Guards against a first request after an idle time that waits for seconds.
 
     Hosts of other zones report only while they use a pool, and the allocator
-    forgets them. When it then numbered its offers from one again, the host
-    took them for late ones, and its request waited for seconds.
+    drops their accounts. If it then numbered its offers from one again, the host
+    would discard them as outdated. The request has to be granted in one round
+    trip.
     """
     desk, now = settled({"e0": 1})
     now = run_for(desk, now, 5.0, lambda now: None)
--- a/tests/scheduler/test_allocator.py
+++ b/tests/scheduler/test_allocator.py
@@ -1,4 +1,4 @@
-"""The actor that holds a host's roles, without its thread."""
+"""Tests of the allocator actor, run without its thread."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 
 def make_allocator(host: str, hosts=HOSTS):
-    """Return a host's allocator actor, its clock and what it sent."""
+    """Return the allocator actor of a host, its clock and the messages that it sent."""
     clock, sent = PausedClock(), []
     actor = Allocator(
         AllocatorTables(host, "a"),
@@ -48,7 +48,7 @@
     return PoolReport(host, 1, pool_of(actor), 1, 5.0, 0, 0, lines=(LINE,), **fields)
 
 
-def test_one_host_holds_the_role_and_gives_it_up_when_it_leaves():
+def test_one_host_has_the_role_and_ends_it_when_it_leaves():
     actors = {host: make_allocator(host)[0] for host in HOSTS}
     (holder,) = [host for host, actor in actors.items() if actor.tables.roles]
     actor = actors[holder]
@@ -57,29 +57,29 @@
     assert not actor.tables.roles
 
 
-def test_a_report_from_another_zone_is_passed_on_once_and_answered_the_same_way():
-    """A host of zone b has no link to the allocator, only to another host.
+def test_a_report_from_another_zone_is_forwarded_once_and_answered_the_same_way():
+    """A host of zone b is linked to a host of zone a that is not its allocator.
 
-    That one passes its report on, and the answer goes back through it. A
-    report that was passed on before is not passed on again: two hosts that
-    each take the other for the allocator would send it to and fro for ever.
+    That host forwards the report, and the offer returns through it. Guards
+    against forwarding a report twice: two hosts that each take the other for the
+    allocator would forward it to each other forever.
     """
     hosts = ("h0",)
     actor, _, sent = make_allocator("h1", hosts)
     actor.on_receive(report(actor, "k5"))
-    ((to, passed),) = sent
-    assert (to, passed.via) == ("h0", "h1")
-    actor.on_receive(passed)
+    ((to, forwarded),) = sent
+    assert (to, forwarded.via) == ("h0", "h1")
+    actor.on_receive(forwarded)
     assert len(sent) == 1
 
     holder, clock, sent = make_allocator("h0", hosts)
     clock.advance(2.0)
-    holder.on_receive(passed)
+    holder.on_receive(forwarded)
     ((to, offer),) = sent
     assert (to, offer.host, len(offer.grants)) == ("h1", "k5", 1)
 
 
-def test_an_offer_for_another_host_is_passed_on():
+def test_an_offer_for_another_host_is_forwarded():
     class Mesh:
         sent: list = []
 
@@ -93,8 +93,11 @@
     assert router.mesh.sent == [("k5", offer)]
 
 
-def test_floors_are_told_to_other_zones_also_when_nothing_waits():
-    """Silence would read as a zone out of reach, to which nothing spills."""
+def test_floors_are_sent_to_other_zones_even_if_no_request_waits():
+    """Guards against a zone that is idle and looks unreachable.
+
+    No requests would spill to a zone without floor reports.
+    """
     hosts = ("h0",)
     actor, clock, sent = make_allocator("h0", hosts)
     config = make_config({"e0": 4})
@@ -107,11 +110,11 @@
     assert [(to, row.to.zone, row.floor) for to, row in floors] == [("k0", "b", -1)]
 
 
-def test_a_target_is_trimmed_slowly_by_its_own_report():
-    """One stale report of a full engine must not stop all grants on it.
+def test_load_reports_reduce_the_slots_of_a_target_gradually():
+    """Guards against one stale load report that stops all grants on a target.
 
-    The engine says that it has a hundred requests; we know of none. Its
-    slots are taken away over several reports, not at the first.
+    The target reports ten requests, of which the allocator knows none. Its slots
+    are withdrawn over several reports, not at the first.
     """
     hosts = ("h0",)
     actor, clock, _ = make_allocator("h0", hosts)
@@ -125,7 +128,7 @@
 
 
 @pytest.mark.parametrize("leaving", [False, True])
-def test_news_of_a_leaving_target_reaches_the_roles(leaving):
+def test_roles_are_notified_of_a_leaving_target(leaving):
     hosts = ("h0",)
     actor, clock, sent = make_allocator("h0", hosts)
     if leaving:
@@ -137,7 +140,7 @@
 
 
 class BusyInbox:
-    """A queue of messages in which another one always waits."""
+    """A message queue that is never empty."""
 
     def empty(self) -> bool:
         return False
@@ -147,9 +150,9 @@
 
 
 def test_an_allocator_decides_while_messages_keep_coming():
-    """Guards against a queue of messages that is never empty, and so never served.
+    """Guards against an allocator that never decides because its queue is never empty.
 
-    Hosts ask more and more often for what nobody grants them.
+    Hosts send reports more and more often while their requests are not granted.
     """
     actor, clock, sent = make_allocator("h0", ("h0",))
     actor.actor_inbox = BusyInbox()
--- a/tests/scheduler/test_delays.py
+++ b/tests/scheduler/test_delays.py
@@ -1,4 +1,4 @@
-"""Delays of reports, and what is told of them."""
+"""Tests of the delays of reports, and of their logging."""
 
 from godwitladder.decisions.types import PoolName
 from godwitladder.ids import HostId, Incarnation
@@ -13,14 +13,14 @@
     return PoolReport(HostId("h1"), Incarnation(1), POOL, number, sent_s, 1, 0)
 
 
-def test_the_clocks_of_two_hosts_may_differ_by_any_time():
+def test_an_offset_between_the_clocks_of_two_hosts_is_no_delay():
     delays = ReportDelays()
     for number in range(5):
         delays.note(report_of(number, 9_000.0 + number), START + number)
     assert delays.poll_status(START + 5) is None
 
 
-def test_late_reports_are_told_of_at_once_then_each_second_and_when_it_is_over():
+def test_late_reports_are_logged_at_once_then_each_second_and_at_the_end():
     delays = ReportDelays()
     delays.note(report_of(1, 0.0), START)
     assert delays.poll_status(START) is None
--- a/tests/scheduler/test_flood.py
+++ b/tests/scheduler/test_flood.py
@@ -1,4 +1,4 @@
-"""Places in use while far more calls come than there are places for."""
+"""Tests of slot usage while far more calls arrive than there are slots."""
 
 import pytest
 
@@ -17,31 +17,31 @@
 )
 from tests.scheduler.flood import DECODE_TPS, PREFILL_TPS, Flood
 
-USED_SHARE = 0.9
-"""Of the time that a place can be in use: news of its end and the next grant are on
-their way for the rest."""
+MIN_USED_SHARE = 0.9
+"""Minimum share of the attainable slot usage. A slot stays empty while the report of
+its completion and the next grant are in transit."""
 
 
-def test_places_stay_in_use_while_news_of_them_are_old():
-    """Guards against places that stand empty until it is heard what was read."""
-    flood = Flood(news_s=0.2)
-    flood.play(3, calls_per_s=40)
-    flood.used.clear()
-    flood.play(4, calls_per_s=40)
-    hold_s = flood.prompt / PREFILL_TPS + flood.output / DECODE_TPS
-    attainable = flood.targets * flood.slots * hold_s / (hold_s + 2 * flood.news_s)
-    assert sum(flood.used) / len(flood.used) >= USED_SHARE * attainable
+def test_slots_stay_in_use_while_reports_are_delayed():
+    """Guards against slots that stay empty until the end of a prefill is reported."""
+    flood = Flood(delay_s=0.2)
+    flood.run(3, calls_per_s=40)
+    flood.used_slots.clear()
+    flood.run(4, calls_per_s=40)
+    hold_s = flood.prompt_tokens / PREFILL_TPS + flood.output_tokens / DECODE_TPS
+    attainable = flood.targets * flood.slots * hold_s / (hold_s + 2 * flood.delay_s)
+    assert sum(flood.used_slots) / len(flood.used_slots) >= MIN_USED_SHARE * attainable
 
 
-def test_a_target_that_stands_still_takes_few_calls():
-    """Guards against a place after the other filled at a target that reads nothing."""
-    flood = Flood(stuck={"e0"})
-    flood.play(7, calls_per_s=40)
-    assert flood.sent.count("e0") <= 3
+def test_a_stalled_target_gets_few_calls():
+    """Guards against filling one slot after another on a target without progress."""
+    flood = Flood(stalled={"e0"})
+    flood.run(7, calls_per_s=40)
+    assert flood.dispatched.count("e0") <= 3
 
 
-def test_what_a_caller_has_left_does_not_grow_on_the_way():
-    """Guards against places for calls whose callers have left meanwhile."""
+def test_the_remaining_time_of_a_caller_does_not_grow_in_transit():
+    """Guards against granting slots to calls whose callers have left."""
     config = make_config({"e0": 1})
     tables, role = make_tables("h0", ("h0",), config), make_role("h0", config, START)
     for name, at, delay_s in (("prompt", START, 0.0), ("delayed", START + 1.0, 0.4)):
@@ -51,8 +51,8 @@
         assert role.waiting[name].deadline == pytest.approx(row.deadline)
 
 
-def test_a_call_of_no_use_any_more_is_told_so_without_an_allocator():
-    """Guards against callers held to their end by an allocator that is far behind."""
+def test_a_call_that_can_not_start_in_time_is_refused_without_an_allocator():
+    """Guards against an overloaded allocator that holds callers to their deadline."""
     config = make_config({"e0": 1})
     tables = make_tables("h0", ("h0", "h1"), config)
     row = make_request("r", START, timeout_s=2.0)
@@ -66,9 +66,9 @@
     assert refusal.retry_after_s
 
 
-def test_a_flood_that_is_over_leaves_no_calls_refused_unseen():
-    """Guards against refusals by the shares of a flood after a quiet moment."""
+def test_admission_shares_end_with_the_overload():
+    """Guards against admission shares that stay in effect after an overload."""
     flood = Flood()
     flood.role.memory.admission.shares[LETTERS, "advisers"] = LEAST_SHARE
-    flood.play(2, calls_per_s=0)
+    flood.run(2, calls_per_s=0)
     assert not flood.role.memory.admission.shares
--- a/tests/scheduler/test_overload.py
+++ b/tests/scheduler/test_overload.py
@@ -1,11 +1,11 @@
-"""A region in which far more waits than its allocator can be told of."""
+"""Tests of a region with more waiting calls than fit through the allocator's link."""
 
 from tests.scheduler.overload import Region
 
 USUAL_PER_S, BURST_PER_S = 60, 460
-OLDEST_S = 0.4
-"""A host takes an allocator for silent that has not answered for so long."""
-SERVED_SHARE = 0.9
+MAX_DELAY_S = 0.4
+"""Time without an answer after which a host takes its allocator for unreachable."""
+MIN_SERVED_SHARE = 0.9
 
 
 def make_region(link_bytes_s: float) -> Region:
@@ -14,36 +14,37 @@
     )
 
 
-def test_reports_of_a_burst_do_not_pile_up_before_their_allocator():
+def test_reports_of_a_burst_do_not_queue_up_at_the_allocator():
     """Guards against an overload that outlasts its cause.
 
-    More reports than the allocator's link takes in wait before it. It grants to
-    calls that have left, so more waits, of which there are more reports.
+    Reports queue up because the allocator's link can't carry them. The allocator
+    then grants to calls whose callers have left, so more calls wait, which need
+    more reports.
     """
     region = make_region(link_bytes_s=600_000)
-    region.play(3, USUAL_PER_S)
-    region.play(6, BURST_PER_S)
-    region.play(4, USUAL_PER_S)
-    oldest_s = max(delay for _, delay in region.delays)
-    assert oldest_s <= OLDEST_S
+    region.run(3, USUAL_PER_S)
+    region.run(6, BURST_PER_S)
+    region.run(4, USUAL_PER_S)
+    max_delay_s = max(delay for _, delay in region.delays)
+    assert max_delay_s <= MAX_DELAY_S
 
 
-def test_service_is_back_when_a_burst_has_gone():
-    """Guards against a pool that serves nobody at its usual load, burst or not."""
+def test_service_recovers_after_a_burst():
+    """Guards against a pool that stays overloaded at its usual load after a burst."""
     region = make_region(link_bytes_s=300_000)
-    region.play(3, USUAL_PER_S)
-    region.play(6, BURST_PER_S)
-    region.play(2, USUAL_PER_S)
-    region.ended.clear()
-    region.play(3, USUAL_PER_S)
-    assert region.ended.total() >= 3 * USUAL_PER_S * SERVED_SHARE
+    region.run(3, USUAL_PER_S)
+    region.run(6, BURST_PER_S)
+    region.run(2, USUAL_PER_S)
+    region.answered.clear()
+    region.run(3, USUAL_PER_S)
+    assert region.answered.total() >= 3 * USUAL_PER_S * MIN_SERVED_SHARE
 
 
 def test_a_slow_link_is_given_time_to_tell_of_what_waits():
-    """Guards against the same where no form of report could be small enough."""
+    """Guards against queued reports where no report is small enough for the link."""
     region = make_region(link_bytes_s=60_000)
-    region.play(3, USUAL_PER_S)
-    region.play(6, BURST_PER_S)
-    region.play(4, USUAL_PER_S)
-    late = [delay for at, delay in region.delays if delay > 2 * OLDEST_S]
+    region.run(3, USUAL_PER_S)
+    region.run(6, BURST_PER_S)
+    region.run(4, USUAL_PER_S)
+    late = [delay for at, delay in region.delays if delay > 2 * MAX_DELAY_S]
     assert not late
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -1,4 +1,4 @@
-"""Tokens of a workspace on a host that has no allocator."""
+"""Tests of token quotas on hosts with and without an allocator."""
 
 from dataclasses import replace
 
@@ -54,10 +54,10 @@
     return row.decisions.get_nowait()
 
 
-def test_a_host_that_is_cut_off_gives_out_its_part_alone():
-    """Five hosts lose each other; a workspace asks all of them for all it can.
+def test_a_host_that_is_cut_off_grants_only_its_share():
+    """Five hosts are partitioned, and a workspace sends each of them its full load.
 
-    Each gives out a fifth, and refuses the rest with the time to come back.
+    Each host grants a fifth of the quota, and refuses the rest with a retry time.
     """
     tables = make_tables(["h1", "h2", "h3", "h4", "h5"])
     submit(tables, 0)
@@ -68,7 +68,7 @@
     assert all(row.retry_after_s > 0 for row in refused)
 
 
-def test_hosts_that_are_gone_for_long_leave_their_part():
+def test_the_share_of_hosts_that_ended_returns_to_the_others():
     tables = make_tables(["h1", "h2", "h3", "h4", "h5"])
     now = HOST_EXPIRY_S + 1
     tables.seen.note(["h1"], now)
@@ -76,11 +76,12 @@
     assert sum(isinstance(row, Refusal) for row in decided) < 9
 
 
-def test_a_calm_minute_before_a_cut_changes_no_part():
-    """Five hosts see each other for a minute; then a cut leaves one alone.
+def test_an_idle_minute_before_a_partition_changes_no_share():
+    """Guards against a whole quota on one host after a partition.
 
-    Nothing changed in that minute, so nobody told of the hosts. The one that
-    is left must still share the quotas with the four that it has just lost.
+    Five hosts see each other for a minute without changes, so that no message
+    about hosts is sent. Then one host is cut off. It must still share the quotas
+    with the four that it has just lost.
     """
     clock = PausedClock()
     tables = make_tables([])
@@ -103,7 +104,7 @@
 
 
 def make_pair(now):
-    """Return two hosts that ask the allocator of the first one."""
+    """Return two hosts that report to the allocator on the first one."""
     hosts = {host: tables_of(host, PAIR, SLOW) for host in PAIR}
     desk = Desk(SLOW, hosts, {"h0": make_role("h0", SLOW, now)})
     for host in PAIR:
@@ -113,7 +114,7 @@
 
 
 def ask(desk, host, number, now):
-    """Let a host ask for one call of 100 tokens."""
+    """Add a request of 100 tokens to a host."""
     row = RequestRow(f"{host}-{number}", "", "w", "s", 0, 0, 0, now, now + 9, False)
     row.charge = 100
     add_request(desk.hosts[host], row)
@@ -124,13 +125,14 @@
     return sum(isinstance(row.decisions.get_nowait(), Dispatch) for row in rows)
 
 
-def test_a_new_allocator_gives_out_what_the_old_one_had_left():
-    """An allocator's host is lost in a calm moment; a workspace then sends its burst.
+def test_a_new_allocator_grants_what_the_old_one_had_left():
+    """Guards against a new allocator that ignores what was spent under the old one.
 
-    Six calls of its ten were spent a moment ago, and hosts remember that. The
-    new allocator lets the other four through. A book that starts a quarter
-    full refused them although they were paid for; one that starts full would
-    have let ten more through, which is more than the workspace may have.
+    The host of an allocator fails while the pool is idle, and a workspace then
+    sends its burst. Six calls of its ten were spent a moment ago, which hosts
+    remember. The new allocator admits the other four. Starting with a quarter of
+    the burst would refuse calls within the quota; starting with the full burst
+    would admit ten more, which exceeds the quota.
     """
     now = 100.0
     desk = make_pair(now)
@@ -146,11 +148,11 @@
     assert count_sent(rows) == 4
 
 
-def test_processes_that_have_just_started_know_of_no_spending():
-    """All hosts lose power at once, and the workspaces' burst was just spent.
+def test_processes_that_have_just_started_grant_a_part_of_the_burst():
+    """Guards against granting a whole burst again after all hosts have restarted.
 
-    Nobody can tell. The new allocator gives out a quarter of it, not the burst
-    anew.
+    All hosts lose power at once, just after the burst was spent, so that the
+    spending is unknown. The new allocator grants a quarter of the burst.
     """
     book = QuotaBook(rates=token_rates(CONFIG), hosts=2)
     for host in PAIR:
@@ -161,7 +163,7 @@
 
 
 def spend_all(book, now):
-    """Return the tokens that a book gives out at once, in calls of 10."""
+    """Return the tokens that a book grants at once, in calls of 10."""
     spent = 0
     while book.wait_s("w", 10, now) == 0:
         book.take("w", 10, now)
@@ -169,12 +171,13 @@
     return spent
 
 
-def test_a_cut_between_hosts_that_spent_unevenly_gives_the_burst_no_second_time():
-    """One side of a cut has spent half of a burst; its allocator keeps its book.
+def test_a_partition_after_uneven_spending_does_not_grant_the_burst_twice():
+    """Guards against two allocators that together grant most of a burst twice.
 
-    The other third of the hosts has spent nothing and has a new allocator, which
-    can't know. Together they may give out a sixth more than the burst, which the
-    promise allows, and not the other third on top.
+    On one side of a partition, two thirds of the hosts have spent half of a burst,
+    and their allocator keeps its book. The other third has spent nothing, and its
+    new allocator can't know of the spending. Together they may grant a sixth more
+    than the burst, which the quota guarantee allows, but not a whole third more.
     """
     rates = token_rates(SLOW)
     old = QuotaBook(rates=rates)
@@ -188,8 +191,8 @@
     assert 1000 <= total <= 1000 * 7 / 6 + 10
 
 
-def test_what_was_spent_long_ago_has_come_in_again():
-    """A host tells of spending of seconds ago, which the rate has made up for."""
+def test_tokens_spent_long_ago_have_been_refilled():
+    """Tokens that were spent seconds ago have been refilled at the token rate."""
     book = QuotaBook(rates=token_rates(CONFIG))
     book.recall("h0", [Spent("w", (0, 0, 0, 900))], float(HISTORY_S), now=10.0)
     assert book.wait_s("w", 1000, 10.0) == 0
@@ -198,11 +201,12 @@
     assert book.wait_s("w", 100, 10.0) > 1.0
 
 
-def test_a_host_left_alone_twice_does_not_spend_a_full_bucket():
-    """Its allocator is silent for a moment, answers for a minute, is silent again.
+def test_a_host_that_loses_its_allocator_twice_does_not_spend_a_full_bucket():
+    """Guards against a second burst when an allocator stops answering twice.
 
-    In the minute the allocator let the workspace run all of its quota. A book that
-    had filled up since the first silence would give the burst out once more.
+    The allocator stops answering for a moment, answers for a minute, and stops
+    again. In that minute it granted the workspace its whole quota. A book of the
+    host that had refilled since the first time would grant the burst once more.
     """
     book = QuotaBook(rates={"w0": TokenRate(1000.0, 8000.0)})
     assert book.wait_s("w0", 2000, 0.0) == 0.0
@@ -213,7 +217,7 @@
     assert book.wait_s("w0", 2000, 60.1) > 1.0
 
 
-def test_a_book_in_use_is_not_begun_anew():
+def test_a_book_in_use_is_not_reset():
     book = QuotaBook(rates={"w0": TokenRate(1000.0, 8000.0)})
     book.take("w0", 2000, 10.0)
     book.begin_anew("w0", told_at=9.5)
--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -1,4 +1,4 @@
-"""What an allocator makes of requests as hosts report them, again and again."""
+"""Tests of requests that are reported several times, or retried by their callers."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 def make_asked():
-    """Return a host and an allocator that is asked for each dispatch."""
+    """Return a host and an allocator without allowances in advance."""
     config = make_config({"e0": 1})
     tables = make_tables("h0", ("h0",), config)
     (pool,) = make_pools(config.targets).values()
@@ -25,7 +25,7 @@
 
 
 def exchange(tables, role, now):
-    """Let the host report and take what it is offered."""
+    """Deliver the reports of the host and the offers that answer them."""
     for access in tables.pools.values():
         access.dirty = True
     for _, report in due_reports(tables, now):
@@ -35,11 +35,12 @@
     run_systems(tables, now)
 
 
-def test_a_request_that_waits_through_reports_came_once():
-    """A host reports each time something changes; its letter waits through ten.
+def test_a_request_that_waits_through_reports_is_counted_once():
+    """Guards against counting a request again with each report.
 
-    Counted anew with each report, the letter's rank looked as if it got a tenth
-    of what it asks for, and went before all others.
+    A host reports each change, and a request waits through ten reports. Counted
+    each time, its rank would look as if it got a tenth of what it asks for, and
+    would be served before all others.
     """
     tables, role = make_asked()
     now = START + 1.0
@@ -51,11 +52,12 @@
     assert sum(role.memory.offered.values()) == pytest.approx(2.0, abs=0.2)
 
 
-def test_a_caller_that_comes_back_has_the_aim_of_its_first_try():
-    """A letter is refused at one host and comes to another, as a new request.
+def test_a_retry_keeps_the_time_limit_of_the_first_attempt():
+    """Guards against measuring the time limit of a retry from the retry.
 
-    Its caller has waited since the first try: measured from the second, the
-    letter would be put before others that can still be in time.
+    A request is refused by one host and sent to another as a new request. Its
+    caller has waited since the first attempt. Measured from the second, the
+    request would be served before others that can still be in time.
     """
     tables, role = make_asked()
     now = START + 1.0
@@ -75,7 +77,7 @@
     assert row.aim == pytest.approx(START + 1.8, abs=0.1)
 
 
-def test_a_request_that_goes_on_waiting_has_not_come_back():
+def test_a_request_that_keeps_waiting_is_not_a_retry():
     tables, role = make_asked()
     now = START + 1.0
     submit(tables, make_request("runs", now))
@@ -87,20 +89,22 @@
     assert not row.returned
 
 
-def test_just_the_request_that_is_named_is_refused():
-    """A letter is beyond its time; a question has just come to the same host.
+def test_only_the_specified_request_is_refused():
+    """Guards against refusing another request than the one that was shed.
 
-    Where kinds are owed a part each, a host that refused its least important
-    call in the letter's place would refuse one that can still be in time.
+    A request of the first tier is past its time limit, and one of a lower tier has
+    just arrived at the same host. Where each tier is entitled to a share, a host
+    that refused its least important request instead would refuse one that can
+    still be in time.
     """
     tables, role = make_asked()
     now = START + 1.0
     submit(tables, make_request("runs", now))
     exchange(tables, role, now)
     (access,) = tables.pools.values()
-    letter = submit(tables, make_request("letter", now))
-    question = submit(tables, make_request("question", now, rank=2))
-    order = Shed("h0", letter.request, ShedReason.OVERLOAD, 1.0, exact=True)
+    late = submit(tables, make_request("letter", now))
+    fresh = submit(tables, make_request("question", now, rank=2))
+    shed = Shed("h0", late.request, ShedReason.OVERLOAD, 1.0, exact=True)
     offer = GrantOffer(
         "h0",
         tables.incarnation,
@@ -110,8 +114,8 @@
         access.seen + 1,
         0,
         now + 1.0,
-        sheds=(order,),
+        sheds=(shed,),
     )
     take_offer(tables, offer, now)
-    assert letter.state is RequestState.NOT_RUN
-    assert question.state is RequestState.WAITING
+    assert late.state is RequestState.NOT_RUN
+    assert fresh.state is RequestState.WAITING
