--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -21,7 +21,7 @@
 
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.quotas import Spent
-from godwitladder.decisions.types import DemandLine, Grant, PoolName, Shed, TargetUse
+from godwitladder.decisions.types import Grant, PoolName, RequestDemand, Shed, TargetUse
 from godwitladder.ids import (
     HostId,
     Incarnation,
@@ -137,7 +137,7 @@
         yet.
     workspaces : tuple of WorkspaceUse
         Running requests of the workspaces that have a quota.
-    lines : tuple of DemandLine
+    lines : tuple of RequestDemand
         Waiting requests that are listed one by one: the first and the last ones
         in the dispatch order of the host. An incremental report contains only
         those that previous reports did not.
@@ -173,7 +173,7 @@
     acked_offer: int
     uses: tuple[TargetUse, ...] = ()
     workspaces: tuple[WorkspaceUse, ...] = ()
-    lines: tuple[DemandLine, ...] = ()
+    lines: tuple[RequestDemand, ...] = ()
     unlisted: tuple[TierCount, ...] = ()
     avoided: tuple[TargetName, ...] = ()
     completions: tuple[Completion, ...] = ()
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -7,7 +7,7 @@
 from collections import Counter
 
 from godwitladder.decisions.rendezvous import choose_host
-from godwitladder.decisions.types import DemandLine, Shed, ShedReason, TargetUse
+from godwitladder.decisions.types import RequestDemand, Shed, ShedReason, TargetUse
 from godwitladder.ids import BodyDigest, HostId
 from godwitladder.outcomes import Reason, RequestState, refuse
 from godwitladder.scheduler.access import PoolAccess
@@ -288,23 +288,23 @@
     return tuple(WorkspaceUse(*item) for item in sorted(counts.items()))
 
 
-def make_line(tables: Tables, row: RequestRow, now: float) -> DemandLine:
+def make_line(tables: Tables, row: RequestRow, now: float) -> RequestDemand:
     """Return the line of one waiting request."""
-    return DemandLine(
+    return RequestDemand(
         request=row.request,
         workspace=row.workspace,
         service=row.service,
         tier_rank=row.tier_rank,
         prompt_tokens=row.prompt_tokens,
         predicted_tokens=row.predicted_tokens or row.declared_tokens,
-        slack_s=row.deadline - now,
+        time_to_deadline_s=row.deadline - now,
         waited_s=now - row.arrived,
         prefix=row.prefix,
         likely_tokens=row.likely_tokens,
-        aim_s=row.aim - now if row.aim else math.inf,
-        start_s=row.start_by - now,
+        ttft_budget_s=row.aim - now if row.aim else math.inf,
+        start_within_s=row.start_by - now,
         charge=row.charge,
-        place=tables.place,
+        availability_zone=tables.place,
         body=caller_digest(row),
         gap_s=row.gap_s,
         event_tokens=row.event_tokens,
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -13,14 +13,14 @@
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import LONGEST_LOOK_S, allocate
-from godwitladder.decisions.easing import TargetEasing
-from godwitladder.decisions.forecast import ReadingForecast
+from godwitladder.decisions.forecast import PrefillForecast
 from godwitladder.decisions.memory import AllocatorMemory
 from godwitladder.decisions.policy import ASKED, STRICT
 from godwitladder.decisions.quotas import QuotaBook
 from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import standing_grants
+from godwitladder.decisions.throttling import TargetThrottles
 from godwitladder.decisions.types import (
     Allocation,
     Grant,
@@ -28,7 +28,7 @@
     PoolView,
     Shed,
     TargetView,
-    Waiting,
+    WaitingRequest,
 )
 from godwitladder.ids import (
     HostId,
@@ -148,12 +148,12 @@
         self.first_offer_number = 1
         self.floors: dict[PoolName, Floor] = {}
         self.speeds = TargetSpeeds()
-        self.easing = TargetEasing()
+        self.easing = TargetThrottles()
         self.hints = PrefixHints()
-        self.forecast = ReadingForecast()
+        self.forecast = PrefillForecast()
         self.memory = AllocatorMemory()
         self.quotas = QuotaBook()
-        self.waiting: dict[RequestId, Waiting] = {}
+        self.waiting: dict[RequestId, WaitingRequest] = {}
         self.loads = LoadReports()
         self.delays = ReportDelays()
         self.shed_rank = NO_RANK
@@ -176,7 +176,7 @@
         self.quotas.rates = token_rates(config)
         for name in pool.targets:
             target = config.targets[name]
-            self.speeds.expect(name, target.prefill_tps, target.decode_tps)
+            self.speeds.set_configured(name, target.prefill_tps, target.decode_tps)
 
     def take_report(self, report: PoolReport, now: float) -> bool:
         """Process a host's report; return whether the role should run at once."""
@@ -216,7 +216,7 @@
 
     def observe_throughput(self, sample: ThroughputSample, now: float) -> None:
         """Update the easing of a target by a throughput sample of running requests."""
-        if not self.speeds.known(sample.target):
+        if not self.speeds.is_calibrated(sample.target):
             return
         expected_s = self.speeds.expected_s(
             sample.target, sample.prompt_tokens, sample.output_tokens
@@ -344,14 +344,14 @@
                 host=waiting.host,
                 target=row.target,
                 request=row.request,
-                tier_rank=waiting.line.tier_rank,
+                tier_rank=waiting.demand.tier_rank,
                 reserved_tokens=row.reserved_tokens,
-                lapse_s=OFFER_LIFETIME_S,
+                valid_for_s=OFFER_LIFETIME_S,
             )
-            self.hints.note_dispatch(row.target, waiting.line.prefix, now)
-            self.record_prompt(row.target, waiting.line.prompt_tokens, now)
+            self.hints.note_dispatch(row.target, waiting.demand.prefix, now)
+            self.record_prompt(row.target, waiting.demand.prompt_tokens, now)
             pending.setdefault(waiting.host, PendingOffer()).grants.append(grant)
-        for row in allocation.given_up:
+        for row in allocation.sheds:
             waiting = view.waiting[row.request]
             shed = Shed(
                 waiting.host,
@@ -370,7 +370,7 @@
 
     def record_prompt(self, target: TargetName, tokens: int, now: float) -> None:
         """Record a granted prompt in the forecast of its target's prefill."""
-        _, read_s = self.speeds.reading(target)
+        _, read_s = self.speeds.prefill_cost(target)
         self.forecast.note(target, tokens, tokens * read_s, now)
 
     def record_shed(self, rank: int, now: float) -> None:
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -7,12 +7,12 @@
 from typing import TYPE_CHECKING
 
 from godwitladder.configuration.model import TargetState
-from godwitladder.decisions.forecast import Unread
+from godwitladder.decisions.forecast import PendingPrefill
 from godwitladder.decisions.types import (
-    DemandLine,
     PoolView,
+    RequestDemand,
     TargetView,
-    Waiting,
+    WaitingRequest,
     WorkspaceView,
 )
 from godwitladder.ids import HostId, TargetName, WorkspaceName
@@ -31,14 +31,14 @@
         memory=role.memory,
         quotas=role.quotas,
         policy=role.policy,
-        behind_s=role.delays.recent_peak_s(now),
+        staleness_s=role.delays.recent_peak_s(now),
     )
     for account in role.current(now):
         for line in account.lines.values():
             # Rows are kept between runs. A new row would be weighed again, and
             # its deadline would move with each run between two reports.
             row = role.waiting.get(line.request)
-            if row is None or row.line is not line:
+            if row is None or row.demand is not line:
                 row = make_waiting(role, account.host, line, now, row)
             row.avoided = account.avoided
             view.waiting[line.request] = row
@@ -53,10 +53,10 @@
 def make_waiting(
     role: "PoolRole",
     host: HostId,
-    line: DemandLine,
+    line: RequestDemand,
     now: float,
-    before: Waiting | None,
-) -> Waiting:
+    before: WaitingRequest | None,
+) -> WaitingRequest:
     """Return a demand line as of ``now``, with times on the allocator's clock.
 
     The time limit for the first output (``aim``) counts from the caller's first
@@ -81,15 +81,15 @@
             role.quotas.rate_of(line.workspace, now),
             now,
         )
-    return Waiting(
+    return WaitingRequest(
         host,
         line,
-        now + line.slack_s,
+        now + line.time_to_deadline_s,
         arrived,
-        aim=asked + line.waited_s + line.aim_s,
-        start_by=now + line.start_s,
-        asked=asked,
-        entitled=entitled,
+        ttft_deadline=asked + line.waited_s + line.ttft_budget_s,
+        start_by=now + line.start_within_s,
+        first_arrived=asked,
+        within_quota=entitled,
         counted=before is not None and before.counted,
     )
 
@@ -108,9 +108,9 @@
         count = max_usage.get(name, NO_USAGE)
         role.loads.note_ours(name, usage.get(name, NO_USAGE).running, now)
         speed = role.speeds.learned[name]
-        reported = Unread(count.unread_tokens, count.unread_requests)
-        unread = role.forecast.unread(name, reported, now)
-        first_s, read_s = role.speeds.reading(name)
+        reported = PendingPrefill(count.unread_tokens, count.unread_requests)
+        unread = role.forecast.pending(name, reported, now)
+        first_s, read_s = role.speeds.prefill_cost(name)
         views[name] = TargetView(
             name=name,
             services=frozenset(target.services),
@@ -122,12 +122,12 @@
             reserved_tokens=count.tokens,
             limit=concurrency_limit(role, name, target.slots, now),
             prefixes=role.hints.prefixes(name, now),
-            unread_tokens=unread.tokens,
-            unread_requests=unread.requests,
+            pending_prefill_tokens=unread.tokens,
+            pending_prefill_requests=unread.requests,
             first_s=first_s,
             read_s=read_s,
-            unread_s=role.unread_s,
-            place=target.place,
+            max_pending_prefill_s=role.unread_s,
+            availability_zone=target.place,
         )
     return views
 
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.configuration.model import (
     Service,
     ServiceKind,
@@ -83,7 +83,7 @@
     about hosts is sent. Then one host is cut off. It must still share the quotas
     with the four that it has just lost.
     """
-    clock = PausedClock()
+    clock = ManualClock()
     tables = make_tables([])
     scheduler = Scheduler(
         tables, clock, Metrics(), Ticker(clock, 1.0), lambda host, report: None
--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -72,9 +72,11 @@
     assert "first" not in tables.waiting
     back = submit(tables, make_request("back", now + 2.0, body=BODY, aim=now + 2.8))
     exchange(tables, role, now + 2.0)
-    (row,) = [row for row in role.waiting.values() if row.line.request == back.request]
-    assert row.returned
-    assert row.aim == pytest.approx(START + 1.8, abs=0.1)
+    (row,) = [
+        row for row in role.waiting.values() if row.demand.request == back.request
+    ]
+    assert row.is_retry
+    assert row.ttft_deadline == pytest.approx(START + 1.8, abs=0.1)
 
 
 def test_a_request_that_keeps_waiting_is_not_a_retry():
@@ -86,7 +88,7 @@
         now += 0.1
         exchange(tables, role, now)
     (row,) = role.waiting.values()
-    assert not row.returned
+    assert not row.is_retry
 
 
 def test_only_the_specified_request_is_refused():
