--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -14,7 +14,7 @@
 BODY = "b0d1" * 6
 
 
-def make_asked():
+def make_host_and_role():
     """Return a host and an allocator without allowances in advance."""
     config = make_config({"e0": 1})
     tables = make_tables("h0", ("h0",), config)
@@ -42,7 +42,7 @@
     each time, its rank would look as if it got a tenth of what it asks for, and
     would be served before all others.
     """
-    tables, role = make_asked()
+    tables, role = make_host_and_role()
     now = START + 1.0
     for name in ("first", "second"):
         submit(tables, make_request(name, now))
@@ -59,7 +59,7 @@
     caller has waited since the first attempt. Measured from the second, the
     request would be served before others that can still be in time.
     """
-    tables, role = make_asked()
+    tables, role = make_host_and_role()
     now = START + 1.0
     submit(tables, make_request("runs", now))
     exchange(tables, role, now)
@@ -80,7 +80,7 @@
 
 
 def test_a_request_that_keeps_waiting_is_not_a_retry():
-    tables, role = make_asked()
+    tables, role = make_host_and_role()
     now = START + 1.0
     submit(tables, make_request("runs", now))
     submit(tables, make_request("waits", now, body=BODY, aim=now + 9.0))
@@ -99,7 +99,7 @@
     that refused its least important request instead would refuse one that can
     still be in time.
     """
-    tables, role = make_asked()
+    tables, role = make_host_and_role()
     now = START + 1.0
     submit(tables, make_request("runs", now))
     exchange(tables, role, now)
