--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -72,7 +72,7 @@
     known = role.memory.callers.first_asked(line.body, now)
     asked = arrived if known is None else min(known, arrived)
     if before is not None:
-        entitled = before.entitled
+        entitled = before.within_quota
     else:
         # A retried request was counted at its first attempt.
         entitled = known is not None or role.memory.entitlements.take(
