--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -274,7 +274,7 @@
         if self.is_quiet(now):
             # `allocate` updates the admission shares, and does not run here. The
             # shares of an overload that is over would otherwise stay in force.
-            self.memory.admission.look(now, 0.0)
+            self.memory.admission.update(now, 0.0)
             return []
         self.quotas.hosts = len(expected)
         view = pool_view(self, now)
