--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -148,7 +148,7 @@
         self.first_offer_number = 1
         self.floors: dict[PoolName, Floor] = {}
         self.speeds = TargetSpeeds()
-        self.easing = TargetThrottles()
+        self.throttles = TargetThrottles()
         self.hints = PrefixHints()
         self.forecast = PrefillForecast()
         self.memory = AllocatorMemory()
@@ -166,7 +166,7 @@
         for name in self.pool.targets - pool.targets:
             for learned in (
                 self.speeds,
-                self.easing,
+                self.throttles,
                 self.loads,
                 self.hints,
                 self.forecast,
@@ -222,7 +222,7 @@
             sample.target, sample.prompt_tokens, sample.output_tokens
         )
         if not sample.in_progress or sample.taken_s > expected_s:
-            self.easing.observe(sample.target, expected_s, sample.taken_s, now)
+            self.throttles.observe(sample.target, expected_s, sample.taken_s, now)
 
     def observe_completion(self, row: Completion) -> None:
         """Update the learned speed of a target by a completed request."""
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -136,7 +136,7 @@
     role: "PoolRole", name: TargetName, slots: int, now: float
 ) -> int:
     """Return the number of requests that a target may run concurrently."""
-    return role.easing.limit(name, slots, now) if role.policy.eases_off else slots
+    return role.throttles.limit(name, slots, now) if role.policy.eases_off else slots
 
 
 def unreachable_targets(role: "PoolRole", now: float) -> set[TargetName]:
