--- a/tests/scheduler/test_flood.py
+++ b/tests/scheduler/test_flood.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from godwitladder.decisions.admission import LEAST_SHARE
+from godwitladder.decisions.admission import MIN_SHARE
 from godwitladder.outcomes import Reason, RequestState
 from godwitladder.scheduler.reports import due_reports
 from godwitladder.scheduler.systems import run_systems
@@ -69,6 +69,6 @@
 def test_admission_shares_end_with_the_overload():
     """Guards against admission shares that stay in effect after an overload."""
     flood = Flood()
-    flood.role.memory.admission.shares[LETTERS, "advisers"] = LEAST_SHARE
+    flood.role.memory.admission.shares[LETTERS, "advisers"] = MIN_SHARE
     flood.run(2, calls_per_s=0)
     assert not flood.role.memory.admission.shares
