--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -83,7 +83,7 @@
 Hosts report as soon as they learn of the new allocator, and heartbeats reach all of
 them within two periods. Nothing is granted in the meantime."""
 
-UNREAD_S = 0.06
+MAX_PENDING_PREFILL_S = 0.06
 """Limit on the prefill backlog of a target, in seconds, where a host asks for each
 dispatch. A target above the limit gets no further prompt. Targets admit requests in
 order of arrival and process prompts in chunks, between the output of all requests
@@ -134,7 +134,7 @@
         self, pool: Pool, host: HostId, term: int, now: float, standing: bool = True
     ) -> None:
         self.has_standing = standing
-        self.unread_s = math.inf if standing else UNREAD_S
+        self.unread_s = math.inf if standing else MAX_PENDING_PREFILL_S
         self.policy = STRICT if standing else ASKED
         self.pool = pool
         self.host = host
