--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class Spent:
+class WorkspaceSpending:
     """Tokens of one workspace that a host spent.
 
     Attributes
@@ -103,7 +103,7 @@
         for old in [at for at in rows if at <= second - HISTORY_S]:
             del rows[old]
 
-    def rows(self, now: float) -> tuple[Spent, ...]:
+    def rows(self, now: float) -> tuple[WorkspaceSpending, ...]:
         """Return what was spent, of the workspaces that spent anything."""
         newest = int(now)
         seconds = range(newest, newest - HISTORY_S, -1)
@@ -111,7 +111,7 @@
         for name, spent in sorted(self.seconds.items()):
             tokens = tuple(spent.get(second, 0) for second in seconds)
             if any(tokens):
-                rows.append(Spent(name, tokens))
+                rows.append(WorkspaceSpending(name, tokens))
         return tuple(rows)
 
     def known_s(self, now: float) -> float:
@@ -188,7 +188,11 @@
         return (self.rates if rates is None else rates).get(workspace)
 
     def recall(
-        self, host: HostId, spent: Iterable[Spent], known_s: float, now: float
+        self,
+        host: HostId,
+        spent: Iterable[WorkspaceSpending],
+        known_s: float,
+        now: float,
     ) -> None:
         """Take in what a host spent before this book was begun."""
         if host in self.told:
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 
 from godwitladder.decisions.admission import AdmissionShare
-from godwitladder.decisions.quotas import Spent
+from godwitladder.decisions.quotas import WorkspaceSpending
 from godwitladder.decisions.types import Grant, PoolName, RequestDemand, Shed, TargetUse
 from godwitladder.ids import (
     HostId,
@@ -178,7 +178,7 @@
     avoided: tuple[TargetName, ...] = ()
     completions: tuple[Completion, ...] = ()
     throughput_samples: tuple[ThroughputSample, ...] = ()
-    spent: tuple[Spent, ...] = ()
+    spent: tuple[WorkspaceSpending, ...] = ()
     known_s: float = 0.0
     via: HostId = HostId("")
     incremental: bool = False
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -15,8 +15,8 @@
     FRESH_SHARE,
     HISTORY_S,
     QuotaBook,
-    Spent,
     TokenRate,
+    WorkspaceSpending,
 )
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, Refusal
@@ -194,10 +194,14 @@
 def test_tokens_spent_long_ago_have_been_refilled():
     """Tokens that were spent seconds ago have been refilled at the token rate."""
     book = QuotaBook(rates=token_rates(CONFIG))
-    book.recall("h0", [Spent("w", (0, 0, 0, 900))], float(HISTORY_S), now=10.0)
+    book.recall(
+        "h0", [WorkspaceSpending("w", (0, 0, 0, 900))], float(HISTORY_S), now=10.0
+    )
     assert book.wait_s("w", 1000, 10.0) == 0
     book = QuotaBook(rates=token_rates(CONFIG))
-    book.recall("h0", [Spent("w", (4000, 0, 0, 0))], float(HISTORY_S), now=10.0)
+    book.recall(
+        "h0", [WorkspaceSpending("w", (4000, 0, 0, 0))], float(HISTORY_S), now=10.0
+    )
     assert book.wait_s("w", 100, 10.0) > 1.0
 
 
