--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -186,7 +186,7 @@
             self.lines = {}
         for request in report.removed:
             self.lines.pop(request, None)
-        for line in report.lines:
+        for line in report.demands:
             # A request whose grant is still in transit must not be granted again.
             # Its host would otherwise hold two targets for it until both expire.
             if line.request not in self.grants:
--- a/godwitladder/scheduler/delays.py
+++ b/godwitladder/scheduler/delays.py
@@ -98,7 +98,7 @@
         self.min_offsets[key] = min_offset_s
         self.max_delay_s = max(self.max_delay_s, offset_s - min_offset_s)
         self.reports += 1
-        self.lines += len(report.lines)
+        self.lines += len(report.demands)
         delay_s = offset_s - min_offset_s
         if delay_s >= self.recent_peak_s(now):
             self.peak_s, self.peak_at = delay_s, now
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -173,7 +173,7 @@
     acked_offer: int
     uses: tuple[TargetUse, ...] = ()
     workspaces: tuple[WorkspaceUse, ...] = ()
-    lines: tuple[RequestDemand, ...] = ()
+    demands: tuple[RequestDemand, ...] = ()
     unlisted: tuple[TierCount, ...] = ()
     avoided: tuple[TargetName, ...] = ()
     completions: tuple[Completion, ...] = ()
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -215,7 +215,7 @@
         acked_offer=access.seen,
         uses=report_uses(access, targets),
         workspaces=report_workspaces(tables, access),
-        lines=tuple(make_line(tables, shown[request], now) for request in news.lines),
+        demands=tuple(make_line(tables, shown[request], now) for request in news.lines),
         unlisted=tuple(TierCount(*item) for item in sorted(rest.items())),
         avoided=tuple(row.name for row in targets if row.avoided_until > now),
         completions=completions,
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -208,7 +208,7 @@
         each caller would grow by the delay, and slots would be granted to
         requests whose callers have left.
         """
-        for line in report.lines:
+        for line in report.demands:
             if account.lines.get(line.request) is line:
                 before = self.waiting.get(line.request)
                 row = make_waiting(self, account.host, line, sent_at, before)
