--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -122,7 +122,7 @@
 
 
 @dataclass
-class QuotaBook:
+class TokenQuotas:
     """The buckets of all workspaces with a bound.
 
     Attributes
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -16,7 +16,7 @@
 from godwitladder.decisions.forecast import PrefillForecast
 from godwitladder.decisions.memory import AllocatorMemory
 from godwitladder.decisions.policy import ASKED, STRICT
-from godwitladder.decisions.quotas import QuotaBook
+from godwitladder.decisions.quotas import TokenQuotas
 from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import standing_grants
@@ -152,7 +152,7 @@
         self.hints = PrefixHints()
         self.forecast = PrefillForecast()
         self.memory = AllocatorMemory()
-        self.quotas = QuotaBook()
+        self.quotas = TokenQuotas()
         self.waiting: dict[RequestId, WaitingRequest] = {}
         self.loads = LoadReports()
         self.delays = ReportDelays()
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -14,7 +14,7 @@
 from godwitladder.decisions.quotas import (
     FRESH_SHARE,
     HISTORY_S,
-    QuotaBook,
+    TokenQuotas,
     TokenRate,
     WorkspaceSpending,
 )
@@ -154,7 +154,7 @@
     All hosts lose power at once, just after the burst was spent, so that the
     spending is unknown. The new allocator grants a quarter of the burst.
     """
-    book = QuotaBook(rates=token_rates(CONFIG), hosts=2)
+    book = TokenQuotas(rates=token_rates(CONFIG), hosts=2)
     for host in PAIR:
         book.recall(host, (), 0.5, now=10.0)
     spent = spend_all(book, 10.0)
@@ -180,12 +180,12 @@
     than the burst, which the quota guarantee allows, but not a whole third more.
     """
     rates = token_rates(SLOW)
-    old = QuotaBook(rates=rates)
+    old = TokenQuotas(rates=rates)
     old.recall("h0", (), float(HISTORY_S), now=10.0)
     for _ in range(50):
         old.take("w", 10, 10.0)
     old.share = 2 / 3
-    new = QuotaBook(rates=rates, share=1 / 3)
+    new = TokenQuotas(rates=rates, share=1 / 3)
     new.recall("h1", (), float(HISTORY_S), now=10.0)
     total = 500 + spend_all(old, 10.0) + spend_all(new, 10.0)
     assert 1000 <= total <= 1000 * 7 / 6 + 10
@@ -193,12 +193,12 @@
 
 def test_tokens_spent_long_ago_have_been_refilled():
     """Tokens that were spent seconds ago have been refilled at the token rate."""
-    book = QuotaBook(rates=token_rates(CONFIG))
+    book = TokenQuotas(rates=token_rates(CONFIG))
     book.recall(
         "h0", [WorkspaceSpending("w", (0, 0, 0, 900))], float(HISTORY_S), now=10.0
     )
     assert book.wait_s("w", 1000, 10.0) == 0
-    book = QuotaBook(rates=token_rates(CONFIG))
+    book = TokenQuotas(rates=token_rates(CONFIG))
     book.recall(
         "h0", [WorkspaceSpending("w", (4000, 0, 0, 0))], float(HISTORY_S), now=10.0
     )
@@ -212,7 +212,7 @@
     again. In that minute it granted the workspace its whole quota. A book of the
     host that had refilled since the first time would grant the burst once more.
     """
-    book = QuotaBook(rates={"w0": TokenRate(1000.0, 8000.0)})
+    book = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
     assert book.wait_s("w0", 2000, 0.0) == 0.0
     book.take("w0", 2000, 0.0)
     book.begin_anew("w0", told_at=59.0)
@@ -222,7 +222,7 @@
 
 
 def test_a_book_in_use_is_not_reset():
-    book = QuotaBook(rates={"w0": TokenRate(1000.0, 8000.0)})
+    book = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
     book.take("w0", 2000, 10.0)
     book.begin_anew("w0", told_at=9.5)
     assert "w0" in book.buckets
