--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -141,7 +141,7 @@
     next_number: int = 1
     uses: dict[TargetName, TargetUse] = field(default_factory=dict)
     workspaces: dict[WorkspaceName, int] = field(default_factory=dict)
-    lines: dict[RequestId, RequestDemand] = field(default_factory=dict)
+    demands: dict[RequestId, RequestDemand] = field(default_factory=dict)
     more_waiting: int = 0
     avoided: frozenset[TargetName] = frozenset()
     allowances: deque[SentAllowances] = field(default_factory=deque)
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -196,7 +196,7 @@
             self.observe_completion(row)
         for sample in report.throughput_samples:
             self.observe_throughput(sample, now)
-        wanted = any(row.lines or row.more_waiting for row in self.accounts.values())
+        wanted = any(row.demands or row.more_waiting for row in self.accounts.values())
         return wanted or account.offered_at == float("-inf")
 
     def update_waiting(
@@ -209,7 +209,7 @@
         requests whose callers have left.
         """
         for line in report.demands:
-            if account.lines.get(line.request) is line:
+            if account.demands.get(line.request) is line:
                 before = self.waiting.get(line.request)
                 row = make_waiting(self, account.host, line, sent_at, before)
                 self.waiting[line.request] = row
@@ -282,13 +282,13 @@
         pending = self.group_by_host(allocation, view, now)
         for host, offer in pending.items():
             self.record_grants(self.account(host, now), offer)
-        contended = any(row.lines or row.more_waiting for row in self.current(now))
+        contended = any(row.demands or row.more_waiting for row in self.current(now))
         return self.make_offers(pending, contended, expected, now)
 
     def is_quiet(self, now: float) -> bool:
         """Return whether no request waits and no offer is due."""
         return not any(
-            row.lines or row.more_waiting or self.is_due(row, False, now)
+            row.demands or row.more_waiting or self.is_due(row, False, now)
             for row in self.current(now)
         )
 
@@ -386,7 +386,7 @@
         """
         expires_s = account.sent_s + OFFER_LIFETIME_S
         for grant in offer.grants:
-            line = account.lines.pop(grant.request)
+            line = account.demands.pop(grant.request)
             account.note_grant(
                 SentGrant(
                     account.next_number,
@@ -397,7 +397,7 @@
                 )
             )
         for shed in offer.sheds:
-            account.lines.pop(shed.request, None)
+            account.demands.pop(shed.request, None)
 
     def make_offers(
         self,
@@ -431,7 +431,7 @@
         if not self.has_standing and account.answered_report == account.last_report:
             return False
         withdrawn = contended and account.holds_allowances()
-        longest_s = ANSWER_INTERVAL_S if account.lines else RENEWAL_INTERVAL_S
+        longest_s = ANSWER_INTERVAL_S if account.demands else RENEWAL_INTERVAL_S
         return withdrawn or now - account.offered_at >= longest_s
 
     def standing_targets(
@@ -536,7 +536,7 @@
     def floor_report(self, to: PoolName, now: float) -> FloorReport:
         """Return the floor report for the allocator of pool ``to``."""
         ranks = [
-            line.tier_rank for row in self.current(now) for line in row.lines.values()
+            line.tier_rank for row in self.current(now) for line in row.demands.values()
         ]
         shed = self.shed_rank if now - self.shed_at <= FLOOR_TIMEOUT_S else NO_RANK
         return FloorReport(self.pool.name, to, max(ranks, default=NO_RANK), shed)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -34,7 +34,7 @@
         staleness_s=role.delays.recent_peak_s(now),
     )
     for account in role.current(now):
-        for line in account.lines.values():
+        for line in account.demands.values():
             # Rows are kept between runs. A new row would be weighed again, and
             # its deadline would move with each run between two reports.
             row = role.waiting.get(line.request)
@@ -156,7 +156,7 @@
     names = {
         line.workspace
         for account in role.current(now)
-        for line in account.lines.values()
+        for line in account.demands.values()
     }
     views = {}
     for name in names & set(role.config.workspaces):
--- a/tests/scheduler/test_changes.py
+++ b/tests/scheduler/test_changes.py
@@ -46,7 +46,7 @@
 
     def lines(self) -> set:
         (account,) = self.role.current(self.now)
-        return set(account.lines)
+        return set(account.demands)
 
     def play(self, event: str) -> None:
         self.now += ROUND_S
