--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -61,7 +61,7 @@
 
 
 @dataclass
-class Bucket:
+class TokenBucket:
     """What is left of one workspace's tokens, and when that was worked out."""
 
     left: float
@@ -149,7 +149,7 @@
     slack: float = 0.0
     share: float = 1.0
     rates: Mapping[WorkspaceName, TokenRate] = field(default_factory=dict)
-    buckets: dict[WorkspaceName, Bucket] = field(default_factory=dict)
+    buckets: dict[WorkspaceName, TokenBucket] = field(default_factory=dict)
     hosts: int = 1
     began: float | None = None
     told: dict[HostId, float] = field(default_factory=dict)
@@ -267,14 +267,16 @@
         """Return the tokens that a full bucket holds."""
         return (rate.burst + self.slack * SLACK_SHARE) * self.share
 
-    def fill(self, workspace: WorkspaceName, rate: TokenRate, now: float) -> Bucket:
+    def fill(
+        self, workspace: WorkspaceName, rate: TokenRate, now: float
+    ) -> TokenBucket:
         """Return the bucket as it stands now."""
         size = self.size(rate)
         bucket = self.buckets.get(workspace)
         if bucket is None:
             left = self.opening(workspace, rate)
             at = now if self.began is None else self.began
-            bucket = self.buckets[workspace] = Bucket(left, at)
+            bucket = self.buckets[workspace] = TokenBucket(left, at)
         gained = (now - bucket.at) * rate.rate * RATE_FACTOR * self.share
         bucket.left = min(size, bucket.left + max(0.0, gained))
         bucket.at = now
