--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -183,14 +183,14 @@
 
     def _take_lines(self, report: PoolReport) -> None:
         if not report.incremental:
-            self.lines = {}
+            self.demands = {}
         for request in report.removed:
-            self.lines.pop(request, None)
+            self.demands.pop(request, None)
         for line in report.demands:
             # A request whose grant is still in transit must not be granted again.
             # Its host would otherwise hold two targets for it until both expire.
             if line.request not in self.grants:
-                self.lines[line.request] = line
+                self.demands[line.request] = line
 
     def _acknowledge(self, acked_offer: int) -> None:
         while len(self.allowances) > 1 and self.allowances[1].number <= acked_offer:
