--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -31,15 +31,15 @@
         Number of requests.
     tokens : int
         Tokens of memory reserved for them.
-    unread_tokens, unread_requests : int
+    pending_prefill_tokens, pending_prefill_requests : int
         Prompt tokens of requests without any output yet, and the number of these
         requests.
     """
 
     running: int = 0
     tokens: int = 0
-    unread_tokens: int = 0
-    unread_requests: int = 0
+    pending_prefill_tokens: int = 0
+    pending_prefill_requests: int = 0
 
     def __add__(self, other: "Usage") -> "Usage":
         return Usage(*map(operator.add, self, other))
@@ -124,7 +124,7 @@
     next_number : int
         Number of the next offer.
     more_waiting : int
-        Number of waiting requests that are not listed in ``lines``.
+        Number of waiting requests that are not listed in ``demands``.
     cached_max_usage, cached_usage : dict or None
         Results of `max_usage` and `current_usage`, kept between runs until
         anything that they are computed from changes.
@@ -164,7 +164,7 @@
         self.avoided = frozenset(report.avoided)
         self._acknowledge(acked_offer)
         self._drop_expired()
-        self._take_lines(report)
+        self._update_demands(report)
         return True
 
     def note_grant(self, sent: SentGrant) -> None:
@@ -181,16 +181,16 @@
         """Discard the cached usages, so that they are computed again."""
         self.cached_max_usage = self.cached_usage = None
 
-    def _take_lines(self, report: PoolReport) -> None:
+    def _update_demands(self, report: PoolReport) -> None:
         if not report.incremental:
             self.demands = {}
         for request in report.removed:
             self.demands.pop(request, None)
-        for line in report.demands:
+        for demand in report.demands:
             # A request whose grant is still in transit must not be granted again.
             # Its host would otherwise hold two targets for it until both expire.
-            if line.request not in self.grants:
-                self.demands[line.request] = line
+            if demand.request not in self.grants:
+                self.demands[demand.request] = demand
 
     def _acknowledge(self, acked_offer: int) -> None:
         while len(self.allowances) > 1 and self.allowances[1].number <= acked_offer:
@@ -234,8 +234,8 @@
                 most[name] = Usage(
                     max(held.running, allowance.running),
                     max(held.tokens, allowance.tokens),
-                    held.unread_tokens,
-                    held.unread_requests,
+                    held.pending_prefill_tokens,
+                    held.pending_prefill_requests,
                 )
         return self._add_grants(most)
 
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -137,7 +137,7 @@
         yet.
     workspaces : tuple of WorkspaceUse
         Running requests of the workspaces that have a quota.
-    lines : tuple of RequestDemand
+    demands : tuple of RequestDemand
         Waiting requests that are listed one by one: the first and the last ones
         in the dispatch order of the host. An incremental report contains only
         those that previous reports did not.
@@ -158,8 +158,8 @@
     via : str
         Host that forwarded the report; empty if it came directly.
     incremental : bool
-        Whether ``lines`` and ``removed`` are changes since the last report. If
-        not, ``lines`` replaces all earlier lines.
+        Whether ``demands`` and ``removed`` are changes since the last report. If
+        not, ``demands`` replaces all earlier ones.
     removed : tuple of RequestId
         Requests that are no longer listed.
     """
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -134,7 +134,7 @@
         self, pool: Pool, host: HostId, term: int, now: float, standing: bool = True
     ) -> None:
         self.has_standing = standing
-        self.unread_s = math.inf if standing else MAX_PENDING_PREFILL_S
+        self.max_pending_prefill_s = math.inf if standing else MAX_PENDING_PREFILL_S
         self.policy = STRICT if standing else ASKED
         self.pool = pool
         self.host = host
@@ -208,14 +208,14 @@
         each caller would grow by the delay, and slots would be granted to
         requests whose callers have left.
         """
-        for line in report.demands:
-            if account.demands.get(line.request) is line:
-                before = self.waiting.get(line.request)
-                row = make_waiting(self, account.host, line, sent_at, before)
-                self.waiting[line.request] = row
+        for demand in report.demands:
+            if account.demands.get(demand.request) is demand:
+                before = self.waiting.get(demand.request)
+                row = make_waiting(self, account.host, demand, sent_at, before)
+                self.waiting[demand.request] = row
 
     def observe_throughput(self, sample: ThroughputSample, now: float) -> None:
-        """Update the easing of a target by a throughput sample of running requests."""
+        """Update the throttle of a target by a throughput sample."""
         if not self.speeds.is_calibrated(sample.target):
             return
         expected_s = self.speeds.expected_s(
@@ -386,14 +386,14 @@
         """
         expires_s = account.sent_s + OFFER_LIFETIME_S
         for grant in offer.grants:
-            line = account.demands.pop(grant.request)
+            demand = account.demands.pop(grant.request)
             account.note_grant(
                 SentGrant(
                     account.next_number,
                     expires_s,
                     grant,
-                    line.workspace,
-                    line.prompt_tokens,
+                    demand.workspace,
+                    demand.prompt_tokens,
                 )
             )
         for shed in offer.sheds:
@@ -536,7 +536,9 @@
     def floor_report(self, to: PoolName, now: float) -> FloorReport:
         """Return the floor report for the allocator of pool ``to``."""
         ranks = [
-            line.tier_rank for row in self.current(now) for line in row.demands.values()
+            demand.tier_rank
+            for row in self.current(now)
+            for demand in row.demands.values()
         ]
         shed = self.shed_rank if now - self.shed_at <= FLOOR_TIMEOUT_S else NO_RANK
         return FloorReport(self.pool.name, to, max(ranks, default=NO_RANK), shed)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -34,14 +34,14 @@
         staleness_s=role.delays.recent_peak_s(now),
     )
     for account in role.current(now):
-        for line in account.demands.values():
+        for demand in account.demands.values():
             # Rows are kept between runs. A new row would be weighed again, and
             # its deadline would move with each run between two reports.
-            row = role.waiting.get(line.request)
-            if row is None or row.demand is not line:
-                row = make_waiting(role, account.host, line, now, row)
+            row = role.waiting.get(demand.request)
+            if row is None or row.demand is not demand:
+                row = make_waiting(role, account.host, demand, now, row)
             row.avoided = account.avoided
-            view.waiting[line.request] = row
+            view.waiting[demand.request] = row
     role.waiting = view.waiting
     for name, floor in role.floors.items():
         view.floors[name] = floor.floor
@@ -53,43 +53,43 @@
 def make_waiting(
     role: "PoolRole",
     host: HostId,
-    line: RequestDemand,
+    demand: RequestDemand,
     now: float,
     before: WaitingRequest | None,
 ) -> WaitingRequest:
-    """Return a demand line as of ``now``, with times on the allocator's clock.
+    """Return a waiting request as of ``now``, with times on the allocator's clock.
 
-    The time limit for the first output (``aim``) counts from the caller's first
-    attempt, even if that was refused and the caller has retried.
+    The deadline of the first output (``ttft_deadline``) counts from the caller's
+    first attempt, even if that was refused and the caller has retried.
 
     Parameters
     ----------
-    before : Waiting or None
+    before : WaitingRequest or None
         The same request as of an earlier report. If each report counted the
         request again, one that waits for long would look like many arrivals.
     """
-    arrived = now - line.waited_s
-    known = role.memory.callers.first_asked(line.body, now)
-    asked = arrived if known is None else min(known, arrived)
+    arrived = now - demand.waited_s
+    known = role.memory.callers.first_asked(demand.body, now)
+    first_arrived = arrived if known is None else min(known, arrived)
     if before is not None:
-        entitled = before.within_quota
+        within_quota = before.within_quota
     else:
         # A retried request was counted at its first attempt.
-        entitled = known is not None or role.memory.entitlements.take(
-            line.workspace,
-            line.charge,
-            role.quotas.rate_of(line.workspace, now),
+        within_quota = known is not None or role.memory.entitlements.take(
+            demand.workspace,
+            demand.charge,
+            role.quotas.rate_of(demand.workspace, now),
             now,
         )
     return WaitingRequest(
         host,
-        line,
-        now + line.time_to_deadline_s,
+        demand,
+        now + demand.time_to_deadline_s,
         arrived,
-        ttft_deadline=asked + line.waited_s + line.ttft_budget_s,
-        start_by=now + line.start_within_s,
-        first_arrived=asked,
-        within_quota=entitled,
+        ttft_deadline=first_arrived + demand.waited_s + demand.ttft_budget_s,
+        start_by=now + demand.start_within_s,
+        first_arrived=first_arrived,
+        within_quota=within_quota,
         counted=before is not None and before.counted,
     )
 
@@ -108,8 +108,10 @@
         count = max_usage.get(name, NO_USAGE)
         role.loads.note_ours(name, usage.get(name, NO_USAGE).running, now)
         speed = role.speeds.learned[name]
-        reported = PendingPrefill(count.unread_tokens, count.unread_requests)
-        unread = role.forecast.pending(name, reported, now)
+        reported = PendingPrefill(
+            count.pending_prefill_tokens, count.pending_prefill_requests
+        )
+        pending = role.forecast.pending(name, reported, now)
         first_s, read_s = role.speeds.prefill_cost(name)
         views[name] = TargetView(
             name=name,
@@ -122,11 +124,11 @@
             reserved_tokens=count.tokens,
             limit=concurrency_limit(role, name, target.slots, now),
             prefixes=role.hints.prefixes(name, now),
-            pending_prefill_tokens=unread.tokens,
-            pending_prefill_requests=unread.requests,
+            pending_prefill_tokens=pending.tokens,
+            pending_prefill_requests=pending.requests,
             first_s=first_s,
             read_s=read_s,
-            max_pending_prefill_s=role.unread_s,
+            max_pending_prefill_s=role.max_pending_prefill_s,
             availability_zone=target.place,
         )
     return views
@@ -154,9 +156,9 @@
 def workspace_views(role: "PoolRole", now: float) -> dict[WorkspaceName, WorkspaceView]:
     """Return the share, quota and use of each workspace with waiting requests."""
     names = {
-        line.workspace
+        demand.workspace
         for account in role.current(now)
-        for line in account.demands.values()
+        for demand in account.demands.values()
     }
     views = {}
     for name in names & set(role.config.workspaces):
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -131,9 +131,9 @@
     h0 first. It grants nothing until h1 has reported or the warm-up is over.
     """
     config = make_config({"e0": 4})
-    line = RequestDemand("r", "advisers", "letters", 0, 10, 10, 60.0, 0.0)
+    demand = RequestDemand("r", "advisers", "letters", 0, 10, 10, 60.0, 0.0)
     role = make_role("h0", config, START)
-    report = PoolReport("h0", 1, role.pool.name, 1, 0.0, 0, 0, demands=(line,))
+    report = PoolReport("h0", 1, role.pool.name, 1, 0.0, 0, 0, demands=(demand,))
     role.take_report(report, START)
     assert role.run(("h0", "h1"), START) == []
     used = PoolReport(
@@ -264,7 +264,7 @@
     ((to, report),) = [
         (to, report) for to, report in due_reports(tables, now) if to == "k0"
     ]
-    assert [line.request for line in report.demands] == ["r"]
+    assert [demand.request for demand in report.demands] == ["r"]
     shed(tables, "r", now, 2)
     assert row.state is RequestState.WAITING
     answer = GrantOffer(
--- a/tests/scheduler/test_allocator.py
+++ b/tests/scheduler/test_allocator.py
@@ -19,7 +19,7 @@
 from tests.scheduler.desk import make_config
 
 HOSTS = ("h0", "h1", "h2")
-LINE = RequestDemand("r", "advisers", "letters", 0, 10, 10, 60.0, 0.0)
+DEMAND = RequestDemand("r", "advisers", "letters", 0, 10, 10, 60.0, 0.0)
 
 
 def make_allocator(host: str, hosts=HOSTS):
@@ -45,7 +45,9 @@
 
 
 def report(actor, host, **fields):
-    return PoolReport(host, 1, pool_of(actor), 1, 5.0, 0, 0, demands=(LINE,), **fields)
+    return PoolReport(
+        host, 1, pool_of(actor), 1, 5.0, 0, 0, demands=(DEMAND,), **fields
+    )
 
 
 def test_one_host_has_the_role_and_ends_it_when_it_leaves():
@@ -159,7 +161,7 @@
     for number in range(1, 40):
         clock.advance(0.05)
         row = PoolReport(
-            "h0", 1, pool_of(actor), number, clock.monotonic(), 0, 0, demands=(LINE,)
+            "h0", 1, pool_of(actor), number, clock.monotonic(), 0, 0, demands=(DEMAND,)
         )
         actor.on_receive(row)
     granted = [row for _, row in sent if isinstance(row, GrantOffer) and row.grants]
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -154,19 +154,19 @@
     All hosts lose power at once, just after the burst was spent, so that the
     spending is unknown. The new allocator grants a quarter of the burst.
     """
-    book = TokenQuotas(rates=token_rates(CONFIG), hosts=2)
+    quotas = TokenQuotas(rates=token_rates(CONFIG), hosts=2)
     for host in PAIR:
-        book.recall(host, (), 0.5, now=10.0)
-    spent = spend_all(book, 10.0)
+        quotas.recall(host, (), 0.5, now=10.0)
+    spent = spend_all(quotas, 10.0)
     least = 1000.0 * FRESH_SHARE
     assert least <= spent <= least + 1000.0 * 0.5 / HISTORY_S
 
 
-def spend_all(book, now):
-    """Return the tokens that a book grants at once, in calls of 10."""
+def spend_all(quotas, now):
+    """Return the tokens that are granted at once, in calls of 10."""
     spent = 0
-    while book.wait_s("w", 10, now) == 0:
-        book.take("w", 10, now)
+    while quotas.wait_s("w", 10, now) == 0:
+        quotas.take("w", 10, now)
         spent += 10
     return spent
 
@@ -175,7 +175,7 @@
     """Guards against two allocators that together grant most of a burst twice.
 
     On one side of a partition, two thirds of the hosts have spent half of a burst,
-    and their allocator keeps its book. The other third has spent nothing, and its
+    and their allocator keeps its quotas. The other third has spent nothing, and its
     new allocator can't know of the spending. Together they may grant a sixth more
     than the burst, which the quota guarantee allows, but not a whole third more.
     """
@@ -193,36 +193,36 @@
 
 def test_tokens_spent_long_ago_have_been_refilled():
     """Tokens that were spent seconds ago have been refilled at the token rate."""
-    book = TokenQuotas(rates=token_rates(CONFIG))
-    book.recall(
+    quotas = TokenQuotas(rates=token_rates(CONFIG))
+    quotas.recall(
         "h0", [WorkspaceSpending("w", (0, 0, 0, 900))], float(HISTORY_S), now=10.0
     )
-    assert book.wait_s("w", 1000, 10.0) == 0
-    book = TokenQuotas(rates=token_rates(CONFIG))
-    book.recall(
+    assert quotas.wait_s("w", 1000, 10.0) == 0
+    quotas = TokenQuotas(rates=token_rates(CONFIG))
+    quotas.recall(
         "h0", [WorkspaceSpending("w", (4000, 0, 0, 0))], float(HISTORY_S), now=10.0
     )
-    assert book.wait_s("w", 100, 10.0) > 1.0
+    assert quotas.wait_s("w", 100, 10.0) > 1.0
 
 
 def test_a_host_that_loses_its_allocator_twice_does_not_spend_a_full_bucket():
     """Guards against a second burst when an allocator stops answering twice.
 
     The allocator stops answering for a moment, answers for a minute, and stops
-    again. In that minute it granted the workspace its whole quota. A book of the
-    host that had refilled since the first time would grant the burst once more.
+    again. In that minute it granted the workspace its whole quota. If the host's own
+    bucket had refilled since the first time, it would grant the burst once more.
     """
-    book = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
-    assert book.wait_s("w0", 2000, 0.0) == 0.0
-    book.take("w0", 2000, 0.0)
-    book.begin_anew("w0", told_at=59.0)
-    assert book.wait_s("w0", 2000, 60.0) == 0.0
-    book.take("w0", 2000, 60.0)
-    assert book.wait_s("w0", 2000, 60.1) > 1.0
-
-
-def test_a_book_in_use_is_not_reset():
-    book = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
-    book.take("w0", 2000, 10.0)
-    book.begin_anew("w0", told_at=9.5)
-    assert "w0" in book.buckets
+    quotas = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
+    assert quotas.wait_s("w0", 2000, 0.0) == 0.0
+    quotas.take("w0", 2000, 0.0)
+    quotas.begin_anew("w0", told_at=59.0)
+    assert quotas.wait_s("w0", 2000, 60.0) == 0.0
+    quotas.take("w0", 2000, 60.0)
+    assert quotas.wait_s("w0", 2000, 60.1) > 1.0
+
+
+def test_a_bucket_in_use_is_not_reset():
+    quotas = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
+    quotas.take("w0", 2000, 10.0)
+    quotas.begin_anew("w0", told_at=9.5)
+    assert "w0" in quotas.buckets
