--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -103,7 +103,7 @@
         for old in [at for at in rows if at <= second - HISTORY_S]:
             del rows[old]
 
-    def rows(self, now: float) -> tuple[WorkspaceSpending, ...]:
+    def recent_spending(self, now: float) -> tuple[WorkspaceSpending, ...]:
         """Return what was spent, of the workspaces that spent anything."""
         newest = int(now)
         seconds = range(newest, newest - HISTORY_S, -1)
@@ -150,14 +150,14 @@
     share: float = 1.0
     rates: Mapping[WorkspaceName, TokenRate] = field(default_factory=dict)
     buckets: dict[WorkspaceName, TokenBucket] = field(default_factory=dict)
-    hosts: int = 1
+    expected_hosts: int = 1
     began: float | None = None
     told: dict[HostId, float] = field(default_factory=dict)
     past: dict[WorkspaceName, list[int]] = field(default_factory=dict)
     former: dict[WorkspaceName, FormerRate] = field(default_factory=dict)
     settled: Mapping[WorkspaceName, TokenRate] = field(default_factory=dict)
 
-    def settle(self, now: float) -> None:
+    def apply_rates(self, now: float) -> None:
         """Take in quotas that were set since the last call."""
         if self.settled is self.rates:
             return
@@ -187,7 +187,7 @@
             return former.rate
         return (self.rates if rates is None else rates).get(workspace)
 
-    def recall(
+    def add_history(
         self,
         host: HostId,
         spent: Iterable[WorkspaceSpending],
@@ -213,7 +213,7 @@
         here knows: if those on the other side of a cut spent most of a quota,
         their book gives out the rest of it, and this one its part on top.
         """
-        known = sum(self.told.values()) / max(1, self.hosts, len(self.told))
+        known = sum(self.told.values()) / max(1, self.expected_hosts, len(self.told))
         known *= self.share
         full = self.size(rate) * (FRESH_SHARE + (1.0 - FRESH_SHARE) * known)
         gained = rate.rate * RATE_FACTOR * self.share
@@ -247,7 +247,9 @@
         if rate is not None and rate.rate > 0:
             self.fill(workspace, rate, now).left -= charge
 
-    def begin_anew(self, workspace: WorkspaceName, told_at: float) -> None:
+    def discard_stale_bucket(
+        self, workspace: WorkspaceName, answered_at: float
+    ) -> None:
         """Forget a bucket that was not in use when another book was.
 
         A host without an allocator keeps a book only while it has none. What the
@@ -256,11 +258,11 @@
 
         Parameters
         ----------
-        told_at : float
+        answered_at : float
             When an allocator was last heard of.
         """
         bucket = self.buckets.get(workspace)
-        if bucket is not None and told_at - bucket.at > HISTORY_S:
+        if bucket is not None and answered_at - bucket.at > HISTORY_S:
             del self.buckets[workspace]
 
     def size(self, rate: TokenRate) -> float:
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -220,7 +220,7 @@
         avoided=tuple(row.name for row in targets if row.avoided_until > now),
         completions=completions,
         throughput_samples=take_stretches(tables, access, now),
-        spent=access.history.rows(now) if unanswered else (),
+        spent=access.history.recent_spending(now) if unanswered else (),
         known_s=access.history.known_s(now) if unanswered else 0.0,
         incremental=news.changes,
         removed=news.gone,
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -191,7 +191,7 @@
         if not account.take(report, acked_offer, now):
             return False
         self.update_waiting(account, report, now - delay_s)
-        self.quotas.recall(report.host, report.spent, report.known_s, now)
+        self.quotas.add_history(report.host, report.spent, report.known_s, now)
         for row in report.completions:
             self.observe_completion(row)
         for sample in report.throughput_samples:
@@ -268,7 +268,7 @@
             At most one offer for each host; empty during the warm-up.
         """
         self.drop_expired(now)
-        self.quotas.settle(now)
+        self.quotas.apply_rates(now)
         if not self.is_warmed_up(expected, now):
             return []
         if self.is_quiet(now):
@@ -276,7 +276,7 @@
             # shares of an overload that is over would otherwise stay in force.
             self.memory.admission.update(now, 0.0)
             return []
-        self.quotas.hosts = len(expected)
+        self.quotas.expected_hosts = len(expected)
         view = pool_view(self, now)
         allocation = allocate(view, now)
         pending = self.group_by_host(allocation, view, now)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -149,7 +149,7 @@
     """
     current = role.current(now)
     avoiding = Counter(name for row in current for name in row.avoided)
-    hosts = max(len(current), role.quotas.hosts)
+    hosts = max(len(current), role.quotas.expected_hosts)
     return {name for name, count in avoiding.items() if count * 2 >= hosts}
 
 
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -195,7 +195,7 @@
     """Guards against refusals by a lower quota before it is promised to anyone."""
     high, low = {"w0": TokenRate(1000.0, 2000.0)}, {"w0": TokenRate(100.0, 200.0)}
     book = TokenQuotas(rates=high)
-    book.recall("host", (), 8.0, 0.0)
+    book.add_history("host", (), 8.0, 0.0)
     book.settle(0.0)
     book.rates = low
     book.settle(1.0)
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -154,9 +154,9 @@
     All hosts lose power at once, just after the burst was spent, so that the
     spending is unknown. The new allocator grants a quarter of the burst.
     """
-    quotas = TokenQuotas(rates=token_rates(CONFIG), hosts=2)
+    quotas = TokenQuotas(rates=token_rates(CONFIG), expected_hosts=2)
     for host in PAIR:
-        quotas.recall(host, (), 0.5, now=10.0)
+        quotas.add_history(host, (), 0.5, now=10.0)
     spent = spend_all(quotas, 10.0)
     least = 1000.0 * FRESH_SHARE
     assert least <= spent <= least + 1000.0 * 0.5 / HISTORY_S
@@ -181,12 +181,12 @@
     """
     rates = token_rates(SLOW)
     old = TokenQuotas(rates=rates)
-    old.recall("h0", (), float(HISTORY_S), now=10.0)
+    old.add_history("h0", (), float(HISTORY_S), now=10.0)
     for _ in range(50):
         old.take("w", 10, 10.0)
     old.share = 2 / 3
     new = TokenQuotas(rates=rates, share=1 / 3)
-    new.recall("h1", (), float(HISTORY_S), now=10.0)
+    new.add_history("h1", (), float(HISTORY_S), now=10.0)
     total = 500 + spend_all(old, 10.0) + spend_all(new, 10.0)
     assert 1000 <= total <= 1000 * 7 / 6 + 10
 
@@ -194,12 +194,12 @@
 def test_tokens_spent_long_ago_have_been_refilled():
     """Tokens that were spent seconds ago have been refilled at the token rate."""
     quotas = TokenQuotas(rates=token_rates(CONFIG))
-    quotas.recall(
+    quotas.add_history(
         "h0", [WorkspaceSpending("w", (0, 0, 0, 900))], float(HISTORY_S), now=10.0
     )
     assert quotas.wait_s("w", 1000, 10.0) == 0
     quotas = TokenQuotas(rates=token_rates(CONFIG))
-    quotas.recall(
+    quotas.add_history(
         "h0", [WorkspaceSpending("w", (4000, 0, 0, 0))], float(HISTORY_S), now=10.0
     )
     assert quotas.wait_s("w", 100, 10.0) > 1.0
@@ -215,7 +215,7 @@
     quotas = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
     assert quotas.wait_s("w0", 2000, 0.0) == 0.0
     quotas.take("w0", 2000, 0.0)
-    quotas.begin_anew("w0", told_at=59.0)
+    quotas.discard_stale_bucket("w0", answered_at=59.0)
     assert quotas.wait_s("w0", 2000, 60.0) == 0.0
     quotas.take("w0", 2000, 60.0)
     assert quotas.wait_s("w0", 2000, 60.1) > 1.0
@@ -224,5 +224,5 @@
 def test_a_bucket_in_use_is_not_reset():
     quotas = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
     quotas.take("w0", 2000, 10.0)
-    quotas.begin_anew("w0", told_at=9.5)
+    quotas.discard_stale_bucket("w0", answered_at=9.5)
     assert "w0" in quotas.buckets
