--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -126,14 +126,14 @@
     now : float
         Time at which the term begins.
     standing : bool
-        Whether hosts get allowances in advance while no request waits. If not, a
-        host has to ask for each dispatch.
+        Whether hosts get standing grants, which are allowances in advance, while no
+        request waits. If not, a host has to ask for each dispatch.
     """
 
     def __init__(
         self, pool: Pool, host: HostId, term: int, now: float, standing: bool = True
     ) -> None:
-        self.has_standing = standing
+        self.has_standing_grants = standing
         self.max_pending_prefill_s = math.inf if standing else MAX_PENDING_PREFILL_S
         self.policy = STRICT if standing else ASKED
         self.pool = pool
@@ -410,7 +410,7 @@
         offers = []
         due = [row for row in self.current(now) if self.is_due(row, contended, now)]
         zone_hosts = [row.host for row in self.current(now) if row.host in expected]
-        may_allow = due and not contended and self.has_standing
+        may_allow = due and not contended and self.has_standing_grants
         standing = self.standing_targets(zone_hosts, now) if may_allow else {}
         total = self.max_usage() if standing else {}
         for account in self.current(now):
@@ -428,7 +428,10 @@
 
     def is_due(self, account: HostAccount, contended: bool, now: float) -> bool:
         """Return whether a host is to be answered, or its allowances replaced."""
-        if not self.has_standing and account.answered_report == account.last_report:
+        if (
+            not self.has_standing_grants
+            and account.answered_report == account.last_report
+        ):
             return False
         withdrawn = contended and account.holds_allowances()
         longest_s = ANSWER_INTERVAL_S if account.demands else RENEWAL_INTERVAL_S
