--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -12,12 +12,12 @@
 from godwitladder.configuration.state import ConfigState
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.affinity import PrefixHints
-from godwitladder.decisions.allocation import LONGEST_LOOK_S, allocate
+from godwitladder.decisions.allocation import MAX_CONTENTION_S, allocate
+from godwitladder.decisions.allocator_state import AllocatorState
 from godwitladder.decisions.forecast import PrefillForecast
-from godwitladder.decisions.memory import AllocatorMemory
-from godwitladder.decisions.policy import ASKED, STRICT
+from godwitladder.decisions.load_reports import LoadReports
+from godwitladder.decisions.policy import ROUTED, STRICT
 from godwitladder.decisions.quotas import TokenQuotas
-from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import standing_grants
 from godwitladder.decisions.throttling import TargetThrottles
@@ -135,7 +135,7 @@
     ) -> None:
         self.has_standing_grants = standing
         self.max_pending_prefill_s = math.inf if standing else MAX_PENDING_PREFILL_S
-        self.policy = STRICT if standing else ASKED
+        self.policy = STRICT if standing else ROUTED
         self.pool = pool
         self.host = host
         self.term = term
@@ -151,7 +151,7 @@
         self.throttles = TargetThrottles()
         self.hints = PrefixHints()
         self.forecast = PrefillForecast()
-        self.memory = AllocatorMemory()
+        self.memory = AllocatorState()
         self.quotas = TokenQuotas()
         self.waiting: dict[RequestId, WaitingRequest] = {}
         self.loads = LoadReports()
@@ -530,7 +530,7 @@
         memory = self.memory
         if self.policy.is_strict or not memory.admission.shares:
             return ()
-        backlog_s = min(memory.contended_s(), LONGEST_LOOK_S)
+        backlog_s = min(memory.contended_s(), MAX_CONTENTION_S)
         return tuple(
             AdmissionShare(service, workspace, share, backlog_s)
             for (service, workspace), share in memory.admission.shares.items()
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -28,7 +28,7 @@
     view = PoolView(
         targets=target_views(role, now),
         workspaces=workspace_views(role, now),
-        memory=role.memory,
+        state=role.memory,
         quotas=role.quotas,
         policy=role.policy,
         staleness_s=role.delays.recent_peak_s(now),
@@ -69,7 +69,7 @@
         request again, one that waits for long would look like many arrivals.
     """
     arrived = now - demand.waited_s
-    known = role.memory.callers.first_asked(demand.body, now)
+    known = role.memory.callers.first_arrival(demand.body, now)
     first_arrived = arrived if known is None else min(known, arrived)
     if before is not None:
         within_quota = before.within_quota
@@ -106,7 +106,7 @@
         if target.address in role.leaving or name in unreachable:
             continue
         count = max_usage.get(name, NO_USAGE)
-        role.loads.note_ours(name, usage.get(name, NO_USAGE).running, now)
+        role.loads.record_own(name, usage.get(name, NO_USAGE).running, now)
         speed = role.speeds.learned[name]
         reported = PendingPrefill(
             count.pending_prefill_tokens, count.pending_prefill_requests
@@ -120,7 +120,7 @@
             memory_tokens=target.memory_tokens,
             prefill_tps=speed.prefill_tps,
             decode_tps=speed.decode_tps,
-            used=count.running + role.loads.others(name),
+            used=count.running + role.loads.external(name),
             reserved_tokens=count.tokens,
             limit=concurrency_limit(role, name, target.slots, now),
             prefixes=role.hints.prefixes(name, now),
@@ -138,7 +138,11 @@
     role: "PoolRole", name: TargetName, slots: int, now: float
 ) -> int:
     """Return the number of requests that a target may run concurrently."""
-    return role.throttles.limit(name, slots, now) if role.policy.eases_off else slots
+    return (
+        role.throttles.limit(name, slots, now)
+        if role.policy.throttles_slow_targets
+        else slots
+    )
 
 
 def unreachable_targets(role: "PoolRole", now: float) -> set[TargetName]:
