--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -444,7 +444,7 @@
         views = target_views(self, now)
         usage = self.current_usage()
         for name, target in views.items():
-            target.used = usage.get(name, NO_USAGE).running + self.loads.others(name)
+            target.used = usage.get(name, NO_USAGE).running + self.loads.external(name)
         standing: dict[HostId, list[TargetView]] = {}
         for grant in standing_grants(PoolView(targets=views), zone_hosts):
             standing.setdefault(grant.host, []).append(views[grant.target])
@@ -482,7 +482,7 @@
             name = target.name
             own, used = max_usage.get(name, NO_USAGE), usage.get(name, NO_USAGE)
             total_usage = total.get(name, NO_USAGE)
-            others = total_usage.running - own.running + self.loads.others(name)
+            others = total_usage.running - own.running + self.loads.external(name)
             if others + used.running >= target.limit:
                 continue
             free = target.memory_tokens - total_usage.tokens + own.tokens - used.tokens
--- a/tests/scheduler/test_allocator.py
+++ b/tests/scheduler/test_allocator.py
@@ -124,7 +124,7 @@
     used = []
     for _ in range(8):
         actor.on_receive(TargetLoad("e0", 10))
-        used.append(role.loads.others("e0"))
+        used.append(role.loads.external("e0"))
     assert used == sorted(used)
     assert used[0] <= 1 < used[-1]
 
