--- a/godwitladder/scheduler/allocator.py
+++ b/godwitladder/scheduler/allocator.py
@@ -225,7 +225,7 @@
 
     def log_admission_shares(self, role: PoolRole, now: float) -> None:
         """Log the admission shares, and once that none is in effect any more."""
-        shares = role.memory.admission.shares
+        shares = role.state.admission.shares
         logged_at, logged = self.logged_shares.get(
             role.pool.name, (float("-inf"), False)
         )
@@ -244,7 +244,7 @@
             "pool": pool_key(role.pool.name),
             "flows": len(shares),
             "shares": rows,
-            "contended_s": round(role.memory.contended_s(), 3),
+            "contended_s": round(role.state.contended_s(), 3),
         }
         log.info("Current admission shares", extra=extra)
 
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -151,7 +151,7 @@
         self.throttles = TargetThrottles()
         self.hints = PrefixHints()
         self.forecast = PrefillForecast()
-        self.memory = AllocatorState()
+        self.state = AllocatorState()
         self.quotas = TokenQuotas()
         self.waiting: dict[RequestId, WaitingRequest] = {}
         self.loads = LoadReports()
@@ -274,7 +274,7 @@
         if self.is_quiet(now):
             # `allocate` updates the admission shares, and does not run here. The
             # shares of an overload that is over would otherwise stay in force.
-            self.memory.admission.update(now, 0.0)
+            self.state.admission.update(now, 0.0)
             return []
         self.quotas.expected_hosts = len(expected)
         view = pool_view(self, now)
@@ -527,7 +527,7 @@
 
     def admission_shares(self) -> tuple[AdmissionShare, ...]:
         """Return the workspaces for which hosts are to report a share of the calls."""
-        memory = self.memory
+        memory = self.state
         if self.policy.is_strict or not memory.admission.shares:
             return ()
         backlog_s = min(memory.contended_s(), MAX_CONTENTION_S)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -28,7 +28,7 @@
     view = PoolView(
         targets=target_views(role, now),
         workspaces=workspace_views(role, now),
-        state=role.memory,
+        state=role.state,
         quotas=role.quotas,
         policy=role.policy,
         staleness_s=role.delays.recent_peak_s(now),
@@ -69,13 +69,13 @@
         request again, one that waits for long would look like many arrivals.
     """
     arrived = now - demand.waited_s
-    known = role.memory.callers.first_arrival(demand.body, now)
+    known = role.state.callers.first_arrival(demand.body, now)
     first_arrived = arrived if known is None else min(known, arrived)
     if before is not None:
         within_quota = before.within_quota
     else:
         # A retried request was counted at its first attempt.
-        within_quota = known is not None or role.memory.entitlements.take(
+        within_quota = known is not None or role.state.entitlements.take(
             demand.workspace,
             demand.charge,
             role.quotas.rate_of(demand.workspace, now),
--- a/tests/scheduler/test_flood.py
+++ b/tests/scheduler/test_flood.py
@@ -69,6 +69,6 @@
 def test_admission_shares_end_with_the_overload():
     """Guards against admission shares that stay in effect after an overload."""
     flood = Flood()
-    flood.role.memory.admission.shares[LETTERS, "advisers"] = MIN_SHARE
+    flood.role.state.admission.shares[LETTERS, "advisers"] = MIN_SHARE
     flood.run(2, calls_per_s=0)
-    assert not flood.role.memory.admission.shares
+    assert not flood.role.state.admission.shares
--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -49,7 +49,7 @@
     for _ in range(10):
         now += 0.05
         exchange(tables, role, now)
-    assert sum(role.memory.offered.values()) == pytest.approx(2.0, abs=0.2)
+    assert sum(role.state.offered.values()) == pytest.approx(2.0, abs=0.2)
 
 
 def test_a_retry_keeps_the_time_limit_of_the_first_attempt():
