--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -527,13 +527,13 @@
 
     def admission_shares(self) -> tuple[AdmissionShare, ...]:
         """Return the workspaces for which hosts are to report a share of the calls."""
-        memory = self.state
-        if self.policy.is_strict or not memory.admission.shares:
+        state = self.state
+        if self.policy.is_strict or not state.admission.shares:
             return ()
-        backlog_s = min(memory.contended_s(), MAX_CONTENTION_S)
+        backlog_s = min(state.contended_s(), MAX_CONTENTION_S)
         return tuple(
             AdmissionShare(service, workspace, share, backlog_s)
-            for (service, workspace), share in memory.admission.shares.items()
+            for (service, workspace), share in state.admission.shares.items()
         )
 
     def floor_report(self, to: PoolName, now: float) -> FloorReport:
