--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -52,8 +52,8 @@
     assert sum(role.state.offered.values()) == pytest.approx(2.0, abs=0.2)
 
 
-def test_a_retry_keeps_the_time_limit_of_the_first_attempt():
-    """Guards against measuring the time limit of a retry from the retry.
+def test_a_retry_keeps_the_ttft_deadline_of_the_first_attempt():
+    """Guards against measuring the first-token deadline of a retry from the retry.
 
     A request is refused by one host and sent to another as a new request. Its
     caller has waited since the first attempt. Measured from the second, the
@@ -94,7 +94,7 @@
 def test_only_the_specified_request_is_refused():
     """Guards against refusing another request than the one that was shed.
 
-    A request of the first tier is past its time limit, and one of a lower tier has
+    A request of the first tier can no longer be in time, and one of a lower tier has
     just arrived at the same host. Where each tier is entitled to a share, a host
     that refused its least important request instead would refuse one that can
     still be in time.
