--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -348,7 +348,7 @@
                 reserved_tokens=row.reserved_tokens,
                 valid_for_s=OFFER_LIFETIME_S,
             )
-            self.hints.note_dispatch(row.target, waiting.demand.prefix, now)
+            self.hints.record_dispatch(row.target, waiting.demand.prefix, now)
             self.record_prompt(row.target, waiting.demand.prompt_tokens, now)
             pending.setdefault(waiting.host, PendingOffer()).grants.append(grant)
         for row in allocation.sheds:
@@ -371,7 +371,7 @@
     def record_prompt(self, target: TargetName, tokens: int, now: float) -> None:
         """Record a granted prompt in the forecast of its target's prefill."""
         _, read_s = self.speeds.prefill_cost(target)
-        self.forecast.note(target, tokens, tokens * read_s, now)
+        self.forecast.record_grant(target, tokens, tokens * read_s, now)
 
     def record_shed(self, rank: int, now: float) -> None:
         """Record the rank of a shed request; keep the most important recent one."""
