--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -1,6 +1,8 @@
-"""What an allocator counts against each host: use, allowances and grants.
+"""Accounts of what an allocator counts against each host.
 
-Pure: times are handed in.
+An account contains the reported use of a host, its allowances and its grants.
+
+Pure: times are passed in as arguments.
 """
 
 import operator
@@ -20,40 +22,55 @@
 from godwitladder.scheduler.exchange import Allowance, PoolReport
 
 
-class Counted(NamedTuple):
-    """Requests and tokens that count against a target."""
+class Usage(NamedTuple):
+    """Requests and tokens that count against a target.
+
+    Attributes
+    ----------
+    running : int
+        Number of requests.
+    tokens : int
+        Tokens of memory reserved for them.
+    pending_prefill_tokens, pending_prefill_requests : int
+        Prompt tokens of requests without any output yet, and the number of these
+        requests.
+    """
 
     running: int = 0
     tokens: int = 0
-    unread: int = 0
-    unread_requests: int = 0
+    pending_prefill_tokens: int = 0
+    pending_prefill_requests: int = 0
 
-    def __add__(self, other: "Counted") -> "Counted":
-        return Counted(*map(operator.add, self, other))
+    def __add__(self, other: "Usage") -> "Usage":
+        return Usage(*map(operator.add, self, other))
 
 
-NOTHING = Counted()
+NO_USAGE = Usage()
 
 
-def add_up(counts: Iterable[Mapping[TargetName, Counted]]) -> dict[TargetName, Counted]:
-    """Return the sum for each target."""
-    rows: dict[TargetName, list[Counted]] = {}
+def sum_usage(counts: Iterable[Mapping[TargetName, Usage]]) -> dict[TargetName, Usage]:
+    """Return the sum of all usages, by target."""
+    rows: dict[TargetName, list[Usage]] = {}
     for count in counts:
         for name, row in count.items():
             rows.setdefault(name, []).append(row)
     return {
-        name: Counted(*map(sum, zip(*row, strict=True))) for name, row in rows.items()
+        name: Usage(*map(sum, zip(*row, strict=True))) for name, row in rows.items()
     }
 
 
 @dataclass(frozen=True)
 class SentAllowances:
-    """The allowances of one offer; they replace those of offers before it.
+    """Allowances of one offer, which replace those of earlier offers.
 
     Attributes
     ----------
+    number : int
+        Number of the offer.
     expires_s : float
-        When they lapse, by the host's own clock.
+        Expiry in seconds, on the clock of the host.
+    allowances : dict
+        The allowances by target.
     """
 
     number: int
@@ -63,7 +80,19 @@
 
 @dataclass(frozen=True)
 class SentGrant:
-    """One grant of one offer, for a request of ``workspace``."""
+    """One grant of an offer.
+
+    Attributes
+    ----------
+    number : int
+        Number of the offer.
+    expires_s : float
+        Expiry in seconds, on the clock of the host.
+    workspace : WorkspaceName
+        Workspace of the request.
+    prompt_tokens : int
+        Prompt tokens of the request.
+    """
 
     number: int
     expires_s: float
@@ -74,37 +103,41 @@
 
 @dataclass
 class HostAccount:
-    """One process of one host, as an allocator knows it.
+    """What an allocator knows of one process of a host.
 
-    What was sent counts until a report says that it was taken in, from then on
-    that report's use holds whatever became of it, or until a report comes that
-    was sent after it lapsed. A host that is silent keeps all that it was given:
-    it may have used it in the moment before its connection was lost.
+    An offer counts until a report acknowledges it, since the use in that report
+    then includes whatever became of the offer, or until a report arrives that was
+    sent after the offer expired. A host that stops reporting keeps everything that
+    it was given: it may have used it just before its connection was lost.
 
     Attributes
     ----------
     via : str
-        The host that passes messages on; empty if there is a link.
-    received, sent_s : int, float
-        Number of the last report, and when the host sent it by its own clock.
-    echoed : int
+        Host that forwards messages; empty if there is a direct link.
+    last_report, sent_s : int, float
+        Number of the last report, and the time at which the host sent it, on its
+        own clock.
+    answered_report : int
         Number of the last report that an offer has answered.
-    heard, offered : float
-        When it was taken in, and when the last offer was sent.
+    received_at, offered_at : float
+        Times at which the last report was received and the last offer was sent.
     next_number : int
         Number of the next offer.
-    known_counted, known_running : dict or None
-        Kept from one run to the next until anything that they are made of changes.
+    more_waiting : int
+        Number of waiting requests that are not listed in ``demands``.
+    cached_max_usage, cached_usage : dict or None
+        Results of `max_usage` and `current_usage`, kept between runs until
+        anything that they are computed from changes.
     """
 
     host: HostId
     incarnation: Incarnation
     via: HostId = HostId("")
-    received: int = 0
-    echoed: int = 0
+    last_report: int = 0
+    answered_report: int = 0
     sent_s: float = 0.0
-    heard: float = 0.0
-    offered: float = float("-inf")
+    received_at: float = 0.0
+    offered_at: float = float("-inf")
     next_number: int = 1
     uses: dict[TargetName, TargetUse] = field(default_factory=dict)
     workspaces: dict[WorkspaceName, int] = field(default_factory=dict)
@@ -113,81 +146,81 @@
     avoided: frozenset[TargetName] = frozenset()
     allowances: deque[SentAllowances] = field(default_factory=deque)
     grants: dict[RequestId, SentGrant] = field(default_factory=dict)
-    known_counted: dict[TargetName, Counted] | None = None
-    known_running: dict[TargetName, Counted] | None = None
+    cached_max_usage: dict[TargetName, Usage] | None = None
+    cached_usage: dict[TargetName, Usage] | None = None
 
-    def take(self, report: PoolReport, seen: int, now: float) -> bool:
-        """Take in a report; return False for one that came out of order."""
-        if report.number <= self.received:
+    def take(self, report: PoolReport, acked_offer: int, now: float) -> bool:
+        """Process a report; return False if it arrived out of order."""
+        if report.number <= self.last_report:
             return False
-        self.forget_counts()
-        self.received = report.number
+        self.clear_cached_usage()
+        self.last_report = report.number
         self.sent_s = report.sent_s
-        self.heard = now
+        self.received_at = now
         self.via = report.via
         self.uses = {use.target: use for use in report.uses}
         self.workspaces = {use.workspace: use.running for use in report.workspaces}
         self.more_waiting = sum(row.count for row in report.unlisted)
         self.avoided = frozenset(report.avoided)
-        self._acknowledge(seen)
-        self._lapse()
-        self._take_lines(report)
+        self._acknowledge(acked_offer)
+        self._drop_expired()
+        self._update_demands(report)
         return True
 
     def note_grant(self, sent: SentGrant) -> None:
-        """Count a grant that an offer brings."""
+        """Count a grant that was sent in an offer."""
         self.grants[sent.grant.request] = sent
-        self.forget_counts()
+        self.clear_cached_usage()
 
     def note_allowances(self, sent: SentAllowances) -> None:
-        """Count the allowances of an offer."""
+        """Count the allowances that were sent in an offer."""
         self.allowances.append(sent)
-        self.forget_counts()
+        self.clear_cached_usage()
 
-    def forget_counts(self) -> None:
-        """Let the counts be worked out anew."""
-        self.known_counted = self.known_running = None
+    def clear_cached_usage(self) -> None:
+        """Discard the cached usages, so that they are computed again."""
+        self.cached_max_usage = self.cached_usage = None
 
-    def _take_lines(self, report: PoolReport) -> None:
+    def _update_demands(self, report: PoolReport) -> None:
         if not report.incremental:
             self.demands = {}
         for request in report.removed:
             self.demands.pop(request, None)
-        for line in report.demands:
-            # A line whose grant is still on its way must not be granted again:
-            # the host would have two targets held for one request until both lapse.
-            if line.request not in self.grants:
-                self.demands[line.request] = line
-
-    def _acknowledge(self, seen: int) -> None:
-        while len(self.allowances) > 1 and self.allowances[1].number <= seen:
+        for demand in report.demands:
+            # A request whose grant is still in transit must not be granted again.
+            # Its host would otherwise hold two targets for it until both expire.
+            if demand.request not in self.grants:
+                self.demands[demand.request] = demand
+
+    def _acknowledge(self, acked_offer: int) -> None:
+        while len(self.allowances) > 1 and self.allowances[1].number <= acked_offer:
             self.allowances.popleft()
         for request, sent in list(self.grants.items()):
-            if sent.number <= seen:
+            if sent.number <= acked_offer:
                 del self.grants[request]
 
-    def _lapse(self) -> None:
+    def _drop_expired(self) -> None:
         while self.allowances and self.allowances[0].expires_s <= self.sent_s:
             self.allowances.popleft()
         for request, sent in list(self.grants.items()):
             if sent.expires_s <= self.sent_s:
                 del self.grants[request]
 
-    def counted(self) -> dict[TargetName, Counted]:
-        """Return the most that the host may have on each target by now."""
-        if self.known_counted is None:
-            self.known_counted = self._count_most()
-        return self.known_counted
+    def max_usage(self) -> dict[TargetName, Usage]:
+        """Return the maximum that the host may use by now, by target."""
+        if self.cached_max_usage is None:
+            self.cached_max_usage = self._compute_max_usage()
+        return self.cached_max_usage
 
-    def running(self) -> dict[TargetName, Counted]:
-        """Return what runs by the last report, or is granted by name."""
-        if self.known_running is None:
-            self.known_running = self._count_running()
-        return self.known_running
+    def current_usage(self) -> dict[TargetName, Usage]:
+        """Return the reported running requests plus the granted ones, by target."""
+        if self.cached_usage is None:
+            self.cached_usage = self._compute_usage()
+        return self.cached_usage
 
-    def _count_most(self) -> dict[TargetName, Counted]:
+    def _compute_max_usage(self) -> dict[TargetName, Usage]:
         most = {
-            name: Counted(
+            name: Usage(
                 use.running,
                 use.reserved_tokens,
                 use.pending_prefill_tokens,
@@ -197,42 +230,40 @@
         }
         for sent in self.allowances:
             for name, allowance in sent.allowances.items():
-                held = most.get(name, NOTHING)
-                most[name] = Counted(
+                held = most.get(name, NO_USAGE)
+                most[name] = Usage(
                     max(held.running, allowance.running),
                     max(held.tokens, allowance.tokens),
-                    held.unread,
-                    held.unread_requests,
+                    held.pending_prefill_tokens,
+                    held.pending_prefill_requests,
                 )
-        return self._add_granted(most)
+        return self._add_grants(most)
 
-    def _count_running(self) -> dict[TargetName, Counted]:
-        known = {
-            name: Counted(use.running, use.reserved_tokens)
+    def _compute_usage(self) -> dict[TargetName, Usage]:
+        usage = {
+            name: Usage(use.running, use.reserved_tokens)
             for name, use in self.uses.items()
         }
-        return self._add_granted(known)
+        return self._add_grants(usage)
 
-    def _add_granted(
-        self, counts: dict[TargetName, Counted]
-    ) -> dict[TargetName, Counted]:
+    def _add_grants(self, counts: dict[TargetName, Usage]) -> dict[TargetName, Usage]:
         for sent in self.grants.values():
             grant = sent.grant
-            held = counts.get(grant.target, NOTHING)
-            counts[grant.target] = held + Counted(
+            held = counts.get(grant.target, NO_USAGE)
+            counts[grant.target] = held + Usage(
                 1, grant.reserved_tokens, sent.prompt_tokens, 1
             )
         return counts
 
     def workspace_running(self, name: WorkspaceName) -> int:
-        """Return the requests of a workspace that run or are granted by name."""
+        """Return the number of running and granted requests of a workspace."""
         granted = sum(sent.workspace == name for sent in self.grants.values())
         return self.workspaces.get(name, 0) + granted
 
     def allowed(self) -> dict[TargetName, Allowance]:
-        """Return the allowances of the last offer that has not lapsed."""
+        """Return the allowances of the last offer, if it has not expired."""
         return self.allowances[-1].allowances if self.allowances else {}
 
     def holds_allowances(self) -> bool:
-        """Return whether the last offer allowed anything beyond what runs."""
+        """Return whether the last valid offer allows more than what runs."""
         return bool(self.allowed())
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -1,6 +1,6 @@
-"""What an allocator's role shows to the decisions under load.
+"""Views of an allocator's state, from which allocation decisions are made.
 
-Pure: a role and a time go in, views come out.
+Pure: views are computed from a role and a time.
 """
 
 from collections import Counter
@@ -16,7 +16,7 @@
     WorkspaceView,
 )
 from godwitladder.ids import HostId, TargetName, WorkspaceName
-from godwitladder.scheduler.accounts import NOTHING
+from godwitladder.scheduler.accounts import NO_USAGE
 from godwitladder.scheduler.exchange import NO_RANK
 
 if TYPE_CHECKING:
@@ -24,25 +24,25 @@
 
 
 def pool_view(role: "PoolRole", now: float) -> PoolView:
-    """Return everything that `allocate` decides from."""
+    """Return the input of `allocate`."""
     view = PoolView(
         targets=target_views(role, now),
         workspaces=workspace_views(role, now),
         state=role.state,
         quotas=role.quotas,
         policy=role.policy,
-        staleness_s=role.delays.lately_s(now),
+        staleness_s=role.delays.recent_peak_s(now),
     )
     for account in role.current(now):
-        for line in account.demands.values():
-            # Kept from run to run: a row that is new is weighed anew, and its
-            # deadline would move on with each run between two reports.
-            row = role.rows.get(line.request)
-            if row is None or row.demand is not line:
-                row = take_line(role, account.host, line, now, row)
+        for demand in account.demands.values():
+            # Rows are kept between runs. A new row would be weighed again, and
+            # its deadline would move with each run between two reports.
+            row = role.waiting.get(demand.request)
+            if row is None or row.demand is not demand:
+                row = make_waiting(role, account.host, demand, now, row)
             row.avoided = account.avoided
-            view.waiting[line.request] = row
-    role.rows = view.waiting
+            view.waiting[demand.request] = row
+    role.waiting = view.waiting
     for name, floor in role.floors.items():
         view.floors[name] = floor.floor
         if floor.shed_rank != NO_RANK:
@@ -50,54 +50,54 @@
     return view
 
 
-def take_line(
+def make_waiting(
     role: "PoolRole",
     host: HostId,
-    line: RequestDemand,
+    demand: RequestDemand,
     now: float,
     before: WaitingRequest | None,
 ) -> WaitingRequest:
-    """Return a demand line as of ``now``, with its times by the allocator's clock.
+    """Return a waiting request as of ``now``, with times on the allocator's clock.
 
-    The aim counts from when the caller first asked, also if it was refused
-    since then and has come back.
+    The first-token deadline (``ttft_deadline``) counts from the caller's first
+    attempt, even if that was refused and the caller has retried.
 
     Parameters
     ----------
-    before : Waiting or None
-        The same request as an earlier report told of it. Counted anew with
-        each report, a request that waits for long looked like many that came.
+    before : WaitingRequest or None
+        The same request as of an earlier report. If each report counted the
+        request again, one that waits for long would look like many arrivals.
     """
-    arrived = now - line.waited_s
-    known = role.state.callers.first_arrival(line.body, now)
-    asked = arrived if known is None else min(known, arrived)
+    arrived = now - demand.waited_s
+    known = role.state.callers.first_arrival(demand.body, now)
+    first_arrived = arrived if known is None else min(known, arrived)
     if before is not None:
-        entitled = before.within_quota
+        within_quota = before.within_quota
     else:
-        # One that has come back was counted when it first came.
-        entitled = known is not None or role.state.entitlements.take(
-            line.workspace,
-            line.charge,
-            role.quotas.rate_of(line.workspace, now),
+        # A retried request was counted at its first attempt.
+        within_quota = known is not None or role.state.entitlements.take(
+            demand.workspace,
+            demand.charge,
+            role.quotas.rate_of(demand.workspace, now),
             now,
         )
     return WaitingRequest(
         host,
-        line,
-        now + line.time_to_deadline_s,
+        demand,
+        now + demand.time_to_deadline_s,
         arrived,
-        ttft_deadline=asked + line.waited_s + line.ttft_budget_s,
-        start_by=now + line.start_within_s,
-        first_arrived=asked,
-        within_quota=entitled,
+        ttft_deadline=first_arrived + demand.waited_s + demand.ttft_budget_s,
+        start_by=now + demand.start_within_s,
+        first_arrived=first_arrived,
+        within_quota=within_quota,
         counted=before is not None and before.counted,
     )
 
 
 def target_views(role: "PoolRole", now: float) -> dict[TargetName, TargetView]:
-    """Return every target that may take work."""
+    """Return a view of each target that may be given requests."""
     views = {}
-    counted, running = role.counted(), role.running()
+    max_usage, usage = role.max_usage(), role.current_usage()
     unreachable = unreachable_targets(role, now)
     for name in sorted(role.pool.targets):
         target = role.config.targets.get(name)
@@ -105,11 +105,13 @@
             continue
         if target.address in role.leaving or name in unreachable:
             continue
-        count = counted.get(name, NOTHING)
-        role.loads.record_own(name, running.get(name, NOTHING).running, now)
+        count = max_usage.get(name, NO_USAGE)
+        role.loads.record_own(name, usage.get(name, NO_USAGE).running, now)
         speed = role.speeds.learned[name]
-        told = PendingPrefill(count.unread, count.unread_requests)
-        unread = role.forecast.pending(name, told, now)
+        reported = PendingPrefill(
+            count.pending_prefill_tokens, count.pending_prefill_requests
+        )
+        pending = role.forecast.pending(name, reported, now)
         first_s, read_s = role.speeds.prefill_cost(name)
         views[name] = TargetView(
             name=name,
@@ -120,20 +122,22 @@
             decode_tps=speed.decode_tps,
             used=count.running + role.loads.external(name),
             reserved_tokens=count.tokens,
-            limit=limit_of(role, name, target.slots, now),
+            limit=concurrency_limit(role, name, target.slots, now),
             prefixes=role.hints.prefixes(name, now),
-            pending_prefill_tokens=unread.tokens,
-            pending_prefill_requests=unread.requests,
+            pending_prefill_tokens=pending.tokens,
+            pending_prefill_requests=pending.requests,
             first_s=first_s,
             read_s=read_s,
-            max_pending_prefill_s=role.unread_s,
+            max_pending_prefill_s=role.max_pending_prefill_s,
             availability_zone=target.place,
         )
     return views
 
 
-def limit_of(role: "PoolRole", name: TargetName, slots: int, now: float) -> int:
-    """Return how many requests a target may run at once."""
+def concurrency_limit(
+    role: "PoolRole", name: TargetName, slots: int, now: float
+) -> int:
+    """Return the number of requests that a target may run concurrently."""
     return (
         role.throttles.limit(name, slots, now)
         if role.policy.throttles_slow_targets
@@ -142,10 +146,10 @@
 
 
 def unreachable_targets(role: "PoolRole", now: float) -> set[TargetName]:
-    """Return the targets to which half of the hosts can't connect.
+    """Return the targets to which at least half of the hosts can't connect.
 
-    One host's broken path must not take a target from all others, nor from
-    itself alone while the rest have nothing to report.
+    The broken network path of one host must not make a target unavailable to all
+    hosts, even while no other host has anything to report.
     """
     current = role.current(now)
     avoiding = Counter(name for row in current for name in row.avoided)
@@ -154,11 +158,11 @@
 
 
 def workspace_views(role: "PoolRole", now: float) -> dict[WorkspaceName, WorkspaceView]:
-    """Return weight, bound and use of each workspace that waits."""
+    """Return the share, quota and use of each workspace with waiting requests."""
     names = {
-        line.workspace
+        demand.workspace
         for account in role.current(now)
-        for line in account.demands.values()
+        for demand in account.demands.values()
     }
     views = {}
     for name in names & set(role.config.workspaces):
@@ -169,5 +173,5 @@
 
 
 def workspace_running(role: "PoolRole", name: WorkspaceName) -> int:
-    """Return the requests of a workspace that run on all hosts."""
+    """Return the number of requests that a workspace runs, over all hosts."""
     return sum(row.workspace_running(name) for row in role.accounts.values())
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -1,4 +1,4 @@
-"""Tokens of a workspace on a host that has no allocator."""
+"""Tests of token quotas on hosts with and without an allocator."""
 
 from dataclasses import replace
 
@@ -22,7 +22,7 @@
 from godwitladder.outcomes import Reason, Refusal
 from godwitladder.scheduler.actor import Scheduler
 from godwitladder.scheduler.messages import HostsChanged, Tick
-from godwitladder.scheduler.quotas import UNSEEN_S, token_rates
+from godwitladder.scheduler.quotas import HOST_EXPIRY_S, token_rates
 from godwitladder.scheduler.reports import update_targets
 from godwitladder.scheduler.rows import Dispatch, RequestRow, Tables
 from godwitladder.scheduler.systems import add_request, run_systems
@@ -54,10 +54,10 @@
     return row.decisions.get_nowait()
 
 
-def test_a_host_that_is_cut_off_gives_out_its_part_alone():
-    """Five hosts lose each other; a workspace asks all of them for all it can.
+def test_a_host_that_is_cut_off_grants_only_its_share():
+    """Five hosts are partitioned, and a workspace sends each of them its full load.
 
-    Each gives out a fifth, and refuses the rest with the time to come back.
+    Each host grants a fifth of the quota, and refuses the rest with a retry time.
     """
     tables = make_tables(["h1", "h2", "h3", "h4", "h5"])
     submit(tables, 0)
@@ -68,19 +68,20 @@
     assert all(row.retry_after_s > 0 for row in refused)
 
 
-def test_hosts_that_are_gone_for_long_leave_their_part():
+def test_the_share_of_hosts_that_ended_returns_to_the_others():
     tables = make_tables(["h1", "h2", "h3", "h4", "h5"])
-    now = UNSEEN_S + 1
+    now = HOST_EXPIRY_S + 1
     tables.seen.note(["h1"], now)
     decided = [submit(tables, number, now) for number in range(10)]
     assert sum(isinstance(row, Refusal) for row in decided) < 9
 
 
-def test_a_calm_minute_before_a_cut_changes_no_part():
-    """Five hosts see each other for a minute; then a cut leaves one alone.
+def test_an_idle_minute_before_a_partition_changes_no_share():
+    """Guards against a whole quota on one host after a partition.
 
-    Nothing changed in that minute, so nobody told of the hosts. The one that
-    is left must still share the quotas with the four that it has just lost.
+    Five hosts see each other for a minute without changes, so that no message
+    about hosts is sent. Then one host is cut off. It must still share the quotas
+    with the four that it has just lost.
     """
     clock = ManualClock()
     tables = make_tables([])
@@ -88,7 +89,7 @@
         tables, clock, Metrics(), Ticker(clock, 1.0), lambda host, report: None
     )
     scheduler.take(HostsChanged(("h1", "h2", "h3", "h4", "h5"), {}))
-    clock.advance(2 * UNSEEN_S)
+    clock.advance(2 * HOST_EXPIRY_S)
     scheduler.take(Tick())
     scheduler.take(HostsChanged(("h1",), {}))
     assert tables.seen.count_recent(clock.monotonic()) == 5
@@ -103,7 +104,7 @@
 
 
 def make_pair(now):
-    """Return two hosts that ask the allocator of the first one."""
+    """Return two hosts that report to the allocator on the first one."""
     hosts = {host: tables_of(host, PAIR, SLOW) for host in PAIR}
     desk = Desk(SLOW, hosts, {"h0": make_role("h0", SLOW, now)})
     for host in PAIR:
@@ -113,7 +114,7 @@
 
 
 def ask(desk, host, number, now):
-    """Let a host ask for one call of 100 tokens."""
+    """Add a request of 100 tokens to a host."""
     row = RequestRow(f"{host}-{number}", "", "w", "s", 0, 0, 0, now, now + 9, False)
     row.charge = 100
     add_request(desk.hosts[host], row)
@@ -124,13 +125,14 @@
     return sum(isinstance(row.decisions.get_nowait(), Dispatch) for row in rows)
 
 
-def test_a_new_allocator_gives_out_what_the_old_one_had_left():
-    """An allocator's host is lost in a calm moment; a workspace then sends its burst.
+def test_a_new_allocator_grants_what_the_old_one_had_left():
+    """Guards against a new allocator that ignores what was spent under the old one.
 
-    Six calls of its ten were spent a moment ago, and hosts remember that. The
-    new allocator lets the other four through. A book that starts a quarter
-    full refused them although they were paid for; one that starts full would
-    have let ten more through, which is more than the workspace may have.
+    The host of an allocator fails while the pool is idle, and a workspace then
+    sends its burst. Six calls of its ten were spent a moment ago, which hosts
+    remember. The new allocator admits the other four. Starting with a quarter of
+    the burst would refuse calls within the quota; starting with the full burst
+    would admit ten more, which exceeds the quota.
     """
     now = 100.0
     desk = make_pair(now)
@@ -146,35 +148,36 @@
     assert count_sent(rows) == 4
 
 
-def test_processes_that_have_just_started_know_of_no_spending():
-    """All hosts lose power at once, and the workspaces' burst was just spent.
+def test_processes_that_have_just_started_grant_a_part_of_the_burst():
+    """Guards against granting a whole burst again after all hosts have restarted.
 
-    Nobody can tell. The new allocator gives out a quarter of it, not the burst
-    anew.
+    All hosts lose power at once, just after the burst was spent, so that the
+    spending is unknown. The new allocator grants a quarter of the burst.
     """
-    book = TokenQuotas(rates=token_rates(CONFIG), expected_hosts=2)
+    quotas = TokenQuotas(rates=token_rates(CONFIG), expected_hosts=2)
     for host in PAIR:
-        book.add_history(host, (), 0.5, now=10.0)
-    spent = spend_all(book, 10.0)
+        quotas.add_history(host, (), 0.5, now=10.0)
+    spent = spend_all(quotas, 10.0)
     least = 1000.0 * FRESH_SHARE
     assert least <= spent <= least + 1000.0 * 0.5 / HISTORY_S
 
 
-def spend_all(book, now):
-    """Return the tokens that a book gives out at once, in calls of 10."""
+def spend_all(quotas, now):
+    """Return the tokens that are granted at once, in calls of 10."""
     spent = 0
-    while book.wait_s("w", 10, now) == 0:
-        book.take("w", 10, now)
+    while quotas.wait_s("w", 10, now) == 0:
+        quotas.take("w", 10, now)
         spent += 10
     return spent
 
 
-def test_a_cut_between_hosts_that_spent_unevenly_gives_the_burst_no_second_time():
-    """One side of a cut has spent half of a burst; its allocator keeps its book.
+def test_a_partition_after_uneven_spending_does_not_grant_the_burst_twice():
+    """Guards against two allocators that together grant most of a burst twice.
 
-    The other third of the hosts has spent nothing and has a new allocator, which
-    can't know. Together they may give out a sixth more than the burst, which the
-    promise allows, and not the other third on top.
+    On one side of a partition, two thirds of the hosts have spent half of a burst,
+    and their allocator keeps its quotas. The other third has spent nothing, and its
+    new allocator can't know of the spending. Together they may grant a sixth more
+    than the burst, which the quota guarantee allows, but not a whole third more.
     """
     rates = token_rates(SLOW)
     old = TokenQuotas(rates=rates)
@@ -188,37 +191,38 @@
     assert 1000 <= total <= 1000 * 7 / 6 + 10
 
 
-def test_what_was_spent_long_ago_has_come_in_again():
-    """A host tells of spending of seconds ago, which the rate has made up for."""
-    book = TokenQuotas(rates=token_rates(CONFIG))
-    book.add_history(
+def test_tokens_spent_long_ago_have_been_refilled():
+    """Tokens that were spent seconds ago have been refilled at the token rate."""
+    quotas = TokenQuotas(rates=token_rates(CONFIG))
+    quotas.add_history(
         "h0", [WorkspaceSpending("w", (0, 0, 0, 900))], float(HISTORY_S), now=10.0
     )
-    assert book.wait_s("w", 1000, 10.0) == 0
-    book = TokenQuotas(rates=token_rates(CONFIG))
-    book.add_history(
+    assert quotas.wait_s("w", 1000, 10.0) == 0
+    quotas = TokenQuotas(rates=token_rates(CONFIG))
+    quotas.add_history(
         "h0", [WorkspaceSpending("w", (4000, 0, 0, 0))], float(HISTORY_S), now=10.0
     )
-    assert book.wait_s("w", 100, 10.0) > 1.0
+    assert quotas.wait_s("w", 100, 10.0) > 1.0
 
 
-def test_a_host_left_alone_twice_does_not_spend_a_full_bucket():
-    """Its allocator is silent for a moment, answers for a minute, is silent again.
+def test_a_host_that_loses_its_allocator_twice_does_not_spend_a_full_bucket():
+    """Guards against a second burst when an allocator stops answering twice.
 
-    In the minute the allocator let the workspace run all of its quota. A book that
-    had filled up since the first silence would give the burst out once more.
+    The allocator stops answering for a moment, answers for a minute, and stops
+    again. In that minute it granted the workspace its whole quota. If the host's own
+    bucket had refilled since the first time, it would grant the burst once more.
     """
-    book = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
-    assert book.wait_s("w0", 2000, 0.0) == 0.0
-    book.take("w0", 2000, 0.0)
-    book.discard_stale_bucket("w0", answered_at=59.0)
-    assert book.wait_s("w0", 2000, 60.0) == 0.0
-    book.take("w0", 2000, 60.0)
-    assert book.wait_s("w0", 2000, 60.1) > 1.0
-
-
-def test_a_book_in_use_is_not_begun_anew():
-    book = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
-    book.take("w0", 2000, 10.0)
-    book.discard_stale_bucket("w0", answered_at=9.5)
-    assert "w0" in book.buckets
+    quotas = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
+    assert quotas.wait_s("w0", 2000, 0.0) == 0.0
+    quotas.take("w0", 2000, 0.0)
+    quotas.discard_stale_bucket("w0", answered_at=59.0)
+    assert quotas.wait_s("w0", 2000, 60.0) == 0.0
+    quotas.take("w0", 2000, 60.0)
+    assert quotas.wait_s("w0", 2000, 60.1) > 1.0
+
+
+def test_a_bucket_in_use_is_not_reset():
+    quotas = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
+    quotas.take("w0", 2000, 10.0)
+    quotas.discard_stale_bucket("w0", answered_at=9.5)
+    assert "w0" in quotas.buckets
