--- a/godwitladder/decisions/affinity.py
+++ b/godwitladder/decisions/affinity.py
@@ -1,63 +1,73 @@
-"""Remembers which target may hold a prompt's prefix in its cache.
-
-Load pattern: many requests share a long start. Sent anywhere, each pays the
-prefill of it again; sent always to the target that has it, a popular prefix
-makes one target hot while others idle. So the holder is preferred only while
-its load stays near the pool's (see `capacity.Room.choose`).
-
-Cache events come late and with gaps, so they are hints only: a dispatch sets
-a hint at once, an event corrects it, and a hint that nothing renewed fades.
-A wrong hint costs one prefill, never a wrong answer.
-
-Thresholds
-----------
-HINT_S : engines keep a prefix for minutes at most under load; a hint older
-    than a minute is as often wrong as right when a "dropped" event was lost.
-HINTS : prefixes remembered for each target, twice an engine's cache.
+"""Records which targets may have a prompt prefix in their cache.
+
+Many requests share a long prefix. Placed on any target, each of them pays for its
+prefill again. Placed always on the target that has it cached, a popular prefix
+overloads that target while others are idle. The target with the prefix is therefore
+preferred only while its load is close to the pool's (see
+`capacity.ServiceCapacity.choose`).
+
+Cache events arrive late and some are lost, so the records are only hints. A dispatch
+adds a hint at once, an event corrects it, and a hint that is not renewed expires. A
+wrong hint costs one prefill and never affects the response.
 """
 
 from collections import OrderedDict
 
 from godwitladder.ids import TargetName
 
-HINT_S = 60.0
-HINTS = 128
+# Engines under load keep a prefix for a few minutes at most. When the eviction event
+# was lost, a hint that is older than a minute is wrong as often as right.
+HINT_TTL_S = 60.0
+# Number of hints for each target: twice the prefixes that an engine's cache holds.
+MAX_HINTS = 128
 
 
 class PrefixHints:
-    """Prefixes that targets may hold, with the time of the last sign of each."""
+    """Prefixes that each target may have cached, with the time of the last sign.
+
+    Times are monotonic seconds.
+    """
 
     def __init__(self) -> None:
-        self.rows: dict[TargetName, OrderedDict[str, float]] = {}
+        self.hints: dict[TargetName, OrderedDict[str, float]] = {}
 
     def note_dispatch(self, target: TargetName, prefix: str, now: float) -> None:
-        """A request with ``prefix`` was sent to ``target``."""
+        """Record that a request with ``prefix`` was sent to ``target``."""
         if not prefix:
             return
-        held = self.rows.setdefault(target, OrderedDict())
-        held[prefix] = now
-        held.move_to_end(prefix)
-        if len(held) > HINTS:
-            held.popitem(last=False)
+        times = self.hints.setdefault(target, OrderedDict())
+        times[prefix] = now
+        times.move_to_end(prefix)
+        if len(times) > MAX_HINTS:
+            times.popitem(last=False)
 
-    def take_event(
+    def apply_event(
         self, target: TargetName, prefix: str, kept: bool, now: float
     ) -> None:
-        """Take in a cache event of ``target``."""
+        """Apply a cache event of ``target``.
+
+        Parameters
+        ----------
+        kept : bool
+            Whether the prefix is in the cache (True) or was evicted (False).
+        """
         if kept:
             self.note_dispatch(target, prefix, now)
         else:
-            self.rows.get(target, {}).pop(prefix, None)
+            self.hints.get(target, {}).pop(prefix, None)
 
     def prefixes(self, target: TargetName, now: float) -> set[str]:
-        """Return what ``target`` may hold, and drop hints that have faded."""
-        held = self.rows.get(target)
-        if not held:
+        """Return the prefixes that ``target`` may have cached.
+
+        Expired hints are removed.
+        """
+        times = self.hints.get(target)
+        if not times:
             return set()
-        while held and now - next(iter(held.values())) > HINT_S:
-            held.popitem(last=False)
-        return set(held)
+        while times and now - next(iter(times.values())) > HINT_TTL_S:
+            times.popitem(last=False)
+        return set(times)
 
     def forget(self, target: TargetName) -> None:
-        """Drop a target that is gone or was restarted."""
-        self.rows.pop(target, None)
+        """Remove a target that no longer exists or was restarted."""
+        self.hints.pop(target, None)
--- a/godwitladder/decisions/cancel.py
+++ b/godwitladder/decisions/cancel.py
@@ -1,23 +1,30 @@
-"""Decides what becomes of a request whose caller is gone.
+"""Decides what happens to a request whose caller has disconnected.
 
-Load pattern: callers hang up under overload, and their work goes on holding
-slots for nobody. Without this a pool at twice its capacity spends much of
-its decode on answers that are thrown away. But a cancelled request has
-wasted its prefill, and a caller with a key may come back for its answer.
-
-Thresholds
-----------
-NEARLY_DONE : a keyed, idempotent stream is finished when at most a quarter of
-    it is left: the repeat then finds its answer, and costs no second prefill.
+Callers disconnect under overload, and their requests keep occupying slots. At twice
+its capacity, a pool would spend much of its decode time on responses that nobody
+receives. But cancelling a request wastes its prefill, and a caller with an idempotency
+key may retry to fetch the response.
 """
 
 import enum
 
-NEARLY_DONE = 0.25
+# An idempotent stream with a key is finished when at most this part of its output
+# remains. A retry then finds the response and costs no second prefill.
+MAX_REMAINING_RATIO = 0.25
 
 
 class CallerGone(enum.Enum):
-    """What to do with work whose caller is gone."""
+    """What to do with a request whose caller has disconnected.
+
+    Attributes
+    ----------
+    DROP
+        Remove it from the queue.
+    CANCEL
+        Cancel it on its target.
+    FINISH
+        Let it run to its end.
+    """
 
     DROP = "drop"
     CANCEL = "cancel"
@@ -27,22 +34,28 @@
 def on_caller_gone(
     running: bool, idempotent: bool, keyed: bool, produced: int, predicted: int
 ) -> CallerGone:
-    """Return what to do.
+    """Return what to do with a request whose caller has disconnected.
 
-    A non-idempotent request that runs is always finished: cancelling a charge
-    half way saves a second of a target and leaves nobody knowing whether it
-    happened.
+    A running request that is not idempotent is always finished. Cancelling a
+    payment half way would save a second of a target's time and leave it unknown
+    whether the payment was made.
 
     Parameters
     ----------
+    running : bool
+        Whether the request was sent to a target.
+    idempotent : bool
+        Whether it may run more than once.
+    keyed : bool
+        Whether it has an idempotency key.
     produced, predicted : int
-        Output tokens so far and at its end.
+        Output tokens so far, and those expected in total.
     """
     if not running:
         return CallerGone.DROP
     if not idempotent:
         return CallerGone.FINISH
-    left = max(0, predicted - produced) / max(1, predicted)
-    if keyed and produced and left <= NEARLY_DONE:
+    remaining = max(0, predicted - produced) / max(1, predicted)
+    if keyed and produced and remaining <= MAX_REMAINING_RATIO:
         return CallerGone.FINISH
     return CallerGone.CANCEL
--- a/godwitladder/decisions/easing.py
+++ b/godwitladder/decisions/easing.py
@@ -1,51 +1,47 @@
-"""Eases off a target that has become slow, and brings it back by steps.
-
-Load pattern: an engine slows down without warning. Without easing off, it
-keeps as many requests as before, all of them late; a router that looks only
-at completions finds out when the longest of them ends. So stretches of work
-that are short against a request are compared with what they should take:
-the first token, and each second of a running stream.
-
-The limit falls at once and rises slowly, since a target that is brought back
-whole on its first good second takes a herd of requests and slows down again.
-
-Thresholds
-----------
-GAIN : the slow-down is an average over about four stretches, so one late
-    token changes little and a slow target is found in two or three seconds.
-SLOW : below one and a half times the expected, differences are those of
-    batch sizes.
-OVERHEAD_S : the way to an engine, its queue and its first step cost the same
-    whatever the length. A tenth of the 1.1 s in which a first token is due
-    covers them, and is small beside a stretch that matters to a caller.
-CUT_EVERY_S : one cut needs a second before its effect is seen.
-STEP_EVERY_S, STEPS : from its lowest back to whole in about eight seconds.
+"""Throttles targets that have become slow, and restores them in steps.
+
+An engine can slow down without warning. Without throttling it keeps its number of
+concurrent requests, and all of them are late. A router that looks only at completions
+notices when the longest of them ends. Work is therefore compared with its expected
+duration over intervals that are short against a request: the time to the first token,
+and each second of a running stream.
+
+The limit drops at once and rises slowly. A target that got all its slots back on its
+first good second would receive a burst of requests and slow down again.
 """
 
 from dataclasses import dataclass
 
 from godwitladder.ids import TargetName
 
+# Weight of the newest interval: the slowdown averages about four. One late token
+# changes little, and a slow target is detected in two or three seconds.
 GAIN = 0.25
-SLOW = 1.5
+# Below one and a half times the expected duration, differences are due to batch sizes.
+SLOWDOWN_THRESHOLD = 1.5
+# Network, queue and first step of an engine take the same time whatever the length. A
+# tenth of the 1.1 s in which a first token is due covers them, and is small against an
+# interval that matters to a caller.
 OVERHEAD_S = 0.1
-CUT_EVERY_S = 1.0
-STEP_EVERY_S = 1.0
-STEPS = 8
+# The effect of a reduction shows only after a second.
+REDUCE_INTERVAL_S = 1.0
+# From the lowest limit to the full one takes about eight seconds.
+RESTORE_INTERVAL_S = 1.0
+RESTORE_STEPS = 8
 
 
 @dataclass
-class Easing:
-    """How far one target is eased off.
+class Throttle:
+    """Throttling state of one target.
 
     Attributes
     ----------
     slowdown : float
-        Decayed mean of seconds taken over seconds expected.
+        Exponentially weighted mean of actual over expected seconds.
     share : float
-        Share of its slots that it may use, above 0 and at most 1.
+        Share of its slots that the target may use, above 0 and at most 1.
     changed : float
-        When ``share`` last changed.
+        Monotonic seconds of the last change of ``share``.
     """
 
     slowdown: float = 1.0
@@ -54,50 +50,70 @@
 
 
 class TargetEasing:
-    """The limits of all targets."""
+    """Limits of concurrent requests on all targets."""
 
     def __init__(self) -> None:
-        self.rows: dict[TargetName, Easing] = {}
+        self.throttles: dict[TargetName, Throttle] = {}
 
     def observe(
         self, target: TargetName, expected_s: float, taken_s: float, now: float
     ) -> None:
-        """Take in one stretch of work: a first token, a second of a stream.
-
-        A stream that sends nothing is a stretch too: hand in the silence so
-        far as ``taken_s``, or a frozen target is never found.
+        """Compare an interval of work on ``target`` with its expected duration.
+
+        An interval is the time to a first token, or a second of a stream.
+
+        Parameters
+        ----------
+        expected_s : float
+            Expected seconds. Without a positive value the interval is ignored.
+        taken_s : float
+            Seconds taken. For a stream that sends nothing, pass the silence so
+            far, as a frozen target would otherwise never be detected.
+        now : float
+            Monotonic seconds.
         """
         if expected_s <= 0:
             return
-        row = self.rows.setdefault(target, Easing())
-        # Prompts of a few tokens take as long as the way to the engine. Their
-        # ratio would be some tens on a sound target, and all its slots but one
-        # be taken from it; and much below one, hiding a stream that is slow.
+        throttle = self.throttles.setdefault(target, Throttle())
+        # For prompts of a few tokens the overhead dominates. Without it in the
+        # denominator, the ratio of a healthy target would be in the tens, which would
+        # take all but one of its slots. A ratio far below one would hide a slow stream.
         ratio = max(1.0, min(taken_s / (expected_s + OVERHEAD_S), 100.0))
-        row.slowdown += GAIN * (ratio - row.slowdown)
-        if row.slowdown > SLOW and now - row.changed >= CUT_EVERY_S:
-            row.share = min(row.share, 1.0 / row.slowdown)
-            row.changed = now
+        throttle.slowdown += GAIN * (ratio - throttle.slowdown)
+        if (
+            throttle.slowdown > SLOWDOWN_THRESHOLD
+            and now - throttle.changed >= REDUCE_INTERVAL_S
+        ):
+            throttle.share = min(throttle.share, 1.0 / throttle.slowdown)
+            throttle.changed = now
 
     def limit(self, target: TargetName, slots: int, now: float) -> int:
-        """Return the requests that ``target`` may run at once, at least 1.
+        """Return the number of requests that ``target`` may run at once.
+
+        At least one request is always allowed. It is the probe that shows when
+        the target has recovered.
 
-        The one request that is always left is the probe that shows when the
-        target is well again.
+        Parameters
+        ----------
+        slots : int
+            Slots of the target without throttling.
+        now : float
+            Monotonic seconds.
         """
-        row = self.rows.get(target)
-        if row is None:
+        throttle = self.throttles.get(target)
+        if throttle is None:
             return slots
-        if row.slowdown <= SLOW and row.share < 1.0:
-            self._step_up(row, now)
-        return max(1, int(slots * row.share + 0.5))
+        if throttle.slowdown <= SLOWDOWN_THRESHOLD and throttle.share < 1.0:
+            self._restore_step(throttle, now)
+        return max(1, int(slots * throttle.share + 0.5))
 
     def forget(self, target: TargetName) -> None:
-        """Drop a target that is gone."""
-        self.rows.pop(target, None)
+        """Remove a target that no longer exists."""
+        self.throttles.pop(target, None)
 
-    def _step_up(self, row: Easing, now: float) -> None:
-        steps = int((now - row.changed) / STEP_EVERY_S)
+    def _restore_step(self, throttle: Throttle, now: float) -> None:
+        """Raise the share by one step if the interval has passed."""
+        steps = int((now - throttle.changed) / RESTORE_INTERVAL_S)
         if steps > 0:
-            row.share = min(1.0, row.share + min(steps, 1) / STEPS)
-            row.changed = now
+            throttle.share = min(1.0, throttle.share + min(steps, 1) / RESTORE_STEPS)
+            throttle.changed = now
--- a/godwitladder/decisions/forecast.py
+++ b/godwitladder/decisions/forecast.py
@@ -1,20 +1,14 @@
-"""Foretells what targets have still to read of the prompts that they were sent.
-
-Load pattern: a flood on targets that read one prompt after the other, while what
-hosts tell is some tenths of a second old. An allocator that waits to hear that a
-prompt was read leaves a place empty for as long as the news take, at each target
-after each prompt, and callers are refused beside empty places.
-
-So a prompt counts as read when its target has had the time for it since it was
-granted, whether its host has told so yet or not. With a few prompts of which no
-host has told so, what hosts tell is what counts again: a target that stands still
-costs these calls and no more.
-
-Thresholds
-----------
-TRANSIT_S : a grant's way to its host, and the prompt's way to its target.
-MOST_UNHEARD : as many prompts of a usual length are read while one report of it
-    is on its way.
+"""Forecasts the prefill work that each target has still to do.
+
+A target processes one prompt after the other, and the reports of hosts are some
+tenths of a second old. An allocator that waits for the report of each finished
+prefill leaves a slot empty for the delay of the report, at every target after every
+prompt. Under a burst, callers are then refused while slots are free.
+
+A prompt is therefore taken to be processed once its target has had the time for it
+since the grant, whether or not a host has reported that yet. When several prompts
+are unreported, the reports are used again: a target that hangs costs these few
+requests and no more.
 """
 
 from collections import deque
@@ -22,16 +16,20 @@
 
 from godwitladder.ids import TargetName
 
+# Delay from the grant until the target receives the prompt, by way of the host.
 TRANSIT_S = 0.03
-MOST_UNHEARD = 3
+# About as many prompts of usual length are processed while a report is in transit.
+MAX_UNREPORTED = 3
 
 
 @dataclass(frozen=True)
-class Reading:
-    """One prompt, and when its target is taken to read it.
+class ScheduledPrefill:
+    """One prompt and the time at which its target is expected to process it.
 
     Attributes
     ----------
+    tokens : int
+        Prompt tokens.
     begin, end : float
         Monotonic seconds.
     """
@@ -40,8 +38,8 @@
     begin: float
     end: float
 
-    def left(self, now: float) -> int:
-        """Return the tokens that are not read by ``now``."""
+    def remaining_tokens(self, now: float) -> int:
+        """Return the prompt tokens that are not processed by ``now``."""
         if now <= self.begin:
             return self.tokens
         return round(self.tokens * (self.end - now) / (self.end - self.begin))
@@ -49,44 +47,73 @@
 
 @dataclass(frozen=True)
 class Unread:
-    """Prompt tokens that a target has still to read, and of how many requests."""
+    """Prompts that a target has not processed yet.
+
+    Attributes
+    ----------
+    tokens : int
+        Prompt tokens that remain.
+    requests : int
+        Number of requests that they belong to.
+    """
 
     tokens: int
     requests: int
 
 
 class ReadingForecast:
-    """The prompts that were granted lately, by target, in the order of reading."""
+    """Recently granted prompts of each target, in the order of processing."""
 
     def __init__(self) -> None:
-        self.rows: dict[TargetName, deque[Reading]] = {}
+        self.prefills: dict[TargetName, deque[ScheduledPrefill]] = {}
 
     def note(self, target: TargetName, tokens: int, seconds: float, now: float) -> None:
-        """A prompt is granted that ``target`` reads within ``seconds``."""
+        """Add a prompt that was granted to ``target``.
+
+        Parameters
+        ----------
+        tokens : int
+            Prompt tokens.
+        seconds : float
+            Expected duration of the prefill.
+        now : float
+            Monotonic seconds.
+        """
         if not tokens or seconds <= 0:
             return
-        rows = self.rows.setdefault(target, deque())
+        prefills = self.prefills.setdefault(target, deque())
         begin = now + TRANSIT_S
-        if rows:
-            begin = max(begin, rows[-1].end)
-        rows.append(Reading(tokens, begin, begin + seconds))
+        if prefills:
+            begin = max(begin, prefills[-1].end)
+        prefills.append(ScheduledPrefill(tokens, begin, begin + seconds))
 
-    def unread(self, target: TargetName, told: Unread, now: float) -> Unread:
-        """Return what ``target`` has still to read.
+    def unread(self, target: TargetName, reported: Unread, now: float) -> Unread:
+        """Return what ``target`` has not processed yet, by forecast or by report.
 
         Parameters
         ----------
-        told : Unread
-            Of what was granted there and what hosts last told of.
+        reported : Unread
+            What remains of the granted prompts according to the last reports of
+            the hosts.
+        now : float
+            Monotonic seconds.
+
+        Returns
+        -------
+        Unread
+            ``reported`` if it has `MAX_UNREPORTED` requests or more, and
+            otherwise the smaller of report and forecast for each field.
         """
-        rows = self.rows.get(target, ())
-        while rows and rows[0].end <= now:
-            rows.popleft()
-        if told.requests >= MOST_UNHEARD:
-            return told
-        tokens = sum(row.left(now) for row in rows)
-        return Unread(min(told.tokens, tokens), min(told.requests, len(rows)))
+        prefills = self.prefills.get(target, ())
+        while prefills and prefills[0].end <= now:
+            prefills.popleft()
+        if reported.requests >= MAX_UNREPORTED:
+            return reported
+        tokens = sum(prefill.remaining_tokens(now) for prefill in prefills)
+        return Unread(
+            min(reported.tokens, tokens), min(reported.requests, len(prefills))
+        )
 
     def forget(self, target: TargetName) -> None:
-        """Drop a target that is gone or was restarted."""
-        self.rows.pop(target, None)
+        """Remove a target that no longer exists or was restarted."""
+        self.prefills.pop(target, None)
--- a/godwitladder/decisions/losses.py
+++ b/godwitladder/decisions/losses.py
@@ -1,36 +1,40 @@
-"""Holds back calls whose answers were lost at one target after another.
+"""Holds back calls whose responses were lost at several targets.
 
-Load pattern: one call crashes each target that runs it, and its caller sends it
-again, at any host. Without this it takes the pool down target by target, with
-all that runs there.
+A call may crash every target that runs it, while its caller retries it at any host.
+Without this check it takes down the pool target by target, together with everything
+else that runs there.
 
-A lost answer alone proves no crash: connections break, and targets lose
-answers. So a call is held back only after its answer was lost at several
-targets, which a bystander hardly meets: two tries at two targets each, all of
-them lost.
+A single lost response does not prove a crash: connections break, and targets lose
+responses. A call is therefore held back only after its response was lost at several
+targets. A call that merely ran beside a crashing one hardly ever reaches that: it
+would take two attempts at two targets each, with all of the responses lost.
 
-Pure: times are handed in.
-
-Thresholds
-----------
-LOSSES : targets that lost the answer before a call is held back.
-HOLD_S : callers come back for a minute or two; a call that is mended has other
-    bytes.
-MOST_CALLS : calls remembered, the newest; a loss takes about 200 bytes.
+No clock is read: the time is a parameter of each method.
 """
 
 from dataclasses import dataclass, field
 
 from godwitladder.ids import BodyDigest, TargetName
 
-LOSSES = 3
+# Number of targets that lost the response before a call is held back.
+LOSS_THRESHOLD = 3
+# Callers retry for a minute or two. A corrected call has another digest.
 HOLD_S = 60.0
-MOST_CALLS = 5_000
+# The newest calls are kept. An entry takes about 200 bytes.
+MAX_CALLS = 5_000
 
 
 @dataclass
 class Loss:
-    """Targets that lost a call's answer, and when the last of them did."""
+    """Losses of one call's response.
+
+    Attributes
+    ----------
+    at : float
+        Monotonic seconds of the last loss.
+    targets : set
+        Targets that lost the response.
+    """
 
     at: float
     targets: set[TargetName] = field(default_factory=set)
@@ -38,24 +42,24 @@
 
 @dataclass
 class LossTable:
-    """Calls whose answers were lost, by what they consist of."""
+    """Calls whose responses were lost, by digest."""
 
-    rows: dict[BodyDigest, Loss] = field(default_factory=dict)
+    losses: dict[BodyDigest, Loss] = field(default_factory=dict)
 
     def note(self, digest: BodyDigest, target: TargetName, now: float) -> None:
-        """Take in that ``target`` lost the answer to a call."""
-        row = self.rows.pop(digest, None)
-        if row is None or now - row.at > HOLD_S:
-            row = Loss(now)
-        row.at = now
-        row.targets.add(target)
-        self.rows[digest] = row
-        while len(self.rows) > MOST_CALLS:
-            del self.rows[next(iter(self.rows))]
+        """Record that ``target`` lost the response to a call."""
+        loss = self.losses.pop(digest, None)
+        if loss is None or now - loss.at > HOLD_S:
+            loss = Loss(now)
+        loss.at = now
+        loss.targets.add(target)
+        self.losses[digest] = loss
+        while len(self.losses) > MAX_CALLS:
+            del self.losses[next(iter(self.losses))]
 
     def held_s(self, digest: BodyDigest, now: float) -> float:
-        """Return for how many more seconds a call is held back; 0 for not."""
-        row = self.rows.get(digest)
-        if row is None or len(row.targets) < LOSSES:
+        """Return the seconds for which a call is still held back, 0 if it is not."""
+        loss = self.losses.get(digest)
+        if loss is None or len(loss.targets) < LOSS_THRESHOLD:
             return 0.0
-        return max(0.0, row.at + HOLD_S - now)
+        return max(0.0, loss.at + HOLD_S - now)
--- a/godwitladder/decisions/prediction.py
+++ b/godwitladder/decisions/prediction.py
@@ -1,31 +1,14 @@
-"""Predicts how long an answer will be, from what was really produced.
-
-Load pattern: callers declare far more output than they use. Reserving what
-they declare leaves most of a target's memory empty while requests wait;
-reserving nothing fills it until the engine evicts running work and pays its
-prefill again. So the reservation is a high quantile of what this workspace
-and service produced lately, and grows while a stream outlives it.
-
-Each estimate is one number, moved in log space by a step that shrinks with
-the count of observations (a stochastic approximation of the quantile): no
-history is kept, and old observations fade by themselves.
-
-Thresholds
-----------
-RESERVE_QUANTILE : what is reserved; one in ten outlives it, and finds the part of
-    memory that is never reserved.
-LIKELY_QUANTILE : the median; of what is refused as too late, at most half
-    would have been in time.
-LEAST_STEP : an estimate follows a tenfold change of lengths within about 25
-    answers, and wobbles by a sixth around a steady one.
-PRIOR_WEIGHT : after as many answers of its own, a workspace's estimate counts
-    as much as its service's.
-PRIOR_RATIO, PRIOR_LIKELY_RATIO : a service never seen is taken to use an
-    eighth of what is declared, and half is reserved for it.
-START_SPREAD : one answer says nothing of the spread; nine in ten of a kind
-    are usually shorter than twice its median.
-GROWTH : a stream that outlives its reservation adds half of what it has, so
-    that it is grown a few times, not once per token.
+"""Predicts the output length of a request from the lengths of past responses.
+
+Callers declare a far higher output limit than they use. Reserving memory for the
+declared limit leaves most of a target's memory empty while requests wait. Reserving
+nothing fills it until the engine evicts running requests and has to prefill them
+again. The reservation is therefore a high quantile of the output lengths recently
+seen for the same workspace and service, and it grows when a stream exceeds it.
+
+Each quantile is estimated by stochastic approximation in log space: every
+observation moves the estimate by a step that shrinks with the number of
+observations. No history is stored, and the influence of old observations decays.
 """
 
 import math
@@ -34,45 +17,81 @@
 
 from godwitladder.ids import ServiceName, WorkspaceName
 
+# One response in ten exceeds its reservation. The share of a target's memory that
+# is never reserved absorbs the excess.
 RESERVE_QUANTILE = 0.9
-LIKELY_QUANTILE = 0.5
-LEAST_STEP = 0.2
+# With the median, at most half of the requests that are refused as too late would
+# have finished in time.
+MEDIAN_QUANTILE = 0.5
+# Follows a tenfold change of lengths within about 25 responses, and fluctuates by
+# about a sixth around a stable value.
+MIN_STEP = 0.2
+# Number of a workspace's own responses at which its estimate has the same weight as
+# the estimate of the service.
 PRIOR_WEIGHT = 8.0
-PRIOR_RATIO = 0.5
-PRIOR_LIKELY_RATIO = 0.125
-START_SPREAD = math.log(2.0)
-GROWTH = 1.5
-KEPT_ESTIMATES = 20_000
+# For a service without observations, half of the declared limit is reserved, and the
+# median is assumed to be an eighth of it.
+PRIOR_RESERVE_RATIO = 0.5
+PRIOR_MEDIAN_RATIO = 0.125
+# A single response says nothing about the spread. Nine in ten responses of one kind
+# are usually shorter than twice their median.
+INITIAL_SPREAD = math.log(2.0)
+# A stream that exceeds its reservation gets half of its output so far on top, so that
+# the reservation grows a few times and not once per token.
+GROWTH_FACTOR = 1.5
+MAX_ESTIMATES = 20_000
 
 
 @dataclass
 class Estimate:
-    """Two quantiles in log space, and how many observations moved them."""
-
-    likely: float
+    """Estimated quantiles of the output length.
+
+    Attributes
+    ----------
+    median, reserve : float
+        Natural logarithms of output tokens, for `MEDIAN_QUANTILE` and
+        `RESERVE_QUANTILE`.
+    count : int
+        Number of observations.
+    """
+
+    median: float
     reserve: float
     count: int = 1
 
-    def move(self, level: float) -> None:
-        """Move both towards their quantiles by one observation."""
+    def update(self, log_output: float) -> None:
+        """Move both quantiles by one observation."""
         self.count += 1
-        step = max(LEAST_STEP, 2.0 / self.count)
-        self.likely += step * moved(level > self.likely, LIKELY_QUANTILE)
-        self.reserve += step * moved(level > self.reserve, RESERVE_QUANTILE)
-        self.reserve = max(self.reserve, self.likely)
+        step = max(MIN_STEP, 2.0 / self.count)
+        self.median += step * quantile_step(log_output > self.median, MEDIAN_QUANTILE)
+        self.reserve += step * quantile_step(
+            log_output > self.reserve, RESERVE_QUANTILE
+        )
+        self.reserve = max(self.reserve, self.median)
+
 
+def quantile_step(above: bool, quantile: float) -> float:
+    """Return the signed fraction of a step that one observation contributes.
 
-def moved(above: bool, quantile: float) -> float:
-    """Return the part of a step by which one observation moves a quantile."""
+    Parameters
+    ----------
+    above : bool
+        Whether the observation is greater than the current estimate.
+    quantile : float
+        The estimated quantile, between 0 and 1.
+    """
     return quantile if above else quantile - 1.0
 
 
 class OutputPredictor:
-    """Output tokens per workspace, service and size of the declared limit."""
+    """Predicts output tokens per workspace, service and size of the declared limit.
+
+    Declared limits are grouped by powers of two.
+    """
 
     def __init__(self) -> None:
-        self.own: OrderedDict[tuple, Estimate] = OrderedDict()
-        self.services: dict[tuple, Estimate] = {}
+        self.by_workspace: OrderedDict[tuple, Estimate] = OrderedDict()
+        self.by_service: dict[tuple, Estimate] = {}
 
     def observe(
         self,
@@ -82,70 +101,91 @@
         output: int,
         cut: bool = False,
     ) -> None:
-        """Take in the output tokens of an answer that has ended.
+        """Update the estimates with the output length of a response.
 
         Parameters
         ----------
+        declared : int
+            Output limit declared by the caller, in tokens.
+        output : int
+            Output tokens produced.
         cut : bool
-            The answer was cut off, or outlived its reservation and runs on.
-            Such answers count only where they exceed what was predicted.
-            Left out, only short answers would be seen under overload, so
-            that long ones are predicted short, started late, and cut off.
+            The full length is unknown: the response was cut off, or it exceeded
+            its reservation and is still running. The first observation of a key
+            counts in any case, later ones only when they exceed the estimated
+            median. Ignoring cut responses would leave only the short ones under
+            overload, so that long responses would be predicted too short,
+            started too late, and cut off again.
         """
-        kind = service, declared.bit_length()
-        level = math.log(max(1, output))
-        self._move(self.services, kind, level, cut)
-        self._move(self.own, (workspace, *kind), level, cut)
-        self.own.move_to_end((workspace, *kind))
-        if len(self.own) > KEPT_ESTIMATES:
-            self.own.popitem(last=False)
+        bucket = service, declared.bit_length()
+        log_output = math.log(max(1, output))
+        self._update(self.by_service, bucket, log_output, cut)
+        self._update(self.by_workspace, (workspace, *bucket), log_output, cut)
+        self.by_workspace.move_to_end((workspace, *bucket))
+        if len(self.by_workspace) > MAX_ESTIMATES:
+            self.by_workspace.popitem(last=False)
 
     def predict(
         self, workspace: WorkspaceName, service: ServiceName, declared: int
     ) -> int:
-        """Return the tokens to reserve, at least 1 and at most ``declared``."""
-        blend = self._blend(workspace, service, declared)
-        if blend is None:
-            return max(1, int(declared * PRIOR_RATIO))
-        return max(1, min(declared, math.ceil(math.exp(blend.reserve))))
+        """Return the output tokens to reserve, at least 1.
+
+        At most ``declared`` when that is positive.
+        """
+        estimate = self._estimate(workspace, service, declared)
+        if estimate is None:
+            return max(1, int(declared * PRIOR_RESERVE_RATIO))
+        return max(1, min(declared, math.ceil(math.exp(estimate.reserve))))
 
     def likely(
         self, workspace: WorkspaceName, service: ServiceName, declared: int
     ) -> int:
-        """Return the tokens that half of the answers don't exceed.
+        """Return the estimated median of the output tokens, at least 1.
 
-        This decides whether a request can be in time. The tokens to reserve
-        would refuse work that nine times in ten is in time.
+        The median is used to decide whether a request can meet its deadline.
+        With the tokens to reserve, requests would be refused although nine in
+        ten of them finish in time.
         """
-        blend = self._blend(workspace, service, declared)
-        if blend is None:
-            return max(1, int(declared * PRIOR_LIKELY_RATIO))
-        return max(1, min(declared, math.ceil(math.exp(blend.likely))))
+        estimate = self._estimate(workspace, service, declared)
+        if estimate is None:
+            return max(1, int(declared * PRIOR_MEDIAN_RATIO))
+        return max(1, min(declared, math.ceil(math.exp(estimate.median))))
 
-    def _blend(
+    def _estimate(
         self, workspace: WorkspaceName, service: ServiceName, declared: int
     ) -> Estimate | None:
-        kind = service, declared.bit_length()
-        prior = self.services.get(kind)
-        own = self.own.get((workspace, *kind))
+        """Return the workspace's estimate, averaged with that of the service."""
+        bucket = service, declared.bit_length()
+        prior = self.by_service.get(bucket)
+        own = self.by_workspace.get((workspace, *bucket))
         if prior is None or own is None:
             return prior
         weight = own.count / (own.count + PRIOR_WEIGHT)
         return Estimate(
-            weight * own.likely + (1.0 - weight) * prior.likely,
+            weight * own.median + (1.0 - weight) * prior.median,
             weight * own.reserve + (1.0 - weight) * prior.reserve,
         )
 
-    def _move(self, table: dict, key: tuple, level: float, cut: bool) -> None:
+    def _update(self, table: dict, key: tuple, log_output: float, cut: bool) -> None:
         estimate = table.get(key)
         if estimate is None:
-            table[key] = Estimate(level, level + START_SPREAD)
-        elif not cut or level > estimate.likely:
-            estimate.move(level)
+            table[key] = Estimate(log_output, log_output + INITIAL_SPREAD)
+        elif not cut or log_output > estimate.median:
+            estimate.update(log_output)
 
 
 def grow(predicted: int, produced: int, declared: int) -> int:
-    """Return the reservation of a stream that has ``produced`` tokens so far."""
+    """Return the reservation of a stream, enlarged if its output has reached it.
+
+    Parameters
+    ----------
+    predicted : int
+        Output tokens reserved so far.
+    produced : int
+        Output tokens produced so far.
+    declared : int
+        Output limit declared by the caller, in tokens.
+    """
     if produced < predicted:
         return predicted
-    return max(produced, min(declared, math.ceil(produced * GROWTH)))
+    return max(produced, min(declared, math.ceil(produced * GROWTH_FACTOR)))
--- a/godwitladder/decisions/quarantine.py
+++ b/godwitladder/decisions/quarantine.py
@@ -1,15 +1,16 @@
-"""Which requests may run that were on a target as it crashed.
-
-Load pattern: one request crashes each target that runs it, and its caller
-sends it again, each time under a new key. Without this it takes the pool down
-target by target, and everything that ran there with it.
-
-A crash makes every request that ran on the target a suspect, since nobody can
-tell which of them did it. Suspects are tried one at a time in the whole
-system: one that ends well is cleared, and one whose target crashes under it
-is quarantined, which clears those that were suspected beside it. So a
-crashing request takes two targets, the first and the one of its trial, and a
-bystander waits for a trial but is not quarantined for what another did.
+"""Quarantines requests that crash the targets that run them.
+
+A request may crash every target that runs it, while its caller retries it under a new
+key each time. Without a quarantine it takes down the pool target by target, together
+with everything else that runs there.
+
+After a crash, every request that ran on the target is a suspect, since nothing shows
+which of them was the cause. Suspects are run on trial, one at a time in the whole
+system. A suspect that completes is cleared. A suspect whose target crashes during its
+trial is quarantined, and the requests that were suspected together with it are
+cleared. A crashing request therefore costs two targets, the first one and that of its
+trial, and a request that merely ran beside it has to wait for a trial but is not
+quarantined.
 """
 
 import enum
@@ -17,17 +18,27 @@
 
 from godwitladder.ids import BodyDigest, TargetName
 
-# Hosts notice the same crash at different times, the last of them when its
-# tries to resume a stream have failed, some seconds later.
+# Hosts notice the same crash at different times. The last one does so when its
+# attempts to resume a stream have failed, some seconds later.
 MERGE_S = 10.0
-# Callers try again for minutes; a body that is mended has another digest. A
-# fault that was mended in the engine is lifted by an operator, or waits.
+# Callers retry for minutes. A corrected body has another digest. When the fault was
+# fixed in the engine, an operator lifts the quarantine, or it expires.
 HOLD_S = 600.0
 MAX_SUSPECTS = 10_000
 
 
 class Standing(enum.Enum):
-    """What may be done with a request."""
+    """Quarantine status of a request.
+
+    Attributes
+    ----------
+    CLEAR
+        It may run.
+    SUSPECT
+        It may run only on trial.
+    QUARANTINED
+        It must not run.
+    """
 
     CLEAR = "clear"
     SUSPECT = "suspect"
@@ -35,13 +46,23 @@
 
 
 @dataclass(eq=False)
-class CrashRow:
-    """One crash of one target, as reported by any number of hosts."""
+class CrashRecord:
+    """One crash of one target, as reported by any number of hosts.
+
+    Attributes
+    ----------
+    at : float
+        Monotonic seconds of the first report.
+    digests : set
+        Suspects of this crash.
+    cause : BodyDigest or None
+        The request on trial that was found to be the cause.
+    """
 
     target: TargetName
     at: float
     digests: set[BodyDigest] = field(default_factory=set)
-    culprit: BodyDigest | None = None
+    cause: BodyDigest | None = None
 
 
 @dataclass
@@ -50,42 +71,50 @@
 
     Attributes
     ----------
+    hold_s : float
+        Seconds for which a quarantine or a suspicion lasts.
     crashes : dict
-        The last crash of each target.
+        Last crash of each target.
     suspects : dict
-        The crash that each suspect was part of.
+        Crash that each suspect was part of.
     quarantined : dict
-        When each quarantine ends.
+        Time at which each quarantine ends.
     """
 
     hold_s: float = HOLD_S
-    crashes: dict[TargetName, CrashRow] = field(default_factory=dict)
-    suspects: dict[BodyDigest, CrashRow] = field(default_factory=dict)
+    crashes: dict[TargetName, CrashRecord] = field(default_factory=dict)
+    suspects: dict[BodyDigest, CrashRecord] = field(default_factory=dict)
     quarantined: dict[BodyDigest, float] = field(default_factory=dict)
 
     def crash(
         self, target: TargetName, digest: BodyDigest, trial: bool, now: float
     ) -> None:
-        """Take in that ``target`` crashed while it ran ``digest``."""
-        self._forget(now)
-        row = self._crash_row(target, now)
-        if row.culprit:
-            # The suspect on trial explains this crash; whoever ran beside it
-            # is a bystander.
+        """Record that ``target`` crashed while it ran ``digest``.
+
+        Parameters
+        ----------
+        trial : bool
+            Whether the request ran on trial.
+        """
+        self._remove_expired(now)
+        crash = self._crash_record(target, now)
+        if crash.cause:
+            # A request on trial is known to have caused this crash. The others on
+            # the target only ran beside it.
             return
         if trial:
-            self._convict(digest, row, now)
+            self._quarantine(digest, crash, now)
             return
         if digest in self.suspects or len(self.suspects) >= MAX_SUSPECTS:
             return
-        row.digests.add(digest)
-        self.suspects[digest] = row
+        crash.digests.add(digest)
+        self.suspects[digest] = crash
 
     def clear(self, digest: BodyDigest) -> None:
-        """Take in that a suspect has run to its end."""
-        row = self.suspects.pop(digest, None)
-        if row:
-            row.digests.discard(digest)
+        """Clear a suspect that has run to completion."""
+        crash = self.suspects.pop(digest, None)
+        if crash:
+            crash.digests.discard(digest)
 
     def lift(self, digest: BodyDigest) -> None:
         """End a quarantine or a suspicion."""
@@ -93,43 +122,45 @@
         self.quarantined.pop(digest, None)
 
     def standing(self, digest: BodyDigest, now: float) -> Standing:
-        """Return what may be done with ``digest``."""
+        """Return the quarantine status of ``digest``."""
         if self.quarantined.get(digest, now) > now:
             return Standing.QUARANTINED
-        row = self.suspects.get(digest)
-        if row and now - row.at < self.hold_s:
+        crash = self.suspects.get(digest)
+        if crash and now - crash.at < self.hold_s:
             return Standing.SUSPECT
         return Standing.CLEAR
 
-    def _crash_row(self, target: TargetName, now: float) -> CrashRow:
-        row = self.crashes.get(target)
-        if row is None or now - row.at > MERGE_S:
-            row = self.crashes[target] = CrashRow(target, now)
-        return row
+    def _crash_record(self, target: TargetName, now: float) -> CrashRecord:
+        """Return the record of the target's current crash, or create one."""
+        crash = self.crashes.get(target)
+        if crash is None or now - crash.at > MERGE_S:
+            crash = self.crashes[target] = CrashRecord(target, now)
+        return crash
 
-    def _convict(self, digest: BodyDigest, row: CrashRow, now: float) -> None:
+    def _quarantine(self, digest: BodyDigest, crash: CrashRecord, now: float) -> None:
+        """Quarantine ``digest`` and clear the other suspects of both its crashes."""
         self.quarantined[digest] = now + self.hold_s
-        row.culprit = digest
-        for held in (row, self.suspects.get(digest)):
-            if held:
-                held.culprit = digest
-                for bystander in held.digests:
-                    self.suspects.pop(bystander, None)
-                held.digests.clear()
+        crash.cause = digest
+        for explained in (crash, self.suspects.get(digest)):
+            if explained:
+                explained.cause = digest
+                for suspect in explained.digests:
+                    self.suspects.pop(suspect, None)
+                explained.digests.clear()
         self.suspects.pop(digest, None)
 
-    def _forget(self, now: float) -> None:
-        """Drop what is over, which bounds the tables."""
+    def _remove_expired(self, now: float) -> None:
+        """Remove expired entries, which bounds the size of the tables."""
         self.quarantined = {
             digest: until for digest, until in self.quarantined.items() if until > now
         }
         self.suspects = {
-            digest: row
-            for digest, row in self.suspects.items()
-            if now - row.at < self.hold_s
+            digest: crash
+            for digest, crash in self.suspects.items()
+            if now - crash.at < self.hold_s
         }
         self.crashes = {
-            target: row
-            for target, row in self.crashes.items()
-            if now - row.at < self.hold_s
+            target: crash
+            for target, crash in self.crashes.items()
+            if now - crash.at < self.hold_s
         }
--- a/godwitladder/decisions/reading.py
+++ b/godwitladder/decisions/reading.py
@@ -1,33 +1,41 @@
-"""Learns how long a target takes until a prompt's first output.
-
-Load pattern: unlike targets that batch. While a target takes a prompt in, the
-streams beside it stand still: for a fixed time for each prompt, and for one
-that grows with its length. On a target five times as slow as the others, one
-more prompt makes a pause in every stream that runs there, and all of these
-answers are late.
-
-A straight line is fitted through first outputs and prompt lengths, weighted
-towards the last ones.
-
-Thresholds
-----------
-KEEP : each new answer counts a thirtieth of all: a target that turns slow is
-    seen within some seconds of a burst.
-LEAST : with fewer answers, or all of one length, no line can be told; the
-    share of the reading is then taken from the learned speed alone.
+"""Estimates how long a target needs from a prompt to its first output.
+
+Targets that batch requests differ in this time. While a target processes a prompt,
+the streams beside it pause: for a fixed time per prompt, plus a time that grows with
+the prompt's length. On a target five times as slow as the others, one more prompt
+pauses every running stream, and all of these responses are late.
+
+The time is fitted as a straight line over the prompt length, by least squares with
+exponentially decaying weights.
 """
 
 from dataclasses import dataclass
 
-KEEP = 0.97
-LEAST = 4.0
-LEAST_SPREAD = 100.0
-"""Tokens of spread between prompt lengths from which a slope can be told."""
+# A new observation makes up about a thirtieth of the sums, so that a slowdown shows
+# within some seconds of a burst.
+DECAY = 0.97
+# With fewer observations, or prompts of about equal length, no line can be fitted.
+# The time is then derived from the learned prefill speed alone.
+MIN_COUNT = 4.0
+# Least standard deviation of prompt lengths that determines a slope, in tokens.
+MIN_LENGTH_STD = 100.0
 
 
 @dataclass
 class ReadingFit:
-    """Decayed sums over answers: lengths in tokens, times in seconds."""
+    """Exponentially decaying sums over prompt lengths and times.
+
+    Attributes
+    ----------
+    count : float
+        Effective number of observations.
+    tokens, seconds : float
+        Sums of prompt tokens and of seconds to the first output.
+    squares : float
+        Sum of squared prompt tokens.
+    products : float
+        Sum of prompt tokens times seconds.
+    """
 
     count: float = 0.0
     tokens: float = 0.0
@@ -36,20 +44,28 @@
     products: float = 0.0
 
     def observe(self, tokens: int, first_s: float) -> None:
-        """Take in a prompt whose first output took ``first_s``."""
-        self.count = self.count * KEEP + 1.0
-        self.tokens = self.tokens * KEEP + tokens
-        self.seconds = self.seconds * KEEP + first_s
-        self.squares = self.squares * KEEP + tokens * tokens
-        self.products = self.products * KEEP + tokens * first_s
+        """Add a prompt of ``tokens`` whose first output took ``first_s`` seconds."""
+        self.count = self.count * DECAY + 1.0
+        self.tokens = self.tokens * DECAY + tokens
+        self.seconds = self.seconds * DECAY + first_s
+        self.squares = self.squares * DECAY + tokens * tokens
+        self.products = self.products * DECAY + tokens * first_s
 
     def line(self) -> tuple[float, float] | None:
-        """Return seconds for any prompt and for each token; None if unknown."""
-        if self.count < LEAST:
+        """Return the coefficients of the fitted line, or None if undetermined.
+
+        Returns
+        -------
+        fixed_s : float
+            Seconds for any prompt, at least 0.
+        token_s : float
+            Additional seconds per prompt token, at least 0.
+        """
+        if self.count < MIN_COUNT:
             return None
         mean, mean_s = self.tokens / self.count, self.seconds / self.count
         variance = self.squares / self.count - mean * mean
-        if variance < LEAST_SPREAD**2:
+        if variance < MIN_LENGTH_STD**2:
             return None
         slope = (self.products / self.count - mean * mean_s) / variance
         slope = min(max(slope, 0.0), mean_s / mean)
--- a/godwitladder/decisions/rendezvous.py
+++ b/godwitladder/decisions/rendezvous.py
@@ -1,13 +1,13 @@
-"""Chooses one live host for a key: who allocates, who forwards.
+"""Assigns keys to hosts by rendezvous hashing (highest random weight).
 
-Load pattern: hosts join and leave at any moment, and every host must name the
-same one without asking. Without it an election would be needed, which the
-platform can't carry; with a modulus over the sorted hosts, one host that
-leaves would move nearly every role at once. With the highest random weight,
-only the roles of the host that left move. There is no threshold.
+Used to agree on the host that allocates or forwards for a key. Hosts can join and
+leave at any time, and every host must arrive at the same choice without
+communication. An election would need coordination that the platform can't provide.
+A modulus over the sorted hosts would reassign nearly every key whenever a host
+leaves; with rendezvous hashing only the keys of that host move.
 
-Two hosts with different views of who is live may name two hosts for a time:
-callers of this module must stay correct then, and only lose capacity.
+Hosts with different views of the membership may choose different hosts for a time.
+Users of this module must stay correct in that case and may lose only capacity.
 """
 
 import hashlib
@@ -17,15 +17,18 @@
 
 
 def choose_host(hosts: Iterable[HostId], key: str) -> HostId | None:
-    """Return the host with the highest weight for ``key``; None without hosts."""
+    """Return the host with the highest weight for ``key``, or None without hosts."""
     return max(hosts, key=lambda host: weight(host, key), default=None)
 
 
 def rank_hosts(hosts: Iterable[HostId], key: str) -> list[HostId]:
-    """Return ``hosts`` by falling weight: the first serves, the next follows it."""
+    """Return ``hosts`` by descending weight: the preferred one, then its successors."""
     return sorted(hosts, key=lambda host: weight(host, key), reverse=True)
 
 
 def weight(host: HostId, key: str) -> tuple[bytes, HostId]:
-    """Return the weight of ``host`` for ``key``, alike on every machine."""
+    """Return the sort key of ``host`` for ``key``, which is the same on every host.
+
+    The host's id breaks ties between equal hashes.
+    """
     return hashlib.sha256(f"{host}\n{key}".encode()).digest()[:8], host
--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -1,19 +1,8 @@
-"""Learns how fast each target is, from the requests that it completed.
-
-Load pattern: engines of several generations stand in one pool, and the
-configured speeds are guesses. Without learned speeds, a request is promised
-to a target that can't finish it in time, its prefill is paid and thrown away.
-
-Thresholds
-----------
-GAIN : the estimate is an average over the last ten or so requests; a lasting
-    change is half taken in after seven. Sudden slow-downs are
-    `godwitladder.decisions.easing`'s matter, in seconds. The first ten count
-    alike, and the configured speed, a guess, counts as PRIOR of them: a new
-    allocator gave slow targets a full part for as long as it took to learn.
-FLOOR : a target that stood still is not taken to be slower than a hundredth
-    of what it was expected to be, so that it is tried again.
-KNOWN : after as many requests a target is not called slow by chance.
+"""Estimates the prefill and decode speed of each target from completed requests.
+
+A pool can contain engines of several generations, and their configured speeds are
+guesses. Without measured speeds, requests are placed on targets that can't finish
+them in time, and the prefill spent on them is wasted.
 """
 
 from dataclasses import dataclass
@@ -21,20 +10,33 @@
 from godwitladder.decisions.reading import ReadingFit
 from godwitladder.ids import TargetName
 
+# Weight of the newest request: the average covers about the last ten requests, and
+# half of a lasting change is absorbed after seven. Sudden slowdowns are handled by
+# `godwitladder.decisions.easing` within seconds.
 GAIN = 0.1
+# The first ten observations have equal weight, and the configured speed, which is a
+# guess, counts as this many of them. With `GAIN` from the start, a new allocator gave
+# slow targets a full share of the requests for as long as the learning took.
 PRIOR = 2
-FLOOR = 0.01
+# A target that stalled is never estimated below a hundredth of its configured speed,
+# so that requests are still sent to it.
+MIN_SPEED_RATIO = 0.01
+# With fewer completed requests, an apparent slowdown may be chance.
 KNOWN = 20
 
 
 @dataclass
 class Speed:
-    """Tokens a second: prefill of the whole target, decode of one request.
+    """Speeds of one target.
 
     Attributes
     ----------
+    prefill_tps : float
+        Prompt tokens per second of the whole target.
+    decode_tps : float
+        Output tokens per second of a single request.
     count : int
-        Completed requests that it was learned from.
+        Number of completed requests that the speeds were estimated from.
     """
 
     prefill_tps: float
@@ -43,7 +45,17 @@
 
 
 class TargetSpeeds:
-    """Speeds of each target."""
+    """Configured and learned speeds of all targets.
+
+    Attributes
+    ----------
+    expected : dict
+        Configured speeds by target.
+    learned : dict
+        Estimated speeds by target, starting from the configured ones.
+    fits : dict
+        Fit of the prefill time by target.
+    """
 
     def __init__(self) -> None:
         self.expected: dict[TargetName, Speed] = {}
@@ -51,14 +63,17 @@
         self.fits: dict[TargetName, ReadingFit] = {}
 
     def expect(self, target: TargetName, prefill_tps: float, decode_tps: float) -> None:
-        """Set the configured speeds; what was learned is kept if they stand."""
+        """Set the configured speeds of a target.
+
+        The learned speeds are kept unless the configured ones changed.
+        """
         speed = Speed(prefill_tps, decode_tps)
         if self.expected.get(target) != speed:
             self.expected[target] = speed
             self.learned[target] = Speed(prefill_tps, decode_tps)
 
     def forget(self, target: TargetName) -> None:
-        """Drop a target that is gone."""
+        """Remove a target that no longer exists."""
         self.expected.pop(target, None)
         self.learned.pop(target, None)
         self.fits.pop(target, None)
@@ -71,51 +86,73 @@
         first_token_s: float,
         total_s: float,
     ) -> None:
-        """Take in one completed request.
+        """Update the speeds of a target with a completed request.
 
         Parameters
         ----------
+        prompt, output : int
+            Prompt and output tokens.
         first_token_s, total_s : float
-            Seconds from its dispatch to its first and to its last token; for
-            a plain service, which has no tokens, both are the whole call.
+            Seconds from dispatch to the first and to the last token. For a plain
+            service, which has no tokens, both are the duration of the call.
         """
         speed = self.learned.get(target)
         if speed is None:
             return
         speed.count += 1
         gain = max(GAIN, 1.0 / (speed.count + PRIOR))
-        floor = self.expected[target]
+        configured = self.expected[target]
         if prompt > 0 and first_token_s > 0:
             self.fits.setdefault(target, ReadingFit()).observe(prompt, first_token_s)
-            seen = max(prompt / first_token_s, floor.prefill_tps * FLOOR)
-            speed.prefill_tps += gain * (seen - speed.prefill_tps)
+            measured = max(
+                prompt / first_token_s, configured.prefill_tps * MIN_SPEED_RATIO
+            )
+            speed.prefill_tps += gain * (measured - speed.prefill_tps)
         if output > 1 and total_s > first_token_s:
-            seen = (output - 1) / (total_s - first_token_s)
-            seen = max(seen, floor.decode_tps * FLOOR)
-            speed.decode_tps += gain * (seen - speed.decode_tps)
+            measured = (output - 1) / (total_s - first_token_s)
+            measured = max(measured, configured.decode_tps * MIN_SPEED_RATIO)
+            speed.decode_tps += gain * (measured - speed.decode_tps)
 
     def reading(self, target: TargetName) -> tuple[float, float]:
-        """Return a prompt's seconds to its first output: fixed, and a token."""
+        """Return the cost of a prefill on ``target``.
+
+        Returns
+        -------
+        fixed_s : float
+            Seconds for any prompt.
+        token_s : float
+            Additional seconds per prompt token.
+
+        Raises
+        ------
+        KeyError
+            Nothing is fitted yet, and `expect` was never called for ``target``.
+        """
         fit = self.fits.get(target)
         line = fit.line() if fit else None
         return line or (0.0, 1.0 / max(self.learned[target].prefill_tps, 1e-9))
 
     def known(self, target: TargetName) -> bool:
-        """Return whether enough was seen of ``target`` to call it slow.
+        """Return whether ``target`` has enough observations to be judged slow.
 
-        Configured speeds are guesses: measured against one that is too high,
-        a target that does its best would be eased off from the start.
+        Configured speeds are guesses. Compared with one that is too high, a
+        healthy target would be throttled from the start.
         """
         speed = self.learned.get(target)
         return speed is not None and speed.count >= KNOWN
 
     def expected_s(self, target: TargetName, prompt: int, output: int) -> float:
-        """Return the seconds that a request will hold a slot of ``target``.
+        """Return the seconds that a request is expected to hold a slot of ``target``.
+
+        Parameters
+        ----------
+        prompt, output : int
+            Prompt and output tokens.
 
         Raises
         ------
         KeyError
-            ``expect`` was never called for ``target``.
+            `expect` was never called for ``target``.
         """
         speed = self.learned[target]
         return prompt / speed.prefill_tps + output / speed.decode_tps
--- a/tests/decisions/test_engine_model.py
+++ b/tests/decisions/test_engine_model.py
@@ -1,4 +1,4 @@
-"""The engine model of the bench, and the region that is played through it."""
+"""Tests of the benchmark's engine model, and of the region simulated with it."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 def run(engine, steps):
-    """Return the seconds of some steps, and who ended in them."""
+    """Return the total seconds of ``steps`` steps, and the jobs that ended in them."""
     seconds, ended = 0.0, []
     for _ in range(steps):
         took, _, done = engine.step()
@@ -17,35 +17,35 @@
 
 
 def test_requests_are_admitted_in_order_of_arrival():
-    """The short one came last; no priority brings it forward."""
+    """The short job arrives last, and no priority moves it ahead."""
     engine = BatchEngine(slots=1, memory=10_000)
     engine.queue.extend([Job("long", 10, 50), Job("short", 10, 1)])
     _, ended = run(engine, 60)
     assert ended == ["long", "short"]
 
 
-def test_a_long_prompt_slows_what_runs_beside_it():
-    """Its chunks are read between the tokens of the others."""
-    alone = BatchEngine(slots=2, memory=100_000)
-    alone.queue.append(Job("a", 10, 100))
-    run(alone, 2)
-    usual_s, _ = run(alone, 1)
-    alone.queue.append(Job("long", 3 * CHUNK_TOKENS, 1))
-    slowed_s, _ = run(alone, 1)
-    assert slowed_s - usual_s >= CHUNK_TOKENS / READ_TPS
-    run(alone, 2)
-    again_s, _ = run(alone, 1)
-    assert again_s < usual_s + STEP_S * 2
+def test_a_long_prompt_slows_concurrent_requests():
+    """Its chunks are processed between the tokens of the other requests."""
+    engine = BatchEngine(slots=2, memory=100_000)
+    engine.queue.append(Job("a", 10, 100))
+    run(engine, 2)
+    baseline_s, _ = run(engine, 1)
+    engine.queue.append(Job("long", 3 * CHUNK_TOKENS, 1))
+    slowed_s, _ = run(engine, 1)
+    assert slowed_s - baseline_s >= CHUNK_TOKENS / READ_TPS
+    run(engine, 2)
+    recovered_s, _ = run(engine, 1)
+    assert recovered_s < baseline_s + STEP_S * 2
 
 
-def test_memory_bounds_what_runs():
+def test_memory_bounds_the_running_requests():
     engine = BatchEngine(slots=8, memory=1000)
     engine.queue.extend(Job(f"r{n}", 400, 10) for n in range(4))
     engine.step()
     assert len(engine.running) == 2
 
 
-def test_a_caller_that_left_takes_no_place():
+def test_a_cancelled_request_frees_its_slot():
     engine = BatchEngine(slots=1, memory=1000)
     engine.queue.extend([Job("a", 10, 50), Job("b", 10, 1)])
     engine.step()
@@ -60,12 +60,12 @@
     return [tally(Region(load).play()) for _ in range(2)]
 
 
-def test_the_same_seed_gives_the_same_figures(outcome):
+def test_the_same_seed_gives_the_same_results(outcome):
     assert outcome[0] == outcome[1]
 
 
 def test_every_call_is_accounted_for(outcome):
-    """In a burst, each call is answered, refused or left by its caller, once."""
+    """In a burst, each call is answered, refused or abandoned exactly once."""
     for row in outcome[0].values():
         assert row.offered == row.in_time + row.late + row.refused + row.left
         assert 0 < row.earned <= row.owed
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -1,11 +1,11 @@
-"""What is learned from callers and targets, and what is told to callers."""
+"""Tests of what is estimated from callers and targets, and of retry delays."""
 
 import random
 from collections import Counter
 
 import pytest
 
-from godwitladder.decisions.affinity import HINT_S, PrefixHints
+from godwitladder.decisions.affinity import HINT_TTL_S, PrefixHints
 from godwitladder.decisions.backoff import retry_after_s
 from godwitladder.decisions.cancel import CallerGone, on_caller_gone
 from godwitladder.decisions.easing import TargetEasing
@@ -40,18 +40,18 @@
     assert predictor.likely("w", "s", 4096) > 500
 
 
-def test_a_new_workspace_starts_from_its_service():
+def test_a_new_workspace_uses_the_estimate_of_its_service():
     predictor = OutputPredictor()
     for output in lengths(100, 100):
         predictor.observe("old", "s", 4096, output)
     assert predictor.likely("new", "s", 4096) < 300
 
 
-def test_cut_answers_count_as_long_ones():
-    """Under overload only short answers come to their end in time.
+def test_cut_responses_count_as_long_ones():
+    """Guards against long responses being predicted too short under overload.
 
-    The long ones are cut off by their deadlines. If these were left out, long
-    answers would be predicted short, started late, and cut off again.
+    Their deadlines cut them off, so only short responses complete. If the cut
+    ones were ignored, long responses would be started too late and cut off again.
     """
     predictor = OutputPredictor()
     for output in lengths(400, 400):
@@ -80,46 +80,46 @@
     assert speeds.known("t")
 
 
-def observe_seconds(easing, ratio, start, count, streams=4):
+def observe_seconds(throttles, ratio, start, count, streams=4):
     limits = []
     for second in range(start, start + count):
         for _ in range(streams):
-            easing.observe("t", 1.0, ratio, float(second))
-        limits.append(easing.limit("t", 8, float(second)))
+            throttles.observe("t", 1.0, ratio, float(second))
+        limits.append(throttles.limit("t", 8, float(second)))
     return limits
 
 
-def test_a_slow_target_is_eased_off_in_seconds_and_comes_back_by_steps():
-    """An engine becomes six times slower without warning, and well again.
+def test_a_slow_target_is_throttled_in_seconds_and_restored_in_steps():
+    """An engine becomes six times slower without warning, and recovers later.
 
-    Its streams show it each second. It must lose most of its slots within
-    three seconds, keep one as a probe, and get them back one by one, since a
-    herd on its first good second would slow it down again.
+    Its streams are observed each second. It must lose most of its slots within
+    three seconds, keep one as a probe, and get them back one by one. A burst of
+    requests on its first good second would slow it down again.
     """
-    easing = TargetEasing()
-    assert observe_seconds(easing, 1.0, 0, 10) == [8] * 10
-    slow = observe_seconds(easing, 6.0, 10, 20)
+    throttles = TargetEasing()
+    assert observe_seconds(throttles, 1.0, 0, 10) == [8] * 10
+    slow = observe_seconds(throttles, 6.0, 10, 20)
     assert slow[2] <= 2 and min(slow) >= 1 and slow[-1] <= 2
-    back = observe_seconds(easing, 1.0, 30, 20)
+    back = observe_seconds(throttles, 1.0, 30, 20)
     assert back[-1] == 8
     steps = [after - before for before, after in zip(back, back[1:], strict=False)]
     assert min(steps) >= 0 and max(steps) == 1
 
 
-def test_one_late_stretch_changes_nothing():
-    easing = TargetEasing()
-    easing.observe("t", 1.0, 2.9, 0.0)
-    assert easing.limit("t", 8, 0.0) == 8
+def test_one_late_interval_does_not_reduce_the_limit():
+    throttles = TargetEasing()
+    throttles.observe("t", 1.0, 2.9, 0.0)
+    assert throttles.limit("t", 8, 0.0) == 8
 
 
-def test_returns_are_spread_over_as_long_as_the_backlog():
+def test_retries_are_spread_over_the_length_of_the_backlog():
     waits = Counter(retry_after_s(20.0, f"r{n}") for n in range(2100))
     assert min(waits) >= 20 and max(waits) <= 40
     assert max(waits.values()) < 2 * 2100 / 20
     assert retry_after_s(0.0, "r") >= 1 and retry_after_s(1e9, "r", 9) <= 120
 
 
-def test_a_repeat_that_comes_too_early_is_known():
+def test_a_retry_before_its_delay_has_passed_is_recognized():
     refused = RefusedRequests()
     assert refused.early_s("w", "body", 0.0) == 0.0
     refused.note("w", "body", 10.0, now=0.0)
@@ -140,32 +140,34 @@
         (True, True, True, 20, CallerGone.CANCEL),
     ],
 )
-def test_work_of_a_caller_that_is_gone(running, idempotent, keyed, produced, outcome):
+def test_action_on_the_request_of_a_disconnected_caller(
+    running, idempotent, keyed, produced, outcome
+):
     assert on_caller_gone(running, idempotent, keyed, produced, 100) is outcome
 
 
-def test_cache_hints_follow_events_and_fade():
-    """Events come late and some are lost: a "dropped" may never arrive."""
+def test_cache_hints_follow_events_and_expire():
+    """Cache events arrive late, and an eviction event may be lost."""
     hints = PrefixHints()
     hints.note_dispatch("t", "a", 0.0)
-    hints.take_event("t", "b", kept=True, now=1.0)
-    hints.take_event("t", "b", kept=False, now=2.0)
-    hints.take_event("t", "never-seen", kept=False, now=2.0)
+    hints.apply_event("t", "b", kept=True, now=1.0)
+    hints.apply_event("t", "b", kept=False, now=2.0)
+    hints.apply_event("t", "never-seen", kept=False, now=2.0)
     assert hints.prefixes("t", 3.0) == {"a"}
-    assert hints.prefixes("t", HINT_S + 1.0) == set()
+    assert hints.prefixes("t", HINT_TTL_S + 1.0) == set()
     for n in range(1000):
         hints.note_dispatch("t", f"p{n}", 0.0)
     assert len(hints.prefixes("t", 0.0)) <= 128
 
 
 def test_shares_without_an_allocator_add_up_to_the_limit():
-    """The allocator is out of reach of all hosts, which must go on alone."""
+    """No host reaches the allocator, and each must continue on its own."""
     for limit in (0, 3, 8, 30):
         target = make_target("t", limit=limit)
         assert sum(fixed_share(target, host, HOSTS) for host in HOSTS) == limit
 
 
-def test_standing_grants_leave_half_and_end_when_somebody_waits():
+def test_standing_grants_leave_half_and_end_when_a_request_waits():
     pool = make_pool(make_target("t0", limit=8), make_target("t1", limit=8, used=6))
     granted = standing_grants(pool, HOSTS)
     assert Counter(grant.target for grant in granted) == {"t0": 4, "t1": 1}
@@ -176,21 +178,22 @@
     assert standing_grants(pool, HOSTS) == []
 
 
-def test_only_the_roles_of_a_host_that_left_move():
+def test_only_the_keys_of_a_host_that_left_are_reassigned():
     keys = [f"pool-{n}" for n in range(200)]
     before = {key: choose_host(HOSTS, key) for key in keys}
     after = {key: choose_host(HOSTS[1:], key) for key in keys}
-    moved = {key for key in keys if before[key] != after[key]}
-    assert moved == {key for key in keys if before[key] == HOSTS[0]}
+    reassigned = {key for key in keys if before[key] != after[key]}
+    assert reassigned == {key for key in keys if before[key] == HOSTS[0]}
     assert max(Counter(before.values()).values()) < 40
 
 
 @pytest.mark.parametrize("lag", [0, 1, 2, 5])
-def test_reports_show_only_the_work_of_others(lag):
-    """Reports are seconds old and our own load goes up and down meanwhile.
+def test_reports_show_only_the_load_of_others(lag):
+    """Guards against counting our own requests as load of others.
 
-    Taken at their word they would show our own requests again, as somebody
-    else's, whenever there are fewer of them now than at the report's time.
+    Reports are seconds old, and our own load changes meanwhile. If it is now
+    lower than at the time of the report, subtracting it from the report would
+    leave some of our own requests over.
     """
     loads = LoadReports()
     ours = [4 + (3 if second // 3 % 2 else -3) for second in range(120)]
@@ -204,22 +207,22 @@
     assert set(shown[-20:]) <= {2, 3, 4}
 
 
-def test_the_overhead_of_short_prompts_is_no_slowness():
-    """Callers of a burst were shed while most slots stood empty.
+def test_the_overhead_of_short_prompts_is_not_a_slowdown():
+    """Guards against shedding the requests of a burst while most slots are free.
 
-    A prompt of ten tokens should take a millisecond and takes twenty, for the
-    way there and the engine's own step. Taken for slowness, the first two
-    questions of the day left each target one slot of four.
+    A prompt of ten tokens should take a millisecond and takes twenty, because of
+    the network and the engine's own step. Counted as a slowdown, two such prompts
+    left each target one slot of four.
     """
-    easing = TargetEasing()
+    throttles = TargetEasing()
     for second in range(10):
-        easing.observe("t", 0.001, 0.02, float(second))
-    assert easing.limit("t", 4, 10.0) == 4
-    easing.observe("t", 0.001, 1.0, 11.0)
-    assert easing.limit("t", 4, 11.0) < 4
+        throttles.observe("t", 0.001, 0.02, float(second))
+    assert throttles.limit("t", 4, 10.0) == 4
+    throttles.observe("t", 0.001, 1.0, 11.0)
+    assert throttles.limit("t", 4, 11.0) < 4
 
 
-def test_a_caller_that_was_refused_is_known_when_it_comes_back():
+def test_a_refused_caller_is_recognized_when_it_returns():
     callers = RefusedCallers()
     callers.note("b1", 1.0, 1.2)
     callers.note("b1", 4.0, 4.2)
@@ -228,13 +231,13 @@
     assert callers.first_asked("b1", 1.0 + KEPT_S + 0.1) is None
 
 
-def test_calls_without_a_body_of_their_own_are_all_new():
+def test_calls_without_a_body_are_always_new():
     callers = RefusedCallers()
     callers.note("", 1.0, 1.2)
     assert callers.first_asked("", 1.3) is None
 
 
-def test_refused_callers_are_kept_within_bounds():
+def test_the_number_of_refused_callers_is_bounded():
     callers = RefusedCallers()
     for number in range(KEPT + 10):
         callers.note(f"b{number}", 1.0, 1.0)
