--- a/bench/runs.py
+++ b/bench/runs.py
@@ -5,10 +5,10 @@
 
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.types import (
-    DemandLine,
     PoolView,
+    RequestDemand,
     TargetView,
-    Waiting,
+    WaitingRequest,
     WorkspaceView,
 )
 from godwitladder.ids import (
@@ -27,7 +27,7 @@
 SERVICE = ServiceName("letters")
 
 
-def make_pool(waiting: int, slack_s: float) -> PoolView:
+def make_pool(waiting: int, time_to_deadline_s: float) -> PoolView:
     """Return a pool with one free slot on half of its targets."""
     draw = random.Random(1)
     pool = PoolView()
@@ -44,39 +44,43 @@
             limit=SLOTS,
         )
     for index in range(waiting):
-        add_waiting(pool, index, slack_s, draw)
+        add_waiting(pool, index, time_to_deadline_s, draw)
     return pool
 
 
 def add_waiting(
-    pool: PoolView, index: int, slack_s: float, draw: random.Random
+    pool: PoolView, index: int, time_to_deadline_s: float, draw: random.Random
 ) -> None:
     """Add one waiting request."""
     workspace = WorkspaceName(f"workspace-{draw.randrange(WORKSPACES)}")
     pool.workspaces.setdefault(workspace, WorkspaceView())
-    line = DemandLine(
+    line = RequestDemand(
         request=RequestId(f"request-{index:05}"),
         workspace=workspace,
         service=SERVICE,
         tier_rank=draw.randrange(4),
         prompt_tokens=draw.randrange(50, 2000),
         predicted_tokens=draw.randrange(10, 500),
-        slack_s=slack_s,
+        time_to_deadline_s=time_to_deadline_s,
         waited_s=0.0,
     )
-    deadline = slack_s * (1.0 + draw.random())
-    pool.waiting[line.request] = Waiting(HostId("host"), line, deadline, 0.0)
+    deadline = time_to_deadline_s * (1.0 + draw.random())
+    pool.waiting[line.request] = WaitingRequest(HostId("host"), line, deadline, 0.0)
 
 
 def fresh_rows(pool: PoolView) -> None:
     """Replace each row by one that was never weighed, as new reports do."""
     for request, row in list(pool.waiting.items()):
-        pool.waiting[request] = Waiting(row.host, row.line, row.deadline, row.arrived)
+        pool.waiting[request] = WaitingRequest(
+            row.host, row.demand, row.deadline, row.arrived
+        )
 
 
-def time_runs(waiting: int, slack_s: float, fresh: bool, refuse: bool) -> list[float]:
+def time_runs(
+    waiting: int, time_to_deadline_s: float, fresh: bool, refuse: bool
+) -> list[float]:
     """Return the milliseconds of several runs over the same pool."""
-    pool = make_pool(waiting, slack_s)
+    pool = make_pool(waiting, time_to_deadline_s)
     times = []
     for _ in range(RUNS):
         pool.memory.refused_at = float("-inf") if refuse else 0.0
--- a/examples/allocation_in_memory.py
+++ b/examples/allocation_in_memory.py
@@ -7,19 +7,21 @@
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.types import (
     Allocation,
-    DemandLine,
     PoolView,
+    RequestDemand,
     TargetView,
-    Waiting,
+    WaitingRequest,
 )
 
 NOW = 100.0
 
 
-def waiting(name: str, rank: int, slack_s: float) -> Waiting:
+def waiting(name: str, rank: int, time_to_deadline_s: float) -> WaitingRequest:
     """Return a request for a letter of some 200 tokens."""
-    line = DemandLine(name, "advisers", "letters", rank, 500, 200, slack_s, 0.0)
-    return Waiting("host-a1", line, NOW + slack_s, NOW)
+    line = RequestDemand(
+        name, "advisers", "letters", rank, 500, 200, time_to_deadline_s, 0.0
+    )
+    return WaitingRequest("host-a1", line, NOW + time_to_deadline_s, NOW)
 
 
 def main() -> Allocation:
@@ -29,11 +31,11 @@
         "engine-a1", services, 1, 100_000, prefill_tps=4000, decode_tps=40, limit=1
     )
     rows = [waiting("low", 1, 60.0), waiting("high", 0, 60.0), waiting("late", 1, 0.0)]
-    pool = PoolView({row.line.request: row for row in rows}, {target.name: target})
+    pool = PoolView({row.demand.request: row for row in rows}, {target.name: target})
     allocation = allocate(pool, NOW)
     for placed in allocation.placements:
         print(f"{placed.request} goes to {placed.target}")
-    for lost in allocation.given_up:
+    for lost in allocation.sheds:
         print(f"{lost.request} is given up: {lost.reason.value}")
     return allocation
 
--- a/godwitladder/parts.py
+++ b/godwitladder/base_host.py
@@ -10,18 +10,18 @@
 
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.serving.listener import make_listener
 from godwitladder.settings import LimitSettings, TlsSettings
 from godwitladder.supervision import supervised
 
-log = part_logger("daemon")
+log = component_logger("daemon")
 
 DRAIN_POLL_S = 0.1
 IDLE_LOOKS = 3
 
 
-class HostParts:
+class BaseHost:
     """Actors, parts with threads and servers of one host.
 
     Parameters
@@ -55,7 +55,7 @@
         self.stack.callback(actor.stop)
         return actor
 
-    def start_part(self, part: Any, *args: Any) -> None:
+    def start_component(self, part: Any, *args: Any) -> None:
         """Start a part that stops with the host."""
         part.start(*args)
         self.stack.callback(part.stop)
@@ -100,7 +100,7 @@
         self.failed = True
         self.stopping.set()
 
-    def await_idle(
+    def wait_until_idle(
         self, is_busy: Callable[[], bool], until: float = float("inf")
     ) -> None:
         """Wait until no request is under way, and was none a moment ago.
--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -7,6 +7,7 @@
 from aioprometheus import Gauge
 from waitress.server import TcpWSGIServer
 
+from godwitladder.base_host import BaseHost
 from godwitladder.clients.hosts import HostListClient, HostListUnavailable
 from godwitladder.clients.log import LogClient
 from godwitladder.clients.weights import WeightClient
@@ -16,9 +17,9 @@
 from godwitladder.configuration.ledger import Ledger, make_state
 from godwitladder.configuration.messages import ConfigRequest, ConfigSnapshot
 from godwitladder.configuration.replica import Phase
-from godwitladder.drain import stop_accepting, unfinished
+from godwitladder.drain import count_unfinished, stop_accepting
 from godwitladder.ids import Incarnation
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.actor import (
     ConfigMoved,
     Leave,
@@ -33,7 +34,6 @@
 from godwitladder.metrics import Metrics
 from godwitladder.orders.issuer import OrderIssuer
 from godwitladder.orders.stream import OrderStream
-from godwitladder.parts import HostParts
 from godwitladder.scheduler.actor import Scheduler
 from godwitladder.scheduler.allocator import Allocator, AllocatorTables
 from godwitladder.scheduler.load import LoadReader
@@ -51,21 +51,21 @@
 from godwitladder.settings import Settings
 from godwitladder.supervision import watch_threads
 
-log = part_logger("daemon")
+log = component_logger("daemon")
 
 HOST_LIST_PERIOD_S = 1.0
-ALONE_S = 3.0
+PEER_DISCOVERY_TIMEOUT_S = 3.0
 """A host that found none of its seeds in this time serves alone."""
 LEAVE_S = 1.0
 """Time for balancers and peers to see that this host is leaving."""
 OPERATOR_THREADS = 8
-VITAL_THREADS = frozenset(
+CRITICAL_THREADS = frozenset(
     {"config", "hosts", "ticker", "http", "claim-read", "claim-write"}
 )
-FAILED_EXIT = 70
+FAILURE_EXIT_CODE = 70
 
 
-class EntryHost(HostParts):
+class EntryHost(BaseHost):
     """All parts of one host, owned by one exit stack.
 
     Parameters
@@ -183,16 +183,16 @@
         self.mesh.start()
         self.stack.callback(self.mesh.close)
         idle_tick_s = self.settings.scheduler.idle_tick_s
-        self.start_part(self.ticker, self.scheduler)
-        self.start_part(Ticker(self.clock, idle_tick_s), self.allocator)
+        self.start_component(self.ticker, self.scheduler)
+        self.start_component(Ticker(self.clock, idle_tick_s), self.allocator)
         heartbeat_s = self.settings.peers.heartbeat_s
-        self.start_part(Ticker(self.clock, heartbeat_s), self.membership)
-        self.start_part(self.orders)
-        self.start_part(LoadReader(self.allocator, self.clock))
+        self.start_component(Ticker(self.clock, heartbeat_s), self.membership)
+        self.start_component(self.orders)
+        self.start_component(LoadReader(self.allocator, self.clock))
         self.keys.start(idle_tick_s)
         self.follower.start()
         self.stack.callback(self.follower.stop)
-        threading.Thread(target=self.follow_hosts, name="hosts", daemon=True).start()
+        threading.Thread(target=self.poll_host_list, name="hosts", daemon=True).start()
         listen, threads = self.settings.listen, self.settings.limits.threads
         self.caller_server = self.serve(
             self.callers, listen.callers, threads, listen.callers_tls
@@ -215,28 +215,32 @@
         self.keys.keyed.stopping = True
         log.info("The host is leaving", extra={"host": self.settings.host})
         self.clock.sleep(LEAVE_S)
-        self.await_idle(self.busy)
+        self.wait_until_idle(self.has_open_calls)
         stop_accepting(self.caller_server)
-        self.await_idle(self.busy)
+        self.wait_until_idle(self.has_open_calls)
         self.keys.flush()
 
-    def busy(self) -> bool:
+    def has_open_calls(self) -> bool:
         """Return whether any request is waiting, running or being answered."""
-        return self.callers.open_calls > 0 or unfinished(self.caller_server) > 0
+        return self.callers.open_calls > 0 or count_unfinished(self.caller_server) > 0
 
     def ready(self) -> bool:
         """Return whether callers should be sent here."""
         caught_up = self.follower.caught_up.is_set()
-        return caught_up and self.acquainted() and not self.stopping.is_set()
+        return caught_up and self.peer_discovery_done() and not self.stopping.is_set()
 
-    def acquainted(self) -> bool:
+    def peer_discovery_done(self) -> bool:
         """Return whether a peer was found, or none can be.
 
         A host that knows no peer takes itself for the allocator of its zone;
         with callers sent to it, targets would get twice their slots.
         """
         waited_s = self.clock.monotonic() - self.started
-        return bool(self.mesh.current()) or not self.mesh.seeds or waited_s > ALONE_S
+        return (
+            bool(self.mesh.current())
+            or not self.mesh.seeds
+            or waited_s > PEER_DISCOVERY_TIMEOUT_S
+        )
 
     def status(self) -> HostStatus:
         """Return what operators are told of this host."""
@@ -291,7 +295,7 @@
         if isinstance(message, HostsChanged):
             self.orders.hosts = message.hosts
 
-    def follow_hosts(self) -> None:
+    def poll_host_list(self) -> None:
         """Read the platform's host list from time to time, as a hint."""
         client = HostListClient(self.settings.platform.hosts, self.settings.zone)
         while not self.stopping.is_set():
@@ -319,9 +323,9 @@
     host = EntryHost(settings, Clock())
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: host.stop())
-    watch_threads(VITAL_THREADS, host.fail)
+    watch_threads(CRITICAL_THREADS, host.fail)
     host.run()
     if host.failed:
         # Threads of callers may still run; a planned stop waits for them, but
         # what they wait for will never come.
-        os._exit(FAILED_EXIT)
+        os._exit(FAILURE_EXIT_CODE)
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -36,11 +36,11 @@
 )
 from godwitladder.decisions.types import (
     Allocation,
-    DemandLine,
-    Entry,
-    GivenUp,
     Placement,
     PoolView,
+    QueueEntry,
+    RequestDemand,
+    ShedDecision,
     ShedReason,
     WorkspaceView,
 )
@@ -64,13 +64,13 @@
     refuse = refuse_early if pool.policy.is_strict else refuse_untimely
     run.drop(refuse(run.backlog, pool, now), ShedReason.OVERLOAD)
     run.summarize()
-    pool.memory.admission.look(now, pool.behind_s)
+    pool.memory.admission.look(now, pool.staleness_s)
     return run.allocation
 
 
-def flow_of(entry: Entry) -> Flow:
+def flow_of(entry: QueueEntry) -> Flow:
     """Return whose calls of which service ``entry`` is one of."""
-    return entry.row.line.service, entry.row.line.workspace
+    return entry.waiting.demand.service, entry.waiting.demand.workspace
 
 
 class _Run:
@@ -86,7 +86,7 @@
         pool.memory.fade(now)
         for entry in self.backlog.sort(list(pool.waiting.values()), now):
             pool.memory.admission.asked[flow_of(entry)] += 1
-            if not entry.row.returned:
+            if not entry.waiting.is_retry:
                 self.count_offered(entry, 1.0)
         self.placed_s = 0.0
         self.promised: Counter[WorkspaceName] = Counter()
@@ -94,7 +94,7 @@
             name: view.running for name, view in pool.workspaces.items() if view.quota
         }
 
-    def count_offered(self, entry: Entry, number: float) -> None:
+    def count_offered(self, entry: QueueEntry, number: float) -> None:
         """Add ``number`` to what lately came with the precedence of ``entry``."""
         offered = self.pool.memory.offered
         offered[entry.precedence] = offered.get(entry.precedence, 0.0) + number
@@ -108,7 +108,9 @@
             groups = [g for g in self.backlog.at(precedence) if g.service in free]
             placed = self.place_groups(groups, free)
             for group in groups:
-                kept = [e for e in group.entries if e.row.line.request not in placed]
+                kept = [
+                    e for e in group.entries if e.waiting.demand.request not in placed
+                ]
                 if len(kept) < len(group.entries):
                     group.keep(kept)
         if self.pool.policy.measures_flow:
@@ -141,7 +143,7 @@
         blocked: set[ServiceName] = set()
         misses = 0
         while free and misses < MISSES and (entry := queue.pop()):
-            line = entry.row.line
+            line = entry.waiting.demand
             if line.service not in free:
                 continue
             if self.at_quota(line.workspace):
@@ -165,15 +167,15 @@
             self.capacity.of(service).hold_roomiest()
         return placed
 
-    def place(self, entry: Entry) -> bool:
+    def place(self, entry: QueueEntry) -> bool:
         """Place one request if a target takes it."""
-        line = entry.row.line
+        line = entry.waiting.demand
         part = self.capacity.of(line.service)
         long = is_long(entry.slot_s, self.pool.memory.typical_s)
         if long and not part.takes_long():
             return False
-        budget_s = entry.row.deadline - self.now
-        room = part.choose(line, budget_s, entry.row.avoided, self.aim_s(entry))
+        budget_s = entry.waiting.deadline - self.now
+        room = part.choose(line, budget_s, entry.waiting.avoided, self.aim_s(entry))
         if room is None:
             return False
         tokens = line.prompt_tokens + line.predicted_tokens
@@ -187,40 +189,44 @@
         )
         return True
 
-    def aim_s(self, entry: Entry) -> float | None:
+    def aim_s(self, entry: QueueEntry) -> float | None:
         """Return the seconds left for the first output; None if any will do."""
         if not self.pool.policy.keeps_pace:
             return None
         in_time = entry.precedence_at(self.now).timeliness is Timeliness.IN_TIME
-        return entry.row.aim - self.now if in_time else math.inf
+        return entry.waiting.ttft_deadline - self.now if in_time else math.inf
 
-    def quota_wait_s(self, line: DemandLine) -> float:
+    def quota_wait_s(self, line: RequestDemand) -> float:
         """Return the seconds until the workspace's tokens allow ``line``."""
         promised = self.promised[line.workspace]
         return self.pool.quotas.wait_s(line.workspace, line.charge, self.now, promised)
 
-    def patience_s(self, entry: Entry) -> float:
+    def patience_s(self, entry: QueueEntry) -> float:
         """Return the seconds for which ``entry`` may wait for its quota.
 
         A quota fills all the time: refused at once, a caller who could be served in
         time by the next second's tokens is sent away for as many seconds as it is
         told, and comes back late. Without an aim nobody can tell what is in time.
         """
-        if math.isinf(entry.aim):
+        if math.isinf(entry.ttft_deadline):
             return 0.0
-        until = entry.aim if self.now <= entry.aim else entry.latest
+        until = (
+            entry.ttft_deadline
+            if self.now <= entry.ttft_deadline
+            else entry.latest_start
+        )
         return until - self.now
 
-    def refuse_quota(self, entry: Entry, wait_s: float) -> None:
+    def refuse_quota(self, entry: QueueEntry, wait_s: float) -> None:
         """Refuse what is beyond its workspace's tokens: nobody is owed it."""
-        if not entry.row.returned:
+        if not entry.waiting.is_retry:
             self.count_offered(entry, -1.0)
-        row = GivenUp(entry.row.line.request, ShedReason.QUOTA, wait_s)
-        self.allocation.given_up.append(row)
+        row = ShedDecision(entry.waiting.demand.request, ShedReason.QUOTA, wait_s)
+        self.allocation.sheds.append(row)
 
-    def note(self, entry: Entry, room: Room, long: bool) -> None:
+    def note(self, entry: QueueEntry, room: Room, long: bool) -> None:
         """Remember a placement for the next runs."""
-        line = entry.row.line
+        line = entry.waiting.demand
         memory = self.pool.memory
         memory.admission.served[flow_of(entry)] += 1
         memory.note(entry.precedence_at(self.now), line.workspace, entry.slot_s)
@@ -238,7 +244,7 @@
         """Give up what ran out of time, and what is kept below it."""
         lost: dict[int, set[ServiceName]] = {}
         for entry in self.backlog.expired:
-            line = entry.row.line
+            line = entry.waiting.demand
             if self.at_quota(line.workspace):
                 self.drop([entry], ShedReason.QUOTA)
                 continue
@@ -260,11 +266,11 @@
         below = give_up_below(self.backlog, rank, self.capacity.services)
         self.drop(below, ShedReason.OVERLOAD)
 
-    def drop(self, entries: Iterable[Entry], reason: ShedReason) -> None:
+    def drop(self, entries: Iterable[QueueEntry], reason: ShedReason) -> None:
         """Give ``entries`` up for ``reason``."""
         waits: dict[tuple[ServiceName, Precedence], float] = {}
         for entry in entries:
-            line = entry.row.line
+            line = entry.waiting.demand
             key = line.service, entry.precedence
             if key not in waits:
                 waits[key] = max(
@@ -275,8 +281,10 @@
                 self.note_shed(line.tier_rank)
             if reason is not ShedReason.QUOTA:
                 self.pool.memory.admission.shed[flow_of(entry)] += 1
-            self.pool.memory.callers.note(line.body, entry.row.asked, self.now)
-            self.allocation.given_up.append(give_up(entry, reason, waits[key]))
+            self.pool.memory.callers.note(
+                line.body, entry.waiting.first_arrived, self.now
+            )
+            self.allocation.sheds.append(give_up(entry, reason, waits[key]))
 
     def note_shed(self, rank: int) -> None:
         """Remember the most important tier that was shed."""
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -19,7 +19,7 @@
 from godwitladder.decisions.capacity import Capacity, ServiceCapacity
 from godwitladder.decisions.shares import Precedence, Timeliness
 from godwitladder.decisions.sizes import CallSizes
-from godwitladder.decisions.types import Entry, Pace, Waiting
+from godwitladder.decisions.types import Pace, QueueEntry, WaitingRequest
 from godwitladder.ids import ServiceName
 
 MARGIN = 1.25
@@ -41,15 +41,17 @@
     precedence: Precedence
     service: ServiceName
     part: ServiceCapacity
-    entries: list[Entry] = field(default_factory=list)
+    entries: list[QueueEntry] = field(default_factory=list)
     work_s: float = 0.0
     soonest: float = float("inf")
 
-    def keep(self, entries: list[Entry]) -> None:
+    def keep(self, entries: list[QueueEntry]) -> None:
         """Replace the requests by ``entries``, which are some of them."""
         self.entries = entries
         self.work_s = sum(entry.slot_s for entry in entries)
-        self.soonest = min((entry.safe for entry in entries), default=float("inf"))
+        self.soonest = min(
+            (entry.safe_start for entry in entries), default=float("inf")
+        )
 
 
 class Backlog:
@@ -70,14 +72,14 @@
         self.capacity = capacity
         self.sizes = sizes
         self.groups: dict[tuple[Precedence, ServiceName], Group] = {}
-        self.expired: list[Entry] = []
+        self.expired: list[QueueEntry] = []
 
-    def sort(self, rows: list[Waiting], now: float) -> list[Entry]:
+    def sort(self, rows: list[WaitingRequest], now: float) -> list[QueueEntry]:
         """Take ``rows`` in; return the new ones."""
         paces: dict[ServiceName, Pace] = {}
         fresh = []
         for row in rows:
-            service = row.line.service
+            service = row.demand.service
             pace = paces.get(service)
             if pace is None:
                 pace = paces[service] = self.capacity.of(service).pace
@@ -87,18 +89,18 @@
                 if not row.counted:
                     row.counted = True
                     fresh.append(entry)
-            if entry.latest < now:
+            if entry.latest_start < now:
                 self.expired.append(entry)
             else:
                 self._add(entry, now)
         return fresh
 
-    def weigh(self, row: Waiting, pace: Pace) -> Entry:
+    def weigh(self, row: WaitingRequest, pace: Pace) -> QueueEntry:
         """Return ``row`` with what it needs on the fastest target."""
         entry = weigh(row, pace)
         if self.sizes is not None:
-            rank = row.line.tier_rank
-            if not row.counted and not row.returned:
+            rank = row.demand.tier_rank
+            if not row.counted and not row.is_retry:
                 self.sizes.observe(rank, entry.slot_s)
             size = self.sizes.size(rank, entry.slot_s)
             entry.precedence = entry.precedence._replace(size=size)
@@ -129,8 +131,8 @@
         slots = max(1, self.capacity.of(service).slots)
         return self.work_s(service, precedence) / slots
 
-    def _add(self, entry: Entry, now: float) -> None:
-        service, precedence = entry.row.line.service, entry.precedence_at(now)
+    def _add(self, entry: QueueEntry, now: float) -> None:
+        service, precedence = entry.waiting.demand.service, entry.precedence_at(now)
         group = self.groups.get((precedence, service))
         if group is None:
             part = self.capacity.of(service)
@@ -138,13 +140,13 @@
             self.groups[precedence, service] = group
         group.entries.append(entry)
         group.work_s += entry.slot_s
-        if entry.safe < group.soonest:
-            group.soonest = entry.safe
+        if entry.safe_start < group.soonest:
+            group.soonest = entry.safe_start
 
 
-def weigh(row: Waiting, pace: Pace) -> Entry:
+def weigh(row: WaitingRequest, pace: Pace) -> QueueEntry:
     """Return ``row`` with what it needs on the fastest target."""
-    line = row.line
+    line = row.demand
     prefill_s, decode_s = pace
     likely = line.likely_tokens or line.predicted_tokens or 1
     slot_s = line.prompt_tokens * prefill_s + likely * decode_s
@@ -154,10 +156,10 @@
         safe = max(row.deadline - most_s * MARGIN, row.arrived + SAFE_LEAST_S)
         safe = min(safe, latest)
     in_time = Timeliness.IN_TIME
-    late = Timeliness.CAME_BACK if row.returned else Timeliness.LATE
-    if not row.entitled:
+    late = Timeliness.CAME_BACK if row.is_retry else Timeliness.LATE
+    if not row.within_quota:
         in_time = late = Timeliness.BEYOND_QUOTA
-    return Entry(
+    return QueueEntry(
         row,
         slot_s,
         min(latest, row.start_by),
@@ -165,5 +167,5 @@
         Precedence(in_time, line.tier_rank),
         Precedence(late, line.tier_rank),
         pace,
-        row.aim - line.prompt_tokens * prefill_s,
+        row.ttft_deadline - line.prompt_tokens * prefill_s,
     )
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class DemandLine:
+class RequestDemand:
     """One waiting request.
 
     Attributes
@@ -42,7 +42,7 @@
         0 matters most.
     prompt_tokens, predicted_tokens : int
         Prompt and expected output.
-    slack_s : float
+    time_to_deadline_s : float
         Seconds to its deadline when the line was sent.
     waited_s : float
         Seconds since its arrival when the line was sent.
@@ -56,7 +56,7 @@
     aim_s : float
         Seconds left, when the line was sent, for its first output to count as
         in time; infinite where no aim is set.
-    start_s : float
+    start_within_s : float
         Seconds left, likewise, in which it has to start to be of use.
     charge : int
         Tokens that it counts for in its workspace's quota.
@@ -76,15 +76,15 @@
     tier_rank: int
     prompt_tokens: int
     predicted_tokens: int
-    slack_s: float
+    time_to_deadline_s: float
     waited_s: float
     prefix: str = ""
-    repeats: int = 0
+    prior_refusals: int = 0
     likely_tokens: int = 0
-    aim_s: float = float("inf")
-    start_s: float = float("inf")
+    ttft_budget_s: float = float("inf")
+    start_within_s: float = float("inf")
     charge: int = 0
-    place: Zone = Zone("")
+    availability_zone: Zone = Zone("")
     body: BodyDigest = BodyDigest("")
     gap_s: float = 0.0
     event_tokens: int = 1
@@ -107,8 +107,8 @@
     target: TargetName
     running: int
     reserved_tokens: int
-    unread_tokens: int = 0
-    unread_requests: int = 0
+    pending_prefill_tokens: int = 0
+    pending_prefill_requests: int = 0
 
 
 @dataclass(frozen=True)
@@ -122,7 +122,7 @@
         request that the target serves may use.
     tier_rank : int
         Rank of the request it was given for.
-    lapse_s : float
+    valid_for_s : float
         Seconds it may be used after the sending of the report that it answers.
     """
 
@@ -132,7 +132,7 @@
     request: RequestId
     tier_rank: int
     reserved_tokens: int
-    lapse_s: float
+    valid_for_s: float
 
 
 class ShedReason(enum.Enum):
@@ -198,16 +198,16 @@
     reserved_tokens: int = 0
     limit: int = 0
     prefixes: set[str] = field(default_factory=set)
-    unread_tokens: int = 0
-    unread_requests: int = 0
-    unread_s: float = float("inf")
+    pending_prefill_tokens: int = 0
+    pending_prefill_requests: int = 0
+    max_pending_prefill_s: float = float("inf")
     first_s: float = 0.0
     read_s: float = 0.0
-    place: Zone = Zone("")
+    availability_zone: Zone = Zone("")
 
 
 @dataclass(slots=True)
-class Entry:
+class QueueEntry:
     """A waiting request as `allocate` weighs it.
 
     Attributes
@@ -226,18 +226,18 @@
         Speeds that these were worked out from.
     """
 
-    row: "Waiting"
+    waiting: "Waiting"
     slot_s: float
-    latest: float
-    safe: float
+    latest_start: float
+    safe_start: float
     precedence: Precedence
     late_precedence: Precedence
     pace: "Pace"
-    aim: float = float("inf")
+    ttft_deadline: float = float("inf")
 
     def precedence_at(self, now: float) -> Precedence:
         """Return its precedence at a time."""
-        return self.precedence if now <= self.aim else self.late_precedence
+        return self.precedence if now <= self.ttft_deadline else self.late_precedence
 
 
 class Pace(NamedTuple):
@@ -248,7 +248,7 @@
 
 
 @dataclass
-class Waiting:
+class WaitingRequest:
     """A demand line at the allocator; times are of the allocator's clock.
 
     Attributes
@@ -267,25 +267,25 @@
     """
 
     host: HostId
-    line: DemandLine
+    demand: RequestDemand
     deadline: float
     arrived: float
     avoided: frozenset[TargetName] = frozenset()
-    aim: float = float("inf")
+    ttft_deadline: float = float("inf")
     start_by: float = float("inf")
-    asked: float | None = None
-    entitled: bool = True
+    first_arrived: float | None = None
+    within_quota: bool = True
     counted: bool = False
-    entry: Entry | None = field(default=None, compare=False, repr=False)
+    entry: QueueEntry | None = field(default=None, compare=False, repr=False)
 
     def __post_init__(self) -> None:
-        if self.asked is None:
-            self.asked = self.arrived
+        if self.first_arrived is None:
+            self.first_arrived = self.arrived
 
     @property
-    def returned(self) -> bool:
+    def is_retry(self) -> bool:
         """Whether its caller was sent away before, and has come back."""
-        return self.asked < self.arrived
+        return self.first_arrived < self.arrived
 
 
 @dataclass
@@ -317,7 +317,7 @@
         Age of what is known here of the hosts' requests and targets.
     """
 
-    waiting: dict[RequestId, Waiting] = field(default_factory=dict)
+    waiting: dict[RequestId, WaitingRequest] = field(default_factory=dict)
     targets: dict[TargetName, TargetView] = field(default_factory=dict)
     workspaces: dict[WorkspaceName, WorkspaceView] = field(default_factory=dict)
     floors: dict[PoolName, int] = field(default_factory=dict)
@@ -325,7 +325,7 @@
     memory: AllocatorMemory = field(default_factory=AllocatorMemory)
     quotas: QuotaBook = field(default_factory=QuotaBook)
     policy: Policy = Policy()
-    behind_s: float = 0.0
+    staleness_s: float = 0.0
 
 
 @dataclass(frozen=True)
@@ -338,7 +338,7 @@
 
 
 @dataclass(frozen=True)
-class GivenUp:
+class ShedDecision:
     """A waiting request that is shed."""
 
     request: RequestId
@@ -365,7 +365,7 @@
     """
 
     placements: list[Placement] = field(default_factory=list)
-    given_up: list[GivenUp] = field(default_factory=list)
+    sheds: list[ShedDecision] = field(default_factory=list)
     spill: list[RequestId] = field(default_factory=list)
     floor: int | None = None
     shed_rank: int | None = None
--- a/godwitladder/metrics.py
+++ b/godwitladder/metrics.py
@@ -85,13 +85,13 @@
         """Count a request that has ended."""
         self.requests.inc({"rank": str(rank), "outcome": state.value})
 
-    def count_turned_away(self, rank: int, reason: Reason) -> None:
+    def count_refused_request(self, rank: int, reason: Reason) -> None:
         """Count a request that was refused while it waited."""
         self.count_request(rank, RequestState.NOT_RUN)
         if reason in (Reason.SHED, Reason.DEADLINE):
             self.sheds.inc({"rank": str(rank), "reason": reason.value})
 
-    def count_refusal(self, reason: Reason) -> None:
+    def count_refused_call(self, reason: Reason) -> None:
         """Count a call that was turned away before it became a request."""
         self.refusals.inc({"reason": reason.value})
 
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -14,7 +14,7 @@
     StreamId,
     WorkspaceName,
 )
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, refuse
 from godwitladder.routing.calls import (
@@ -44,7 +44,7 @@
 from godwitladder.serving.passing import Passer
 from godwitladder.serving.problems import answer_problem
 
-log = part_logger("routing")
+log = component_logger("routing")
 
 ROUTE_STEP = 2
 """Ranks of workspaces that weigh as much as one rank of routes."""
@@ -143,7 +143,7 @@
     ) -> Iterable[bytes]:
         """Refuse a call that has not reached the scheduler."""
         refusal = error.refusal
-        self.metrics.count_refusal(refusal.reason)
+        self.metrics.count_refused_call(refusal.reason)
         extra = {
             "request": facts.attempt,
             "reason": refusal.reason.value,
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -9,16 +9,17 @@
 
 from waitress.server import TcpWSGIServer
 
+from godwitladder.base_host import BaseHost
 from godwitladder.clock import Clock
 from godwitladder.decisions.repeat_budget import RepeatBounds, RepeatBudget
 from godwitladder.discovery.feed import Feed, StoreView
 from godwitladder.discovery.hostlist import HostList
 from godwitladder.discovery.messages import FeedNews, FeedWanted
 from godwitladder.discovery.source import Source
-from godwitladder.drain import stop_accepting, unfinished
+from godwitladder.drain import count_unfinished, stop_accepting
 from godwitladder.findings import InvalidInput
 from godwitladder.ids import HostId, Incarnation, Zone
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.actor import (
     Leave,
     LinkDown,
@@ -35,7 +36,6 @@
 from godwitladder.membership.messages import Heartbeat
 from godwitladder.membership.router import Router
 from godwitladder.metrics import Metrics
-from godwitladder.parts import HostParts
 from godwitladder.routing.app import ReadinessApp, RoutedApp, put_in_force
 from godwitladder.routing.calls import HeaderForm
 from godwitladder.routing.currency import Currency
@@ -52,11 +52,11 @@
 from godwitladder.serving.watch import CallWatch
 from godwitladder.supervision import watch_threads
 
-log = part_logger("daemon")
+log = component_logger("daemon")
 
 IDLE_TICK_S = 0.25
 FIRST_LOOK_S = 1.0
-ALONE_S = 3.0
+PEER_DISCOVERY_TIMEOUT_S = 3.0
 """A host that found no other in this time serves alone."""
 NOTICE_S = 2.5
 """The balancer takes a host out after two looks, one a second."""
@@ -65,11 +65,11 @@
 SMALL_THREADS = 2
 SHOWN_HOSTS = 12
 """Allocators that a log line names."""
-VITAL_THREADS = frozenset({"feed", "ticker", "http", "watch", "peers"})
-FAILED_EXIT = 70
+CRITICAL_THREADS = frozenset({"feed", "ticker", "http", "watch", "peers"})
+FAILURE_EXIT_CODE = 70
 
 
-class RoutingHost(HostParts):
+class RoutingHost(BaseHost):
     """All parts of one host, owned by one exit stack.
 
     Parameters
@@ -255,13 +255,13 @@
         settings = self.settings
         self.mesh.start()
         self.stack.callback(self.mesh.close)
-        self.start_part(self.ticker, self.scheduler)
-        self.start_part(Ticker(self.clock, IDLE_TICK_S), self.allocator)
+        self.start_component(self.ticker, self.scheduler)
+        self.start_component(Ticker(self.clock, IDLE_TICK_S), self.allocator)
         heartbeat_s = settings.peers.heartbeat_s
-        self.start_part(Ticker(self.clock, heartbeat_s), self.membership)
-        self.start_part(self.watch)
-        self.start_part(self.feed)
-        threading.Thread(target=self.follow_hosts, name="hosts", daemon=True).start()
+        self.start_component(Ticker(self.clock, heartbeat_s), self.membership)
+        self.start_component(self.watch)
+        self.start_component(self.feed)
+        threading.Thread(target=self.poll_host_list, name="hosts", daemon=True).start()
         listen, threads = settings.listen, settings.limits.threads
         self.caller_server = self.serve(self.app, listen.callers, threads)
         self.serve(ReadinessApp(self.ready), listen.readiness, SMALL_THREADS)
@@ -275,16 +275,21 @@
         """Return whether callers should be sent here."""
         known = self.app.in_force.document.version >= 0
         current = self.currency.holds(self.clock.boottime())
-        return known and current and self.acquainted() and not self.stopping.is_set()
+        return (
+            known
+            and current
+            and self.peer_discovery_done()
+            and not self.stopping.is_set()
+        )
 
-    def acquainted(self) -> bool:
+    def peer_discovery_done(self) -> bool:
         """Return whether a peer was found, or none can be.
 
         A host that knows no peer takes itself for the allocator of its region;
         with callers sent to it, targets would get twice their slots.
         """
         waited_s = self.clock.monotonic() - self.started
-        return bool(self.mesh.current()) or waited_s > ALONE_S
+        return bool(self.mesh.current()) or waited_s > PEER_DISCOVERY_TIMEOUT_S
 
     def drain(self) -> None:
         """Let the balancer see that this host goes, and finish what is in flight.
@@ -302,13 +307,13 @@
         self.clock.sleep(NOTICE_S)
         self.app.refusing = True
         until = began + self.settings.bounds.grace_s - LAST_S
-        self.await_idle(self.busy, until)
+        self.wait_until_idle(self.has_open_calls, until)
         stop_accepting(self.caller_server)
-        self.await_idle(self.busy, until)
+        self.wait_until_idle(self.has_open_calls, until)
 
-    def busy(self) -> bool:
+    def has_open_calls(self) -> bool:
         """Return whether any call is waiting, running or being answered."""
-        return self.app.open_calls > 0 or unfinished(self.caller_server) > 0
+        return self.app.open_calls > 0 or count_unfinished(self.caller_server) > 0
 
     def reload(self) -> None:
         """Read the settings file again; what can change without a start does."""
@@ -360,7 +365,7 @@
             }
             log.info("Live hosts have changed", extra=extra)
 
-    def follow_hosts(self) -> None:
+    def poll_host_list(self) -> None:
         """Do this host's part in the list of hosts, and see if settings changed."""
         # Peers are mostly found by the seeds in this time.
         period_s = FIRST_LOOK_S
@@ -390,7 +395,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: host.stop())
     signal.signal(signal.SIGHUP, lambda *_: host.reload())
-    watch_threads(VITAL_THREADS, host.fail)
+    watch_threads(CRITICAL_THREADS, host.fail)
     host.run()
     # Threads of calls may still run; nothing that they could do counts now.
-    os._exit(FAILED_EXIT if host.failed else 0)
+    os._exit(FAILURE_EXIT_CODE if host.failed else 0)
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -7,7 +7,7 @@
 from collections import Counter
 
 from godwitladder.decisions.rendezvous import choose_host
-from godwitladder.decisions.types import DemandLine, Shed, ShedReason, TargetUse
+from godwitladder.decisions.types import RequestDemand, Shed, ShedReason, TargetUse
 from godwitladder.ids import BodyDigest, HostId
 from godwitladder.outcomes import Reason, RequestState, refuse
 from godwitladder.scheduler.access import PoolAccess
@@ -212,18 +212,18 @@
         number=number,
         sent_s=now,
         term=access.term,
-        seen=access.seen,
+        acked_offer=access.seen,
         uses=report_uses(access, targets),
         workspaces=report_workspaces(tables, access),
         lines=tuple(make_line(tables, shown[request], now) for request in news.lines),
-        rest=tuple(TierCount(*item) for item in sorted(rest.items())),
+        unlisted=tuple(TierCount(*item) for item in sorted(rest.items())),
         avoided=tuple(row.name for row in targets if row.avoided_until > now),
         completions=completions,
-        stretches=take_stretches(tables, access, now),
+        throughput_samples=take_stretches(tables, access, now),
         spent=access.history.rows(now) if unanswered else (),
         known_s=access.history.known_s(now) if unanswered else 0.0,
-        changes=news.changes,
-        gone=news.gone,
+        incremental=news.changes,
+        removed=news.gone,
     )
 
 
@@ -288,23 +288,23 @@
     return tuple(WorkspaceUse(*item) for item in sorted(counts.items()))
 
 
-def make_line(tables: Tables, row: RequestRow, now: float) -> DemandLine:
+def make_line(tables: Tables, row: RequestRow, now: float) -> RequestDemand:
     """Return the line of one waiting request."""
-    return DemandLine(
+    return RequestDemand(
         request=row.request,
         workspace=row.workspace,
         service=row.service,
         tier_rank=row.tier_rank,
         prompt_tokens=row.prompt_tokens,
         predicted_tokens=row.predicted_tokens or row.declared_tokens,
-        slack_s=row.deadline - now,
+        time_to_deadline_s=row.deadline - now,
         waited_s=now - row.arrived,
         prefix=row.prefix,
         likely_tokens=row.likely_tokens,
-        aim_s=row.aim - now if row.aim else math.inf,
-        start_s=row.start_by - now,
+        ttft_budget_s=row.aim - now if row.aim else math.inf,
+        start_within_s=row.start_by - now,
         charge=row.charge,
-        place=tables.place,
+        availability_zone=tables.place,
         body=caller_digest(row),
         gap_s=row.gap_s,
         event_tokens=row.event_tokens,
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -12,7 +12,7 @@
 from godwitladder.decisions.standing import fixed_share
 from godwitladder.decisions.types import TargetView
 from godwitladder.ids import HostId
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
 from godwitladder.scheduler.access import GrantFate, PoolAccess
 from godwitladder.scheduler.exchange import Completion
@@ -25,7 +25,7 @@
 )
 from godwitladder.scheduler.silence import note_silence
 
-log = part_logger("scheduler")
+log = component_logger("scheduler")
 
 AVOID_S = 1.0
 KEPT_COMPLETIONS = 64
@@ -176,7 +176,7 @@
     each host that is cut off would let a workspace have all it asks for.
     """
     book = tables.quotas
-    book.share = 1.0 / tables.seen.recent(now)
+    book.share = 1.0 / tables.seen.count_recent(now)
     book.begin_anew(row.workspace, tables.by_service[row.service][0].answered)
     wait_s = book.wait_s(row.workspace, row.charge, now)
     if wait_s > 0:
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -9,10 +9,10 @@
 from godwitladder.configuration.model import TargetState
 from godwitladder.decisions.forecast import Unread
 from godwitladder.decisions.types import (
-    DemandLine,
     PoolView,
+    RequestDemand,
     TargetView,
-    Waiting,
+    WaitingRequest,
     WorkspaceView,
 )
 from godwitladder.ids import HostId, TargetName, WorkspaceName
@@ -31,14 +31,14 @@
         memory=role.memory,
         quotas=role.quotas,
         policy=role.policy,
-        behind_s=role.delays.lately_s(now),
+        staleness_s=role.delays.lately_s(now),
     )
     for account in role.current(now):
         for line in account.lines.values():
             # Kept from run to run: a row that is new is weighed anew, and its
             # deadline would move on with each run between two reports.
             row = role.rows.get(line.request)
-            if row is None or row.line is not line:
+            if row is None or row.demand is not line:
                 row = take_line(role, account.host, line, now, row)
             row.avoided = account.avoided
             view.waiting[line.request] = row
@@ -53,10 +53,10 @@
 def take_line(
     role: "PoolRole",
     host: HostId,
-    line: DemandLine,
+    line: RequestDemand,
     now: float,
-    before: Waiting | None,
-) -> Waiting:
+    before: WaitingRequest | None,
+) -> WaitingRequest:
     """Return a demand line as of ``now``, with its times by the allocator's clock.
 
     The aim counts from when the caller first asked, also if it was refused
@@ -81,15 +81,15 @@
             role.quotas.rate_of(line.workspace, now),
             now,
         )
-    return Waiting(
+    return WaitingRequest(
         host,
         line,
-        now + line.slack_s,
+        now + line.time_to_deadline_s,
         arrived,
-        aim=asked + line.waited_s + line.aim_s,
-        start_by=now + line.start_s,
-        asked=asked,
-        entitled=entitled,
+        ttft_deadline=asked + line.waited_s + line.ttft_budget_s,
+        start_by=now + line.start_within_s,
+        first_arrived=asked,
+        within_quota=entitled,
         counted=before is not None and before.counted,
     )
 
@@ -122,12 +122,12 @@
             reserved_tokens=count.tokens,
             limit=limit_of(role, name, target.slots, now),
             prefixes=role.hints.prefixes(name, now),
-            unread_tokens=unread.tokens,
-            unread_requests=unread.requests,
+            pending_prefill_tokens=unread.tokens,
+            pending_prefill_requests=unread.requests,
             first_s=first_s,
             read_s=read_s,
-            unread_s=role.unread_s,
-            place=target.place,
+            max_pending_prefill_s=role.unread_s,
+            availability_zone=target.place,
         )
     return views
 
--- a/godwitladder/settings.py
+++ b/godwitladder/settings.py
@@ -185,7 +185,7 @@
     """
     findings = Findings()
     settings = None
-    raw = load_file(path, findings)
+    raw = read_toml_file(path, findings)
     if raw is not None:
         settings = read_table(raw, Settings, f"{path}: ", findings)
     if settings is not None:
@@ -194,14 +194,14 @@
     return settings
 
 
-def load_file(path: Path, findings: Findings) -> dict | None:
+def read_toml_file(path: Path, findings: Findings) -> dict | None:
     """Return the TOML in a file, or None with a finding."""
     try:
         data = path.read_bytes()
     except OSError as error:
         findings.add(str(path), f"can't be read: {error.strerror}")
         return None
-    return load_toml(data, str(path), findings)
+    return parse_toml(data, str(path), findings)
 
 
 def _check_whole(settings: Settings, place: str, findings: Findings) -> None:
@@ -251,7 +251,7 @@
             findings.add(f"{place}.{name}", f"there is no file {path!r}")
 
 
-def load_toml(data: bytes, name: str, findings: Findings) -> dict | None:
+def parse_toml(data: bytes, name: str, findings: Findings) -> dict | None:
     """Return ``data`` as TOML, or None with a finding."""
     try:
         return tomllib.loads(data.decode())
--- a/godwitladder/tables.py
+++ b/godwitladder/tables.py
@@ -21,7 +21,7 @@
 Check = Callable[[Any], str | None]
 DIGEST = re.compile("[0-9a-f]{64}")
 # The largest that every reader of JSON keeps exactly.
-WHOLE_MAX = 2**53 - 1
+MAX_JSON_INTEGER = 2**53 - 1
 
 
 def checked(check: Check, **kwargs: Any) -> Any:
@@ -114,7 +114,7 @@
         return None
     hints = _hints(kind)
     fields = _fields(kind)
-    before = len(findings.rows)
+    before = len(findings.items)
     for name in raw:
         if name not in fields:
             findings.add_unknown(_join(place, name), name, fields)
@@ -126,7 +126,7 @@
             _run_check(field, values[name], where, findings)
         elif _required(field):
             findings.add(where, "is missing")
-    if len(findings.rows) > before:
+    if len(findings.items) > before:
         return None
     return kind(**values)
 
@@ -163,7 +163,7 @@
     # TOML has no null, but messages and snapshots in CBOR do.
     if raw is None and type(None) in typing.get_args(hint):
         return None
-    hint = plain_type(hint)
+    hint = unwrap_type(hint)
     if typing.get_origin(hint) is tuple:
         return _read_list(raw, typing.get_args(hint)[0], place, findings)
     if isinstance(hint, type) and issubclass(hint, enum.Enum):
@@ -172,8 +172,8 @@
         return read_table(raw, hint, place, findings)
     if hint is float and isinstance(raw, int) and not isinstance(raw, bool):
         return _read_float(raw, place, findings)
-    if hint is int and isinstance(raw, int) and abs(raw) > WHOLE_MAX:
-        findings.add(place, f"is a larger number than {WHOLE_MAX}")
+    if hint is int and isinstance(raw, int) and abs(raw) > MAX_JSON_INTEGER:
+        findings.add(place, f"is a larger number than {MAX_JSON_INTEGER}")
         return None
     if isinstance(raw, hint) and not (hint is int and isinstance(raw, bool)):
         return raw
@@ -190,13 +190,13 @@
 
 
 @functools.cache
-def plain_type(hint: Any) -> Any:
+def unwrap_type(hint: Any) -> Any:
     """Return the type below a NewType or an optional."""
     while hasattr(hint, "__supertype__"):
         hint = hint.__supertype__
     options = [arg for arg in typing.get_args(hint) if arg is not type(None)]
     if type(None) in typing.get_args(hint) and len(options) == 1:
-        return plain_type(options[0])
+        return unwrap_type(options[0])
     return hint
 
 
--- a/tests/decisions/pools.py
+++ b/tests/decisions/pools.py
@@ -1,10 +1,10 @@
 """Pools for the tests of the decisions."""
 
 from godwitladder.decisions.types import (
-    DemandLine,
     PoolView,
+    RequestDemand,
     TargetView,
-    Waiting,
+    WaitingRequest,
     WorkspaceView,
 )
 
@@ -19,15 +19,15 @@
 def add(pool, request, rank=0, workspace="w0", deadline=60.0, arrived=0.0, **more):
     """Add a waiting request; a usual one takes two seconds."""
     lengths = {"prompt_tokens": 500, "predicted_tokens": 95, "service": "chat"}
-    line = DemandLine(
+    line = RequestDemand(
         request=request,
         workspace=workspace,
         tier_rank=rank,
-        slack_s=deadline,
+        time_to_deadline_s=deadline,
         waited_s=0.0,
         **(lengths | more),
     )
-    pool.waiting[request] = Waiting("host", line, deadline, arrived)
+    pool.waiting[request] = WaitingRequest("host", line, deadline, arrived)
     pool.workspaces.setdefault(workspace, WorkspaceView())
 
 
@@ -42,10 +42,10 @@
         target = pool.targets[placement.target]
         target.used += 1
         target.reserved_tokens += placement.reserved_tokens
-        pool.workspaces[row.line.workspace].running += 1
-    for given_up in allocation.given_up:
+        pool.workspaces[row.demand.workspace].running += 1
+    for given_up in allocation.sheds:
         del pool.waiting[given_up.request]
 
 
 def given_up(allocation):
-    return {row.request: row.reason for row in allocation.given_up}
+    return {row.request: row.reason for row in allocation.sheds}
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -19,7 +19,7 @@
 
 def aimed(pool, request, rank, aim, **more):
     add(pool, request, rank, **more)
-    pool.waiting[request].aim = aim
+    pool.waiting[request].ttft_deadline = aim
 
 
 def placed(pool, now=0.0):
@@ -56,17 +56,17 @@
 
 def test_a_target_that_reads_gets_no_further_prompt():
     """A long prompt was sent; the next would wait at the target, out of order."""
-    reading = make_target("t0", unread_tokens=1000, unread_s=0.1)
+    reading = make_target("t0", pending_prefill_tokens=1000, max_pending_prefill_s=0.1)
     pool = make_pool(reading)
     add(pool, "r")
     assert placed(pool) == []
-    reading.unread_tokens = 400
+    reading.pending_prefill_tokens = 400
     assert placed(pool) == ["r"]
 
 
 def test_one_run_sends_one_long_prompt_to_each_target():
     pool = make_pool(
-        *(make_target(name, unread_s=0.1) for name in ("t0", "t1")),
+        *(make_target(name, max_pending_prefill_s=0.1) for name in ("t0", "t1")),
     )
     for number in range(4):
         add(pool, f"r{number}", prompt_tokens=1000)
@@ -75,8 +75,11 @@
 
 
 def test_the_own_zone_is_preferred_among_equals():
-    pool = make_pool(make_target("t0", place="a"), make_target("t1", place="b"))
-    add(pool, "r", place="b")
+    pool = make_pool(
+        make_target("t0", availability_zone="a"),
+        make_target("t1", availability_zone="b"),
+    )
+    add(pool, "r", availability_zone="b")
     assert [row.target for row in allocate(pool, 0.0).placements] == ["t1"]
 
 
@@ -157,7 +160,7 @@
         add(pool, f"r{number}", charge=400)
     allocation = allocate(pool, 0.0)
     assert len(allocation.placements) == 1
-    refused = allocation.given_up
+    refused = allocation.sheds
     assert {row.reason for row in refused} == {ShedReason.QUOTA}
     assert all(0.1 <= row.retry_after_s < 1.0 for row in refused)
 
@@ -259,7 +262,7 @@
     pool = make_pool(make_target(limit=1))
     aimed(pool, "late", 0, aim=1.0)
     aimed(pool, "back", 0, aim=1.0, arrived=4.0)
-    pool.waiting["back"].asked = 0.0
+    pool.waiting["back"].first_arrived = 0.0
     assert placed(pool, now=5.0) == ["back"]
 
 
@@ -373,7 +376,7 @@
     """One workspace sends six times its quota; another's question is late."""
     pool = make_pool(make_target(limit=1))
     aimed(pool, "beyond", 0, aim=9.0)
-    pool.waiting["beyond"].entitled = False
+    pool.waiting["beyond"].within_quota = False
     aimed(pool, "late", 2, aim=1.0)
     assert placed(pool, now=5.0) == ["late"]
 
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from godwitladder.clock import Clock, PausedClock
-from godwitladder.daemon import ALONE_S, EntryHost
+from godwitladder.clock import Clock, ManualClock
+from godwitladder.daemon import PEER_DISCOVERY_TIMEOUT_S, EntryHost
 from godwitladder.membership.actor import Leave, LinkUp, Membership
 from godwitladder.membership.codec import encode
 from godwitladder.membership.members import Members
@@ -100,7 +100,7 @@
 
 def make_membership():
     """Return membership of h1, its clock and what it published."""
-    clock, published = PausedClock(), []
+    clock, published = ManualClock(), []
     members = Members(TIMEOUT_S)
     me = Heartbeat("h1", "a", "", 1, False, 0)
     actor = Membership(me, members, QuietMesh(), clock, published.append)
@@ -220,7 +220,7 @@
         ({"a"}, [], 0.0, False),
         ({"a"}, ["link"], 0.0, True),
         (set(), [], 0.0, True),
-        ({"a"}, [], ALONE_S + 0.1, True),
+        ({"a"}, [], PEER_DISCOVERY_TIMEOUT_S + 0.1, True),
     ],
 )
 def test_a_host_is_not_ready_before_it_knows_a_peer(seeds, links, waited_s, ready):
@@ -229,11 +229,11 @@
     It would take itself for the allocator. If all its seeds are gone it
     serves alone after a while, as a host that is cut off must.
     """
-    clock = PausedClock()
+    clock = ManualClock()
     mesh = SimpleNamespace(seeds=seeds, current=lambda: links)
     host = SimpleNamespace(clock=clock, started=clock.monotonic(), mesh=mesh)
     clock.advance(waited_s)
-    assert EntryHost.acquainted(host) is ready
+    assert EntryHost.peer_discovery_done(host) is ready
 
 
 def make_mesh(stack, name, seeds=()):
