--- a/bench/policies.py
+++ b/bench/policies.py
@@ -7,7 +7,7 @@
 from bench.traces import SERVICE, Arrival, Engine
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import allocate
-from godwitladder.decisions.easing import TargetEasing
+from godwitladder.decisions.easing import TargetThrottles
 from godwitladder.decisions.prediction import OutputPredictor, grow
 from godwitladder.decisions.repeats import RefusedRequests
 from godwitladder.decisions.reports import LoadReports
@@ -153,7 +153,7 @@
         self.loads = LoadReports()
         self.predictor = OutputPredictor()
         self.speeds = TargetSpeeds()
-        self.easing = TargetEasing()
+        self.easing = TargetThrottles()
         self.hints = PrefixHints()
         self.refused = RefusedRequests()
         self.pool = PoolView()
--- a/godwitladder/decisions/easing.py
+++ b/godwitladder/decisions/easing.py
@@ -49,7 +49,7 @@
     changed: float = float("-inf")
 
 
-class TargetEasing:
+class TargetThrottles:
     """Limits of concurrent requests on all targets."""
 
     def __init__(self) -> None:
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -13,7 +13,7 @@
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import LONGEST_LOOK_S, allocate
-from godwitladder.decisions.easing import TargetEasing
+from godwitladder.decisions.easing import TargetThrottles
 from godwitladder.decisions.forecast import ReadingForecast
 from godwitladder.decisions.memory import AllocatorMemory
 from godwitladder.decisions.policy import ASKED, STRICT
@@ -145,7 +145,7 @@
         self.first_number = 1
         self.floors: dict[PoolName, Floor] = {}
         self.speeds = TargetSpeeds()
-        self.easing = TargetEasing()
+        self.easing = TargetThrottles()
         self.hints = PrefixHints()
         self.forecast = ReadingForecast()
         self.memory = AllocatorMemory()
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -8,7 +8,7 @@
 from godwitladder.decisions.affinity import HINT_TTL_S, PrefixHints
 from godwitladder.decisions.backoff import retry_after_s
 from godwitladder.decisions.cancel import CallerGone, on_caller_gone
-from godwitladder.decisions.easing import TargetEasing
+from godwitladder.decisions.easing import TargetThrottles
 from godwitladder.decisions.prediction import OutputPredictor, grow
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.decisions.repeats import RefusedRequests
@@ -96,7 +96,7 @@
     three seconds, keep one as a probe, and get them back one by one. A burst of
     requests on its first good second would slow it down again.
     """
-    throttles = TargetEasing()
+    throttles = TargetThrottles()
     assert observe_seconds(throttles, 1.0, 0, 10) == [8] * 10
     slow = observe_seconds(throttles, 6.0, 10, 20)
     assert slow[2] <= 2 and min(slow) >= 1 and slow[-1] <= 2
@@ -107,7 +107,7 @@
 
 
 def test_one_late_interval_does_not_reduce_the_limit():
-    throttles = TargetEasing()
+    throttles = TargetThrottles()
     throttles.observe("t", 1.0, 2.9, 0.0)
     assert throttles.limit("t", 8, 0.0) == 8
 
@@ -214,7 +214,7 @@
     the network and the engine's own step. Counted as a slowdown, two such prompts
     left each target one slot of four.
     """
-    throttles = TargetEasing()
+    throttles = TargetThrottles()
     for second in range(10):
         throttles.observe("t", 0.001, 0.02, float(second))
     assert throttles.limit("t", 4, 10.0) == 4
