--- a/bench/policies.py
+++ b/bench/policies.py
@@ -7,11 +7,11 @@
 from bench.traces import SERVICE, Arrival, Engine
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import allocate
-from godwitladder.decisions.easing import TargetThrottles
 from godwitladder.decisions.prediction import OutputPredictor, grow
 from godwitladder.decisions.repeats import RefusedRequests
 from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
+from godwitladder.decisions.throttling import TargetThrottles
 from godwitladder.decisions.types import (
     Allocation,
     Placement,
--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -12,7 +12,7 @@
 
 # Weight of the newest request: the average covers about the last ten requests, and
 # half of a lasting change is absorbed after seven. Sudden slowdowns are handled by
-# `godwitladder.decisions.easing` within seconds.
+# `godwitladder.decisions.throttling` within seconds.
 GAIN = 0.1
 # The first ten observations have equal weight, and the configured speed, which is a
 # guess, counts as this many of them. With `GAIN` from the start, a new allocator gave
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -13,7 +13,6 @@
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import LONGEST_LOOK_S, allocate
-from godwitladder.decisions.easing import TargetThrottles
 from godwitladder.decisions.forecast import ReadingForecast
 from godwitladder.decisions.memory import AllocatorMemory
 from godwitladder.decisions.policy import ASKED, STRICT
@@ -21,6 +20,7 @@
 from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import standing_grants
+from godwitladder.decisions.throttling import TargetThrottles
 from godwitladder.decisions.types import (
     Allocation,
     Grant,
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -8,7 +8,6 @@
 from godwitladder.decisions.affinity import HINT_TTL_S, PrefixHints
 from godwitladder.decisions.backoff import retry_after_s
 from godwitladder.decisions.cancel import CallerGone, on_caller_gone
-from godwitladder.decisions.easing import TargetThrottles
 from godwitladder.decisions.prediction import OutputPredictor, grow
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.decisions.repeats import RefusedRequests
@@ -16,6 +15,7 @@
 from godwitladder.decisions.returns import KEPT, KEPT_S, RefusedCallers
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import fixed_share, standing_grants
+from godwitladder.decisions.throttling import TargetThrottles
 from tests.decisions.pools import add, make_pool, make_target
 
 HOSTS = [f"host-{n}" for n in range(14)]
