--- a/godwitladder/decisions/reading.py
+++ b/godwitladder/decisions/reading.py
@@ -22,7 +22,7 @@
 
 
 @dataclass
-class ReadingFit:
+class PrefillFit:
     """Exponentially decaying sums over prompt lengths and times.
 
     Attributes
--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from godwitladder.decisions.reading import ReadingFit
+from godwitladder.decisions.reading import PrefillFit
 from godwitladder.ids import TargetName
 
 # Weight of the newest request: the average covers about the last ten requests, and
@@ -60,7 +60,7 @@
     def __init__(self) -> None:
         self.expected: dict[TargetName, Speed] = {}
         self.learned: dict[TargetName, Speed] = {}
-        self.fits: dict[TargetName, ReadingFit] = {}
+        self.fits: dict[TargetName, PrefillFit] = {}
 
     def expect(self, target: TargetName, prefill_tps: float, decode_tps: float) -> None:
         """Set the configured speeds of a target.
@@ -103,7 +103,7 @@
         gain = max(GAIN, 1.0 / (speed.count + PRIOR))
         configured = self.expected[target]
         if prompt > 0 and first_token_s > 0:
-            self.fits.setdefault(target, ReadingFit()).observe(prompt, first_token_s)
+            self.fits.setdefault(target, PrefillFit()).observe(prompt, first_token_s)
             measured = max(
                 prompt / first_token_s, configured.prefill_tps * MIN_SPEED_RATIO
             )
