--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from godwitladder.decisions.reading import PrefillFit
+from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.ids import TargetName
 
 # Weight of the newest request: the average covers about the last ten requests, and
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -6,8 +6,8 @@
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.entitlement import Entitlements
 from godwitladder.decisions.policy import ASKED
+from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.decisions.quotas import LOWERED_AFTER_S, QuotaBook, TokenRate
-from godwitladder.decisions.reading import PrefillFit
 from godwitladder.decisions.repeat_budget import KEEP, RepeatBounds, RepeatBudget
 from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
 from godwitladder.decisions.sizes import CallSizes
