--- a/godwitladder/decisions/prefill_fit.py
+++ b/godwitladder/decisions/prefill_fit.py
@@ -51,7 +51,7 @@
         self.squares = self.squares * DECAY + tokens * tokens
         self.products = self.products * DECAY + tokens * first_s
 
-    def line(self) -> tuple[float, float] | None:
+    def coefficients(self) -> tuple[float, float] | None:
         """Return the coefficients of the fitted line, or None if undetermined.
 
         Returns
--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -129,7 +129,7 @@
             Nothing is fitted yet, and `expect` was never called for ``target``.
         """
         fit = self.fits.get(target)
-        line = fit.line() if fit else None
+        line = fit.coefficients() if fit else None
         return line or (0.0, 1.0 / max(self.learned[target].prefill_tps, 1e-9))
 
     def known(self, target: TargetName) -> bool:
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -357,10 +357,10 @@
 
 def test_reading_is_learned_as_a_fixed_time_and_one_for_each_token():
     fit = PrefillFit()
-    assert fit.line() is None
+    assert fit.coefficients() is None
     for tokens in (100, 5000, 300, 9000, 1000, 40):
         fit.observe(tokens, 0.04 + tokens * 0.00002)
-    fixed_s, token_s = fit.line()
+    fixed_s, token_s = fit.coefficients()
     assert abs(fixed_s - 0.04) < 1e-6
     assert abs(token_s - 0.00002) < 1e-9
 
@@ -369,7 +369,7 @@
     fit = PrefillFit()
     for _ in range(20):
         fit.observe(500, 0.1)
-    assert fit.line() is None
+    assert fit.coefficients() is None
 
 
 def test_a_call_beyond_its_quota_yields_to_late_ones_within_theirs():
