--- a/godwitladder/decisions/forecast.py
+++ b/godwitladder/decisions/forecast.py
@@ -61,7 +61,7 @@
     requests: int
 
 
-class ReadingForecast:
+class PrefillForecast:
     """Recently granted prompts of each target, in the order of processing."""
 
     def __init__(self) -> None:
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -13,7 +13,7 @@
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import LONGEST_LOOK_S, allocate
-from godwitladder.decisions.forecast import ReadingForecast
+from godwitladder.decisions.forecast import PrefillForecast
 from godwitladder.decisions.memory import AllocatorMemory
 from godwitladder.decisions.policy import ASKED, STRICT
 from godwitladder.decisions.quotas import QuotaBook
@@ -147,7 +147,7 @@
         self.speeds = TargetSpeeds()
         self.easing = TargetThrottles()
         self.hints = PrefixHints()
-        self.forecast = ReadingForecast()
+        self.forecast = PrefillForecast()
         self.memory = AllocatorMemory()
         self.quotas = QuotaBook()
         self.rows: dict[RequestId, WaitingRequest] = {}
