--- a/godwitladder/decisions/forecast.py
+++ b/godwitladder/decisions/forecast.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class Unread:
+class PendingPrefill:
     """Prompts that a target has not processed yet.
 
     Attributes
@@ -87,7 +87,9 @@
             begin = max(begin, prefills[-1].end)
         prefills.append(ScheduledPrefill(tokens, begin, begin + seconds))
 
-    def unread(self, target: TargetName, reported: Unread, now: float) -> Unread:
+    def unread(
+        self, target: TargetName, reported: PendingPrefill, now: float
+    ) -> PendingPrefill:
         """Return what ``target`` has not processed yet, by forecast or by report.
 
         Parameters
@@ -110,7 +112,7 @@
         if reported.requests >= MAX_UNREPORTED:
             return reported
         tokens = sum(prefill.remaining_tokens(now) for prefill in prefills)
-        return Unread(
+        return PendingPrefill(
             min(reported.tokens, tokens), min(reported.requests, len(prefills))
         )
 
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from godwitladder.configuration.model import TargetState
-from godwitladder.decisions.forecast import Unread
+from godwitladder.decisions.forecast import PendingPrefill
 from godwitladder.decisions.types import (
     PoolView,
     RequestDemand,
@@ -108,7 +108,7 @@
         count = counted.get(name, NOTHING)
         role.loads.note_ours(name, running.get(name, NOTHING).running, now)
         speed = role.speeds.learned[name]
-        told = Unread(count.unread, count.unread_requests)
+        told = PendingPrefill(count.unread, count.unread_requests)
         unread = role.forecast.unread(name, told, now)
         first_s, read_s = role.speeds.reading(name)
         views[name] = TargetView(
