--- a/godwitladder/decisions/forecast.py
+++ b/godwitladder/decisions/forecast.py
@@ -87,7 +87,7 @@
             begin = max(begin, prefills[-1].end)
         prefills.append(ScheduledPrefill(tokens, begin, begin + seconds))
 
-    def unread(
+    def pending(
         self, target: TargetName, reported: PendingPrefill, now: float
     ) -> PendingPrefill:
         """Return what ``target`` has not processed yet, by forecast or by report.
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -109,7 +109,7 @@
         role.loads.note_ours(name, running.get(name, NOTHING).running, now)
         speed = role.speeds.learned[name]
         told = PendingPrefill(count.unread, count.unread_requests)
-        unread = role.forecast.unread(name, told, now)
+        unread = role.forecast.pending(name, told, now)
         first_s, read_s = role.speeds.reading(name)
         views[name] = TargetView(
             name=name,
