--- a/bench/policies.py
+++ b/bench/policies.py
@@ -195,7 +195,7 @@
             time_to_deadline_s=arrival.deadline - now,
             waited_s=0.0,
             prefix=arrival.prefix,
-            likely_tokens=self.predictor.likely(
+            likely_tokens=self.predictor.predict_median(
                 arrival.workspace, SERVICE, arrival.declared
             ),
             prior_refusals=self.refused.count(arrival.workspace, body, now),
--- a/godwitladder/decisions/prediction.py
+++ b/godwitladder/decisions/prediction.py
@@ -137,7 +137,7 @@
             return max(1, int(declared * PRIOR_RESERVE_RATIO))
         return max(1, min(declared, math.ceil(math.exp(estimate.reserve))))
 
-    def likely(
+    def predict_median(
         self, workspace: WorkspaceName, service: ServiceName, declared: int
     ) -> int:
         """Return the estimated median of the output tokens, at least 1.
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -34,17 +34,17 @@
     reserved = predictor.predict("w", "s", 4096)
     covered = sum(output <= reserved for output in lengths(100, 1000, seed=2))
     assert 800 <= covered <= 980
-    assert 60 <= predictor.likely("w", "s", 4096) <= 170
+    assert 60 <= predictor.predict_median("w", "s", 4096) <= 170
     for output in lengths(1000, 60):
         predictor.observe("w", "s", 4096, output)
-    assert predictor.likely("w", "s", 4096) > 500
+    assert predictor.predict_median("w", "s", 4096) > 500
 
 
 def test_a_new_workspace_uses_the_estimate_of_its_service():
     predictor = OutputPredictor()
     for output in lengths(100, 100):
         predictor.observe("old", "s", 4096, output)
-    assert predictor.likely("new", "s", 4096) < 300
+    assert predictor.predict_median("new", "s", 4096) < 300
 
 
 def test_cut_responses_count_as_long_ones():
