--- a/bench/policies.py
+++ b/bench/policies.py
@@ -7,7 +7,7 @@
 from bench.traces import SERVICE, Arrival, Engine
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import allocate
-from godwitladder.decisions.prediction import OutputPredictor, grow
+from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
 from godwitladder.decisions.repeats import RefusedRequests
 from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
@@ -321,7 +321,9 @@
             self.easing.observe(target, expected_s, 1.0, now)
         row, placement = self.running[request]
         reserved = placement.reserved_tokens - row.demand.prompt_tokens
-        grown = grow(reserved, int(stream.produced), stream.arrival.declared)
+        grown = grow_reservation(
+            reserved, int(stream.produced), stream.arrival.declared
+        )
         if grown > reserved:
             self.predictor.observe(
                 row.demand.workspace,
--- a/godwitladder/decisions/prediction.py
+++ b/godwitladder/decisions/prediction.py
@@ -174,7 +174,7 @@
             estimate.update(log_output)
 
 
-def grow(predicted: int, produced: int, declared: int) -> int:
+def grow_reservation(predicted: int, produced: int, declared: int) -> int:
     """Return the reservation of a stream, enlarged if its output has reached it.
 
     Parameters
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -8,7 +8,7 @@
 from godwitladder.decisions.affinity import HINT_TTL_S, PrefixHints
 from godwitladder.decisions.backoff import retry_after_s
 from godwitladder.decisions.cancel import CallerGone, on_caller_gone
-from godwitladder.decisions.prediction import OutputPredictor, grow
+from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.decisions.repeats import RefusedRequests
 from godwitladder.decisions.reports import LoadReports
@@ -63,7 +63,7 @@
 def test_a_reservation_grows_a_few_times_up_to_the_declared_limit():
     reserved, grown = 100, 0
     for produced in range(1, 4097):
-        after = grow(reserved, produced, 4096)
+        after = grow_reservation(reserved, produced, 4096)
         grown += after != reserved
         reserved = after
         assert produced <= reserved <= 4096
