--- a/bench/policies.py
+++ b/bench/policies.py
@@ -166,7 +166,7 @@
     def add_target(self, engine: Engine) -> None:
         """Add a target with the speeds that an operator would configure."""
         name = TargetName(engine.name)
-        self.speeds.expect(name, 6000.0, 40.0)
+        self.speeds.set_configured(name, 6000.0, 40.0)
         self.pool.targets[name] = TargetView(
             name,
             frozenset({SERVICE}),
--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -62,7 +62,9 @@
         self.learned: dict[TargetName, Speed] = {}
         self.fits: dict[TargetName, PrefillFit] = {}
 
-    def expect(self, target: TargetName, prefill_tps: float, decode_tps: float) -> None:
+    def set_configured(
+        self, target: TargetName, prefill_tps: float, decode_tps: float
+    ) -> None:
         """Set the configured speeds of a target.
 
         The learned speeds are kept unless the configured ones changed.
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -173,7 +173,7 @@
         self.quotas.rates = token_rates(config)
         for name in pool.targets:
             target = config.targets[name]
-            self.speeds.expect(name, target.prefill_tps, target.decode_tps)
+            self.speeds.set_configured(name, target.prefill_tps, target.decode_tps)
 
     def take_report(self, report: PoolReport, now: float) -> bool:
         """Take in a host's report; return whether it calls for a run at once."""
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -72,7 +72,7 @@
 
 def test_speeds_are_learned_from_completions():
     speeds = TargetSpeeds()
-    speeds.expect("t", 4000.0, 40.0)
+    speeds.set_configured("t", 4000.0, 40.0)
     assert not speeds.known("t")
     for _ in range(60):
         speeds.observe("t", 1000, 101, first_token_s=0.5, total_s=5.5)
