--- a/bench/policies.py
+++ b/bench/policies.py
@@ -258,7 +258,7 @@
         )
         decode_s = now - stream.first_token
         expected_s = arrival.output / self.speeds.learned[target].decode_tps
-        if self.speeds.known(target):
+        if self.speeds.is_calibrated(target):
             taken_s = max(decode_s, expected_s / 10)
             self.easing.observe(target, expected_s, taken_s, now)
         self.speeds.observe(
@@ -315,7 +315,7 @@
         request = stream.arrival.request
         before = self.progress.get(request, 0.0)
         self.progress[request] = stream.produced
-        if before and self.speeds.known(target):
+        if before and self.speeds.is_calibrated(target):
             tokens = max(stream.produced - before, 1.0)
             expected_s = tokens / self.speeds.learned[target].decode_tps
             self.easing.observe(target, expected_s, 1.0, now)
--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -134,7 +134,7 @@
         line = fit.coefficients() if fit else None
         return line or (0.0, 1.0 / max(self.learned[target].prefill_tps, 1e-9))
 
-    def known(self, target: TargetName) -> bool:
+    def is_calibrated(self, target: TargetName) -> bool:
         """Return whether ``target`` has enough observations to be judged slow.
 
         Configured speeds are guesses. Compared with one that is too high, a
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -212,7 +212,7 @@
 
     def observe_throughput(self, row: ThroughputSample, now: float) -> None:
         """Take in how fast a target works while requests run."""
-        if not self.speeds.known(row.target):
+        if not self.speeds.is_calibrated(row.target):
             return
         expected_s = self.speeds.expected_s(
             row.target, row.prompt_tokens, row.output_tokens
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -73,11 +73,11 @@
 def test_speeds_are_learned_from_completions():
     speeds = TargetSpeeds()
     speeds.set_configured("t", 4000.0, 40.0)
-    assert not speeds.known("t")
+    assert not speeds.is_calibrated("t")
     for _ in range(60):
         speeds.observe("t", 1000, 101, first_token_s=0.5, total_s=5.5)
     assert speeds.expected_s("t", 1000, 100) == pytest.approx(5.5, rel=0.05)
-    assert speeds.known("t")
+    assert speeds.is_calibrated("t")
 
 
 def observe_seconds(throttles, ratio, start, count, streams=4):
