--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -22,7 +22,7 @@
 # so that requests are still sent to it.
 MIN_SPEED_RATIO = 0.01
 # With fewer completed requests, an apparent slowdown may be chance.
-KNOWN = 20
+MIN_OBSERVATIONS = 20
 
 
 @dataclass
@@ -141,7 +141,7 @@
         healthy target would be throttled from the start.
         """
         speed = self.learned.get(target)
-        return speed is not None and speed.count >= KNOWN
+        return speed is not None and speed.count >= MIN_OBSERVATIONS
 
     def expected_s(self, target: TargetName, prompt: int, output: int) -> float:
         """Return the seconds that a request is expected to hold a slot of ``target``.
