--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -115,7 +115,7 @@
             measured = max(measured, configured.decode_tps * MIN_SPEED_RATIO)
             speed.decode_tps += gain * (measured - speed.decode_tps)
 
-    def reading(self, target: TargetName) -> tuple[float, float]:
+    def prefill_cost(self, target: TargetName) -> tuple[float, float]:
         """Return the cost of a prefill on ``target``.
 
         Returns
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -110,7 +110,7 @@
         speed = role.speeds.learned[name]
         told = PendingPrefill(count.unread, count.unread_requests)
         unread = role.forecast.pending(name, told, now)
-        first_s, read_s = role.speeds.reading(name)
+        first_s, read_s = role.speeds.prefill_cost(name)
         views[name] = TargetView(
             name=name,
             services=frozenset(target.services),
