--- a/godwitladder/decisions/quarantine.py
+++ b/godwitladder/decisions/quarantine.py
@@ -27,7 +27,7 @@
 MAX_SUSPECTS = 10_000
 
 
-class Standing(enum.Enum):
+class QuarantineStatus(enum.Enum):
     """Quarantine status of a request.
 
     Attributes
@@ -121,14 +121,14 @@
         self.clear(digest)
         self.quarantined.pop(digest, None)
 
-    def standing(self, digest: BodyDigest, now: float) -> Standing:
+    def standing(self, digest: BodyDigest, now: float) -> QuarantineStatus:
         """Return the quarantine status of ``digest``."""
         if self.quarantined.get(digest, now) > now:
-            return Standing.QUARANTINED
+            return QuarantineStatus.QUARANTINED
         crash = self.suspects.get(digest)
         if crash and now - crash.at < self.hold_s:
-            return Standing.SUSPECT
-        return Standing.CLEAR
+            return QuarantineStatus.SUSPECT
+        return QuarantineStatus.CLEAR
 
     def _crash_record(self, target: TargetName, now: float) -> CrashRecord:
         """Return the record of the target's current crash, or create one."""
