--- a/godwitladder/decisions/quarantine.py
+++ b/godwitladder/decisions/quarantine.py
@@ -121,7 +121,7 @@
         self.clear(digest)
         self.quarantined.pop(digest, None)
 
-    def standing(self, digest: BodyDigest, now: float) -> QuarantineStatus:
+    def status(self, digest: BodyDigest, now: float) -> QuarantineStatus:
         """Return the quarantine status of ``digest``."""
         if self.quarantined.get(digest, now) > now:
             return QuarantineStatus.QUARANTINED
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -125,7 +125,7 @@
     def standing(self, digest: BodyDigest) -> QuarantineStatus:
         """Return what may be done with ``digest``."""
         with self.lock:
-            return self.table.standing(digest, self.clock.monotonic())
+            return self.table.status(digest, self.clock.monotonic())
 
     def take(self, link: Link, message: CrashNote) -> None:
         """Take in a peer's note, and pass it on once."""
--- a/tests/quarantine/test_table.py
+++ b/tests/quarantine/test_table.py
@@ -20,11 +20,11 @@
     table = Quarantine()
     for digest in ("poison", "letter", "question"):
         table.crash("t1", digest, False, 1.0)
-    assert table.standing("letter", 1.0) is QuarantineStatus.SUSPECT
+    assert table.status("letter", 1.0) is QuarantineStatus.SUSPECT
     table.crash("t2", "poison", True, 20.0)
     table.crash("t2", "fresh", False, 21.0)
     standings = {
-        digest: table.standing(digest, 22.0)
+        digest: table.status(digest, 22.0)
         for digest in ("poison", "letter", "question", "fresh")
     }
     assert standings.pop("poison") is QuarantineStatus.QUARANTINED
@@ -37,18 +37,18 @@
     table.crash("t1", "poison", False, 1.0)
     table.crash("t2", "fresh", False, 20.0)
     table.crash("t2", "poison", True, 20.0 + MERGE_S / 2)
-    assert table.standing("fresh", 26.0) is QuarantineStatus.CLEAR
-    assert table.standing("poison", 26.0) is QuarantineStatus.QUARANTINED
+    assert table.status("fresh", 26.0) is QuarantineStatus.CLEAR
+    assert table.status("poison", 26.0) is QuarantineStatus.QUARANTINED
 
 
 def test_quarantine_ends_and_can_be_lifted():
     """A quarantined request is refused until its time is over, or lifted."""
     table = Quarantine()
     table.crash("t1", "poison", True, 1.0)
-    assert table.standing("poison", HOLD_S) is QuarantineStatus.QUARANTINED
-    assert table.standing("poison", HOLD_S + 2) is QuarantineStatus.CLEAR
+    assert table.status("poison", HOLD_S) is QuarantineStatus.QUARANTINED
+    assert table.status("poison", HOLD_S + 2) is QuarantineStatus.CLEAR
     table.lift("poison")
-    assert table.standing("poison", 2.0) is QuarantineStatus.CLEAR
+    assert table.status("poison", 2.0) is QuarantineStatus.CLEAR
 
 
 @given(
@@ -66,7 +66,7 @@
     table, crashes, now = Quarantine(), 0, 0.0
     for digest in order:
         now += MERGE_S + 1
-        standing = table.standing(digest, now)
+        standing = table.status(digest, now)
         if standing is QuarantineStatus.QUARANTINED:
             assert digest == "poison"
             continue
