--- a/godwitladder/decisions/quarantine.py
+++ b/godwitladder/decisions/quarantine.py
@@ -86,7 +86,7 @@
     suspects: dict[BodyDigest, CrashRecord] = field(default_factory=dict)
     quarantined: dict[BodyDigest, float] = field(default_factory=dict)
 
-    def crash(
+    def record_crash(
         self, target: TargetName, digest: BodyDigest, trial: bool, now: float
     ) -> None:
         """Record that ``target`` crashed while it ran ``digest``.
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -150,7 +150,7 @@
 
     def _apply(self, note: CrashNote, at: float) -> None:
         if isinstance(note, Crash):
-            self.table.crash(note.target, note.digest, note.trial, at)
+            self.table.record_crash(note.target, note.digest, note.trial, at)
         elif isinstance(note, Cleared):
             self.table.clear(note.digest)
         else:
--- a/tests/quarantine/test_table.py
+++ b/tests/quarantine/test_table.py
@@ -19,10 +19,10 @@
     """
     table = Quarantine()
     for digest in ("poison", "letter", "question"):
-        table.crash("t1", digest, False, 1.0)
+        table.record_crash("t1", digest, False, 1.0)
     assert table.status("letter", 1.0) is QuarantineStatus.SUSPECT
-    table.crash("t2", "poison", True, 20.0)
-    table.crash("t2", "fresh", False, 21.0)
+    table.record_crash("t2", "poison", True, 20.0)
+    table.record_crash("t2", "fresh", False, 21.0)
     standings = {
         digest: table.status(digest, 22.0)
         for digest in ("poison", "letter", "question", "fresh")
@@ -34,9 +34,9 @@
 def test_bystander_that_is_reported_first_is_cleared_as_well():
     """Hosts tell of one crash in any order; the verdict is the same."""
     table = Quarantine()
-    table.crash("t1", "poison", False, 1.0)
-    table.crash("t2", "fresh", False, 20.0)
-    table.crash("t2", "poison", True, 20.0 + MERGE_S / 2)
+    table.record_crash("t1", "poison", False, 1.0)
+    table.record_crash("t2", "fresh", False, 20.0)
+    table.record_crash("t2", "poison", True, 20.0 + MERGE_S / 2)
     assert table.status("fresh", 26.0) is QuarantineStatus.CLEAR
     assert table.status("poison", 26.0) is QuarantineStatus.QUARANTINED
 
@@ -44,7 +44,7 @@
 def test_quarantine_ends_and_can_be_lifted():
     """A quarantined request is refused until its time is over, or lifted."""
     table = Quarantine()
-    table.crash("t1", "poison", True, 1.0)
+    table.record_crash("t1", "poison", True, 1.0)
     assert table.status("poison", HOLD_S) is QuarantineStatus.QUARANTINED
     assert table.status("poison", HOLD_S + 2) is QuarantineStatus.CLEAR
     table.lift("poison")
@@ -76,7 +76,7 @@
             continue
         crashes += 1
         target = f"t{crashes}"
-        table.crash(target, digest, trial, now)
+        table.record_crash(target, digest, trial, now)
         for other in beside:
-            table.crash(target, other, False, now + 1)
+            table.record_crash(target, other, False, now + 1)
     assert crashes == min(2, order.count("poison"))
