--- a/godwitladder/decisions/cancel.py
+++ b/godwitladder/decisions/cancel.py
@@ -13,7 +13,7 @@
 MAX_REMAINING_RATIO = 0.25
 
 
-class CallerGone(enum.Enum):
+class DisconnectAction(enum.Enum):
     """What to do with a request whose caller has disconnected.
 
     Attributes
@@ -33,7 +33,7 @@
 
 def on_caller_gone(
     running: bool, idempotent: bool, keyed: bool, produced: int, predicted: int
-) -> CallerGone:
+) -> DisconnectAction:
     """Return what to do with a request whose caller has disconnected.
 
     A running request that is not idempotent is always finished. Cancelling a
@@ -52,10 +52,10 @@
         Output tokens so far, and those expected in total.
     """
     if not running:
-        return CallerGone.DROP
+        return DisconnectAction.DROP
     if not idempotent:
-        return CallerGone.FINISH
+        return DisconnectAction.FINISH
     remaining = max(0, predicted - produced) / max(1, predicted)
     if keyed and produced and remaining <= MAX_REMAINING_RATIO:
-        return CallerGone.FINISH
-    return CallerGone.CANCEL
+        return DisconnectAction.FINISH
+    return DisconnectAction.CANCEL
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -7,7 +7,7 @@
 
 from godwitladder.decisions.affinity import HINT_TTL_S, PrefixHints
 from godwitladder.decisions.backoff import retry_after_s
-from godwitladder.decisions.cancel import CallerGone, on_caller_gone
+from godwitladder.decisions.cancel import DisconnectAction, on_caller_gone
 from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.decisions.repeats import RefusedRequests
@@ -133,11 +133,11 @@
 @pytest.mark.parametrize(
     ("running", "idempotent", "keyed", "produced", "outcome"),
     [
-        (False, False, True, 0, CallerGone.DROP),
-        (True, False, False, 5, CallerGone.FINISH),
-        (True, True, False, 95, CallerGone.CANCEL),
-        (True, True, True, 95, CallerGone.FINISH),
-        (True, True, True, 20, CallerGone.CANCEL),
+        (False, False, True, 0, DisconnectAction.DROP),
+        (True, False, False, 5, DisconnectAction.FINISH),
+        (True, True, False, 95, DisconnectAction.CANCEL),
+        (True, True, True, 95, DisconnectAction.FINISH),
+        (True, True, True, 20, DisconnectAction.CANCEL),
     ],
 )
 def test_action_on_the_request_of_a_disconnected_caller(
