--- a/godwitladder/decisions/cancel.py
+++ b/godwitladder/decisions/cancel.py
@@ -31,7 +31,7 @@
     FINISH = "finish"
 
 
-def on_caller_gone(
+def disconnect_action(
     running: bool, idempotent: bool, keyed: bool, produced: int, predicted: int
 ) -> DisconnectAction:
     """Return what to do with a request whose caller has disconnected.
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -7,7 +7,7 @@
 
 from godwitladder.decisions.affinity import HINT_TTL_S, PrefixHints
 from godwitladder.decisions.backoff import retry_after_s
-from godwitladder.decisions.cancel import DisconnectAction, on_caller_gone
+from godwitladder.decisions.cancel import DisconnectAction, disconnect_action
 from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.decisions.repeats import RefusedRequests
@@ -143,7 +143,7 @@
 def test_action_on_the_request_of_a_disconnected_caller(
     running, idempotent, keyed, produced, outcome
 ):
-    assert on_caller_gone(running, idempotent, keyed, produced, 100) is outcome
+    assert disconnect_action(running, idempotent, keyed, produced, 100) is outcome
 
 
 def test_cache_hints_follow_events_and_expire():
