--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -58,7 +58,7 @@
     """
 
     def __init__(self) -> None:
-        self.expected: dict[TargetName, Speed] = {}
+        self.configured: dict[TargetName, Speed] = {}
         self.learned: dict[TargetName, Speed] = {}
         self.fits: dict[TargetName, PrefillFit] = {}
 
@@ -70,13 +70,13 @@
         The learned speeds are kept unless the configured ones changed.
         """
         speed = Speed(prefill_tps, decode_tps)
-        if self.expected.get(target) != speed:
-            self.expected[target] = speed
+        if self.configured.get(target) != speed:
+            self.configured[target] = speed
             self.learned[target] = Speed(prefill_tps, decode_tps)
 
     def forget(self, target: TargetName) -> None:
         """Remove a target that no longer exists."""
-        self.expected.pop(target, None)
+        self.configured.pop(target, None)
         self.learned.pop(target, None)
         self.fits.pop(target, None)
 
@@ -103,7 +103,7 @@
             return
         speed.count += 1
         gain = max(GAIN, 1.0 / (speed.count + PRIOR))
-        configured = self.expected[target]
+        configured = self.configured[target]
         if prompt > 0 and first_token_s > 0:
             self.fits.setdefault(target, PrefillFit()).observe(prompt, first_token_s)
             measured = max(
