--- a/godwitladder/decisions/backoff.py
+++ b/godwitladder/decisions/backoff.py
@@ -24,7 +24,9 @@
 MAX_BACKOFF_EXPONENT = 3
 
 
-def retry_after_s(backlog_s: float, request: RequestId, repeats: int = 0) -> float:
+def retry_after_s(
+    backlog_s: float, request: RequestId, prior_refusals: int = 0
+) -> float:
     """Return the whole seconds after which ``request`` should be retried.
 
     Parameters
@@ -34,7 +36,7 @@
         above has started.
     request : RequestId
         Determines the jitter.
-    repeats : int
+    prior_refusals : int
         Number of earlier refusals of the same request.
 
     Returns
@@ -43,7 +45,7 @@
         From `MIN_DELAY_S` to ``MAX_DELAY_S * (1 + JITTER)``.
     """
     base = min(max(backlog_s, MIN_DELAY_S), MAX_DELAY_S)
-    base *= BACKOFF_FACTOR ** min(repeats, MAX_BACKOFF_EXPONENT)
+    base *= BACKOFF_FACTOR ** min(prior_refusals, MAX_BACKOFF_EXPONENT)
     return float(
         math.ceil(min(base, MAX_DELAY_S) * (1.0 + JITTER * jitter_fraction(request)))
     )
--- a/godwitladder/decisions/forecast.py
+++ b/godwitladder/decisions/forecast.py
@@ -94,7 +94,7 @@
 
         Parameters
         ----------
-        reported : Unread
+        reported : PendingPrefill
             What remains of the granted prompts according to the last reports of
             the hosts.
         now : float
@@ -102,7 +102,7 @@
 
         Returns
         -------
-        Unread
+        PendingPrefill
             ``reported`` if it has `MAX_UNREPORTED` requests or more, and
             otherwise the smaller of report and forecast for each field.
         """
--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -49,7 +49,7 @@
 
     Attributes
     ----------
-    expected : dict
+    configured : dict
         Configured speeds by target.
     learned : dict
         Estimated speeds by target, starting from the configured ones.
@@ -128,11 +128,11 @@
         Raises
         ------
         KeyError
-            Nothing is fitted yet, and `expect` was never called for ``target``.
+            No line is fitted, and `set_configured` was never called for ``target``.
         """
         fit = self.fits.get(target)
-        line = fit.coefficients() if fit else None
-        return line or (0.0, 1.0 / max(self.learned[target].prefill_tps, 1e-9))
+        coefficients = fit.coefficients() if fit else None
+        return coefficients or (0.0, 1.0 / max(self.learned[target].prefill_tps, 1e-9))
 
     def is_calibrated(self, target: TargetName) -> bool:
         """Return whether ``target`` has enough observations to be judged slow.
@@ -154,7 +154,7 @@
         Raises
         ------
         KeyError
-            `expect` was never called for ``target``.
+            `set_configured` was never called for ``target``.
         """
         speed = self.learned[target]
         return prompt / speed.prefill_tps + output / speed.decode_tps
