--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -15,8 +15,8 @@
 from bench.region import MIXES, Load, Region, tally
 from bench.report import table
 from godwitladder.decisions import allocation, backlog, capacity, speeds
-from godwitladder.decisions.returns import RefusedCallers
-from godwitladder.decisions.shares import Size
+from godwitladder.decisions.precedence import Size
+from godwitladder.decisions.returning_callers import RefusedCallers
 from godwitladder.decisions.shedding import refuse_early
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.scheduler import role
@@ -26,7 +26,7 @@
 
 def without_policy(**fields) -> contextlib.AbstractContextManager:
     """Return the policy of routed calls with other fields."""
-    return patch.object(role, "ASKED", replace(role.ASKED, **fields))
+    return patch.object(role, "ASKED", replace(role.ROUTED, **fields))
 
 
 def without_sizes() -> contextlib.AbstractContextManager:
@@ -36,14 +36,14 @@
 
 def without_late_last() -> contextlib.AbstractContextManager:
     """Leave late calls where they stand."""
-    whole = backlog.weigh
+    whole = backlog.make_entry
 
-    def weigh(*args):
+    def make_entry(*args):
         entry = whole(*args)
         entry.late_precedence = entry.precedence
         return entry
 
-    return patch.object(backlog, "weigh", weigh)
+    return patch.object(backlog, "weigh", make_entry)
 
 
 def without_returns() -> contextlib.AbstractContextManager:
@@ -58,15 +58,15 @@
 
 SWITCHES: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
     KEPT: contextlib.nullcontext,
-    "parts for ranks and sizes": lambda: without_policy(least_share=1e-9),
+    "parts for ranks and sizes": lambda: without_policy(min_share=1e-9),
     "sizes": without_sizes,
     "late calls last": without_late_last,
     "callers known again": without_returns,
     "refusal by the aim": without_untimely,
-    "keeping pace": lambda: without_policy(keeps_pace=False),
+    "keeping pace": lambda: without_policy(enforces_latency=False),
     "bound on unread prompts": lambda: patch.object(role, "UNREAD_S", float("inf")),
-    "flow": lambda: without_policy(measures_flow=False),
-    "no easing off": lambda: without_policy(eases_off=True),
+    "flow": lambda: without_policy(uses_measured_throughput=False),
+    "no easing off": lambda: without_policy(throttles_slow_targets=True),
     "quick learning of speeds": lambda: patch.object(speeds, "PRIOR", 1e9),
     "preference of the own zone": lambda: patch.object(capacity, "FAR_FACTOR", 1.0),
     "bound on long calls": lambda: patch.object(capacity, "LONG_SHARE", 1.0),
--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -25,7 +25,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from godwitladder.decisions.types import Pace, PoolView, RequestDemand, TargetView
+from godwitladder.decisions.types import PoolView, RequestDemand, TargetView, TokenTimes
 from godwitladder.ids import ServiceName, TargetName
 
 MEMORY_SHARE = 0.9
@@ -34,7 +34,7 @@
 AFFINITY_SLACK = 0.25
 FAR_FACTOR = 1.5
 PACE_STEP = 0.05
-NO_PACE = Pace(0.0, 0.0)
+NO_PACE = TokenTimes(0.0, 0.0)
 
 
 def is_long(slot_s: float, typical_s: float) -> bool:
@@ -52,7 +52,7 @@
 
 
 @dataclass
-class Room:
+class TargetCapacity:
     """What is left of one target.
 
     Attributes
@@ -114,7 +114,7 @@
             return math.inf
         return line.gap_s - line.event_tokens * self.decode_s
 
-    def keeps_pace(self, line: RequestDemand, aim_s: float) -> bool:
+    def meets_latency(self, line: RequestDemand, aim_s: float) -> bool:
         """Return whether ``line`` is in time here and delays no stream too much."""
         first_s = self.first_s(line)
         if first_s > aim_s:
@@ -148,17 +148,17 @@
         Limits of all targets together.
     """
 
-    rooms: list[Room] = field(default_factory=list)
-    pace: Pace = NO_PACE
+    targets: list[TargetCapacity] = field(default_factory=list)
+    pace: TokenTimes = NO_PACE
     slots: int = 0
 
-    def add(self, room: Room) -> None:
+    def add(self, room: TargetCapacity) -> None:
         """Add one target."""
-        pace = Pace(in_steps(room.prefill_s), in_steps(room.decode_s))
-        if self.rooms:
-            pace = Pace(*map(min, pace, self.pace))
+        pace = TokenTimes(in_steps(room.prefill_s), in_steps(room.decode_s))
+        if self.targets:
+            pace = TokenTimes(*map(min, pace, self.pace))
         self.pace = pace
-        self.rooms.append(room)
+        self.targets.append(room)
         self.slots += room.view.limit
 
     def has_free(self) -> bool:
@@ -167,12 +167,12 @@
             not room.held
             and room.used < room.view.limit
             and room.unread * room.prefill_s <= room.view.max_pending_prefill_s
-            for room in self.rooms
+            for room in self.targets
         )
 
     def takes_long(self) -> bool:
         """Return whether one more long request stays within the bound."""
-        long_used = sum(room.long_used for room in self.rooms)
+        long_used = sum(room.long_used for room in self.targets)
         return long_used + 1 <= max(1.0, self.slots * LONG_SHARE)
 
     def choose(
@@ -181,7 +181,7 @@
         budget_s: float,
         avoided: Collection[TargetName] = (),
         aim_s: float | None = None,
-    ) -> Room | None:
+    ) -> TargetCapacity | None:
         """Return the target where ``line`` ends first, of those in time.
 
         Parameters
@@ -198,16 +198,16 @@
             busy ones included. None for no such choice.
         """
         paced = aim_s is not None and any(
-            room.could_keep_pace(line, aim_s) for room in self.rooms
+            room.could_keep_pace(line, aim_s) for room in self.targets
         )
         tokens = line.prompt_tokens + line.predicted_tokens
         best = None
         best_score = float("inf")
         bound = self._affinity_bound() if line.prefix else 0.0
-        for room in self.rooms:
+        for room in self.targets:
             if room.view.name in avoided or not room.fits(tokens):
                 continue
-            if paced and not room.keeps_pace(line, aim_s):
+            if paced and not room.meets_latency(line, aim_s):
                 continue
             seconds = room.seconds(line)
             if seconds > budget_s:
@@ -229,7 +229,7 @@
         tokens = line.prompt_tokens + line.predicted_tokens
         return any(
             not room.held and room.used < room.view.limit and not room.fits(tokens)
-            for room in self.rooms
+            for room in self.targets
         )
 
     def hold_roomiest(self) -> None:
@@ -239,24 +239,24 @@
         memory as it is freed, and the large one of the higher tier would
         wait until its deadline.
         """
-        free = [room for room in self.rooms if not room.held]
+        free = [room for room in self.targets if not room.held]
         if free:
             max(free, key=lambda room: room.tokens).held = True
 
     def _affinity_bound(self) -> float:
-        used = sum(room.used for room in self.rooms)
+        used = sum(room.used for room in self.targets)
         return used / max(1, self.slots) + AFFINITY_SLACK
 
 
-class Capacity:
+class PoolCapacity:
     """What is left of a pool, by service."""
 
     def __init__(self, pool: PoolView) -> None:
         self.services: dict[ServiceName, ServiceCapacity] = {}
-        self.rooms: list[Room] = []
+        self.targets: list[TargetCapacity] = []
         for view in pool.targets.values():
             if view.limit > 0:
-                self._add(make_room(view, pool.memory.long_on(view.name)))
+                self._add(make_room(view, pool.state.long_on(view.name)))
 
     def of(self, service: ServiceName) -> ServiceCapacity:
         """Return the capacity for ``service``; an empty one if nothing serves it."""
@@ -266,15 +266,15 @@
         """Return the services that have a free slot."""
         return {name for name, part in self.services.items() if part.has_free()}
 
-    def _add(self, room: Room) -> None:
-        self.rooms.append(room)
+    def _add(self, room: TargetCapacity) -> None:
+        self.targets.append(room)
         for service in room.view.services:
             self.services.setdefault(service, ServiceCapacity()).add(room)
 
 
-def make_room(view: TargetView, long_used: int) -> Room:
+def make_room(view: TargetView, long_used: int) -> TargetCapacity:
     """Return the room that ``view`` has left."""
-    return Room(
+    return TargetCapacity(
         view=view,
         used=view.used,
         tokens=view.memory_tokens * MEMORY_SHARE - view.reserved_tokens,
--- a/godwitladder/decisions/repeat_budget.py
+++ b/godwitladder/decisions/retry_budget.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class RepeatBounds:
+class RetryLimits:
     """Repeats that all hosts may make of one service's requests.
 
     Attributes
@@ -40,35 +40,35 @@
 
 
 @dataclass
-class Spent:
+class WorkspaceSpending:
     """Times of the requests and repeats of one service, oldest first."""
 
     requests: deque[float] = field(default_factory=deque)
     repeats: deque[float] = field(default_factory=deque)
 
 
-class RepeatBudget:
+class RetryBudget:
     """One host's part of the repeats, by service.
 
     Parameters
     ----------
-    bounds : RepeatBounds
+    bounds : RetryLimits
         What all hosts may do together.
     """
 
-    def __init__(self, bounds: RepeatBounds) -> None:
+    def __init__(self, bounds: RetryLimits) -> None:
         self.bounds = bounds
-        self.services: dict[str, Spent] = {}
+        self.services: dict[str, WorkspaceSpending] = {}
 
     def note_request(self, service: str, now: float) -> None:
         """Count a caller's request."""
-        spent = self.services.setdefault(service, Spent())
+        spent = self.services.setdefault(service, WorkspaceSpending())
         spent.requests.append(now)
         self.forget(spent, now)
 
     def take(self, service: str, hosts: int, now: float) -> bool:
         """Return whether one more repeat is within the budget, and count it."""
-        spent = self.services.setdefault(service, Spent())
+        spent = self.services.setdefault(service, WorkspaceSpending())
         self.forget(spent, now)
         bounds = self.bounds
         share = bounds.ratio * len(spent.requests) + bounds.slack / max(1, hosts)
@@ -77,7 +77,7 @@
         spent.repeats.append(now)
         return True
 
-    def forget(self, spent: Spent, now: float) -> None:
+    def forget(self, spent: WorkspaceSpending, now: float) -> None:
         """Drop what lies before the window."""
         begin = now - self.bounds.window_s
         for times in (spent.requests, spent.repeats):
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -53,16 +53,16 @@
 SPILL_MOST = 64
 
 
-def was_possible(entry: QueueEntry) -> bool:
+def was_feasible(entry: QueueEntry) -> bool:
     """Return whether an idle pool could have served it in time."""
     return entry.waiting.arrived <= entry.latest_start
 
 
-def is_time_to_refuse(pool: PoolView, now: float) -> bool:
+def is_refusal_scan_due(pool: PoolView, now: float) -> bool:
     """Return whether the queue is to be looked through again, and note it."""
-    if now - pool.memory.refused_at < REFUSE_EVERY_S:
+    if now - pool.state.last_refusal_check < REFUSE_EVERY_S:
         return False
-    pool.memory.refused_at = now
+    pool.state.last_refusal_check = now
     return True
 
 
@@ -71,7 +71,7 @@
 
     When all of that tier is gone the next one is looked at, and so on up.
     """
-    if not is_time_to_refuse(pool, now):
+    if not is_refusal_scan_due(pool, now):
         return []
     refused: list[QueueEntry] = []
     lowest_elsewhere = max(pool.floors.values(), default=-1)
@@ -94,16 +94,16 @@
     if not slots:
         return []
     ahead_s = backlog.work_s(group.service, group.precedence) - group.work_s
-    if now + (ahead_s + group.work_s) / slots <= group.soonest:
+    if now + (ahead_s + group.work_s) / slots <= group.earliest_safe_start:
         return []
-    queue = TierQueue(group.entries, pool.workspaces, pool.memory.spent, now)
+    queue = TierQueue(group.entries, pool.workspaces, pool.state.spent, now)
     first = group.precedence == backlog.precedences()[0]
     kept, late = project(queue, ahead_s, slots, now, first)
     if pool.floors:
         fresh = [e for e in late if now - e.waiting.arrived < SPILL_AFTER_S]
         kept += fresh
         late = [e for e in late if now - e.waiting.arrived >= SPILL_AFTER_S]
-    group.keep(kept)
+    group.retain(kept)
     return late
 
 
@@ -113,8 +113,8 @@
     They will go on coming: counted only as what waits, a low tier looks as
     if it had the whole pool as soon as the last of them has started.
     """
-    slots = group.part.slots
-    return max(slots * LEAST_LEFT, slots - pool.memory.slots_before(group.precedence))
+    slots = group.capacity.slots
+    return max(slots * LEAST_LEFT, slots - pool.state.slots_before(group.precedence))
 
 
 def project(
@@ -144,7 +144,7 @@
     return kept, late
 
 
-def give_up_below(
+def shed_below_rank(
     backlog: Backlog, rank: int, services: Iterable[ServiceName]
 ) -> list[QueueEntry]:
     """Take out and return what waits below ``rank`` for targets of ``services``."""
@@ -153,7 +153,7 @@
     for group in backlog.groups.values():
         if group.precedence.rank > rank and group.service in rivals:
             given_up += group.entries
-            group.keep([])
+            group.retain([])
     return given_up
 
 
@@ -164,11 +164,11 @@
     return {
         name
         for name, part in capacity.services.items()
-        if any(room.view.name in targets for room in part.rooms)
+        if any(room.view.name in targets for room in part.targets)
     }
 
 
-def offer_elsewhere(backlog: Backlog) -> list[RequestId]:
+def select_spill(backlog: Backlog) -> list[RequestId]:
     """Return the requests that another zone should be asked for."""
     offered: list[RequestId] = []
     for precedence in backlog.precedences():
@@ -182,7 +182,9 @@
     return offered
 
 
-def give_up(entry: QueueEntry, reason: ShedReason, backlog_s: float) -> ShedDecision:
+def make_shed_decision(
+    entry: QueueEntry, reason: ShedReason, backlog_s: float
+) -> ShedDecision:
     """Return the refusal of ``entry``."""
     line = entry.waiting.demand
     wait = retry_after_s(backlog_s, line.request, line.prior_refusals)
--- a/godwitladder/decisions/sizes.py
+++ b/godwitladder/decisions/sizes.py
@@ -8,8 +8,8 @@
 import math
 from dataclasses import dataclass, field
 
+from godwitladder.decisions.precedence import Size
 from godwitladder.decisions.prediction import quantile_step
-from godwitladder.decisions.shares import Size
 
 # Users ask how often the largest tenth of the calls, and the fifth below it, are
 # served.
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from godwitladder.decisions.memory import AllocatorMemory
+from godwitladder.decisions.allocator_state import AllocatorState
 from godwitladder.decisions.policy import Policy
-from godwitladder.decisions.quotas import QuotaBook
-from godwitladder.decisions.shares import Precedence
+from godwitladder.decisions.precedence import Precedence
+from godwitladder.decisions.quotas import TokenQuotas
 from godwitladder.ids import (
     BodyDigest,
     HostId,
@@ -240,7 +240,7 @@
         return self.precedence if now <= self.ttft_deadline else self.late_precedence
 
 
-class Pace(NamedTuple):
+class TokenTimes(NamedTuple):
     """Seconds for one prompt token and one output token."""
 
     prefill_s: float
@@ -309,9 +309,9 @@
     shed_ranks : dict
         Lowest rank number (the most important tier) that each other
         allocator within reach has lately shed under overload.
-    memory : AllocatorMemory
+    memory : AllocatorState
         What `allocate` remembers from run to run: hand the same one in.
-    quotas : QuotaBook
+    quotas : TokenQuotas
         What workspaces may have run, in tokens: likewise.
     behind_s : float
         Age of what is known here of the hosts' requests and targets.
@@ -322,8 +322,8 @@
     workspaces: dict[WorkspaceName, WorkspaceView] = field(default_factory=dict)
     floors: dict[PoolName, int] = field(default_factory=dict)
     shed_ranks: dict[PoolName, int] = field(default_factory=dict)
-    memory: AllocatorMemory = field(default_factory=AllocatorMemory)
-    quotas: QuotaBook = field(default_factory=QuotaBook)
+    state: AllocatorState = field(default_factory=AllocatorState)
+    quotas: TokenQuotas = field(default_factory=TokenQuotas)
     policy: Policy = Policy()
     staleness_s: float = 0.0
 
--- a/godwitladder/loadtool.py
+++ b/godwitladder/loadtool.py
@@ -45,7 +45,7 @@
         return ordered[int(part * (len(ordered) - 1))] if ordered else 0.0
 
 
-class Load:
+class LoadGenerator:
     """Sends calls and counts what comes of them.
 
     Parameters
@@ -190,7 +190,7 @@
         Seed of the mix.
     """
     mix = [read_caller(text) for text in callers]
-    tool = Load(hosts, mix, service, max_tokens, timeout, Clock())
+    tool = LoadGenerator(hosts, mix, service, max_tokens, timeout, Clock())
     tool.run(rate, duration, seed)
     for line in format_results(tool.results, duration):
         print(line)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -28,13 +28,13 @@
     view = PoolView(
         targets=target_views(role, now),
         workspaces=workspace_views(role, now),
-        memory=role.memory,
+        state=role.state,
         quotas=role.quotas,
         policy=role.policy,
         staleness_s=role.delays.lately_s(now),
     )
     for account in role.current(now):
-        for line in account.lines.values():
+        for line in account.demands.values():
             # Kept from run to run: a row that is new is weighed anew, and its
             # deadline would move on with each run between two reports.
             row = role.rows.get(line.request)
@@ -69,13 +69,13 @@
         each report, a request that waits for long looked like many that came.
     """
     arrived = now - line.waited_s
-    known = role.memory.callers.first_asked(line.body, now)
+    known = role.state.callers.first_arrival(line.body, now)
     asked = arrived if known is None else min(known, arrived)
     if before is not None:
-        entitled = before.entitled
+        entitled = before.within_quota
     else:
         # One that has come back was counted when it first came.
-        entitled = known is not None or role.memory.entitlements.take(
+        entitled = known is not None or role.state.entitlements.take(
             line.workspace,
             line.charge,
             role.quotas.rate_of(line.workspace, now),
@@ -106,7 +106,7 @@
         if target.address in role.leaving or name in unreachable:
             continue
         count = counted.get(name, NOTHING)
-        role.loads.note_ours(name, running.get(name, NOTHING).running, now)
+        role.loads.record_own(name, running.get(name, NOTHING).running, now)
         speed = role.speeds.learned[name]
         told = PendingPrefill(count.unread, count.unread_requests)
         unread = role.forecast.pending(name, told, now)
@@ -118,7 +118,7 @@
             memory_tokens=target.memory_tokens,
             prefill_tps=speed.prefill_tps,
             decode_tps=speed.decode_tps,
-            used=count.running + role.loads.others(name),
+            used=count.running + role.loads.external(name),
             reserved_tokens=count.tokens,
             limit=limit_of(role, name, target.slots, now),
             prefixes=role.hints.prefixes(name, now),
@@ -134,7 +134,11 @@
 
 def limit_of(role: "PoolRole", name: TargetName, slots: int, now: float) -> int:
     """Return how many requests a target may run at once."""
-    return role.easing.limit(name, slots, now) if role.policy.eases_off else slots
+    return (
+        role.throttles.limit(name, slots, now)
+        if role.policy.throttles_slow_targets
+        else slots
+    )
 
 
 def unreachable_targets(role: "PoolRole", now: float) -> set[TargetName]:
@@ -145,7 +149,7 @@
     """
     current = role.current(now)
     avoiding = Counter(name for row in current for name in row.avoided)
-    hosts = max(len(current), role.quotas.hosts)
+    hosts = max(len(current), role.quotas.expected_hosts)
     return {name for name, count in avoiding.items() if count * 2 >= hosts}
 
 
@@ -154,7 +158,7 @@
     names = {
         line.workspace
         for account in role.current(now)
-        for line in account.lines.values()
+        for line in account.demands.values()
     }
     views = {}
     for name in names & set(role.config.workspaces):
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -8,11 +8,15 @@
 from godwitladder.decisions.affinity import HINT_TTL_S, PrefixHints
 from godwitladder.decisions.backoff import retry_after_s
 from godwitladder.decisions.cancel import DisconnectAction, disconnect_action
+from godwitladder.decisions.early_retries import RefusedRequests
+from godwitladder.decisions.load_reports import LoadReports
 from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
 from godwitladder.decisions.rendezvous import choose_host
-from godwitladder.decisions.repeats import RefusedRequests
-from godwitladder.decisions.reports import LoadReports
-from godwitladder.decisions.returns import KEPT, KEPT_S, RefusedCallers
+from godwitladder.decisions.returning_callers import (
+    MAX_CALLERS,
+    RETENTION_S,
+    RefusedCallers,
+)
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import fixed_share, standing_grants
 from godwitladder.decisions.throttling import TargetThrottles
@@ -121,11 +125,11 @@
 
 def test_a_retry_before_its_delay_has_passed_is_recognized():
     refused = RefusedRequests()
-    assert refused.early_s("w", "body", 0.0) == 0.0
+    assert refused.retry_wait_s("w", "body", 0.0) == 0.0
     refused.note("w", "body", 10.0, now=0.0)
-    assert refused.early_s("w", "body", 4.0) == 6.0
-    assert refused.early_s("other", "body", 4.0) == 0.0
-    assert refused.early_s("w", "body", 11.0) == 0.0
+    assert refused.retry_wait_s("w", "body", 4.0) == 6.0
+    assert refused.retry_wait_s("other", "body", 4.0) == 0.0
+    assert refused.retry_wait_s("w", "body", 11.0) == 0.0
     assert refused.count("w", "body", 11.0) == 1
     assert refused.count("w", "body", 1000.0) == 0
 
@@ -199,10 +203,10 @@
     ours = [4 + (3 if second // 3 % 2 else -3) for second in range(120)]
     shown = []
     for second in range(lag, 120):
-        loads.note_ours("t", ours[second], float(second))
+        loads.record_own("t", ours[second], float(second))
         outside = 3 if second - lag >= 60 else 0
         loads.observe("t", ours[second - lag] + outside)
-        shown.append(loads.others("t"))
+        shown.append(loads.external("t"))
     assert set(shown[10:55]) <= {0, 1}
     assert set(shown[-20:]) <= {2, 3, 4}
 
@@ -226,21 +230,21 @@
     callers = RefusedCallers()
     callers.note("b1", 1.0, 1.2)
     callers.note("b1", 4.0, 4.2)
-    assert callers.first_asked("b1", 5.0) == 1.0
-    assert callers.first_asked("b2", 5.0) is None
-    assert callers.first_asked("b1", 1.0 + KEPT_S + 0.1) is None
+    assert callers.first_arrival("b1", 5.0) == 1.0
+    assert callers.first_arrival("b2", 5.0) is None
+    assert callers.first_arrival("b1", 1.0 + RETENTION_S + 0.1) is None
 
 
 def test_calls_without_a_body_are_always_new():
     callers = RefusedCallers()
     callers.note("", 1.0, 1.2)
-    assert callers.first_asked("", 1.3) is None
+    assert callers.first_arrival("", 1.3) is None
 
 
 def test_the_number_of_refused_callers_is_bounded():
     callers = RefusedCallers()
-    for number in range(KEPT + 10):
+    for number in range(MAX_CALLERS + 10):
         callers.note(f"b{number}", 1.0, 1.0)
-    assert len(callers.asked) == KEPT
+    assert len(callers.first_arrivals) == MAX_CALLERS
     callers.note("new", 100.0, 100.0)
-    assert list(callers.asked) == ["new"]
+    assert list(callers.first_arrivals) == ["new"]
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -5,11 +5,16 @@
 
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.entitlement import Entitlements
-from godwitladder.decisions.policy import ASKED
+from godwitladder.decisions.policy import ROUTED
+from godwitladder.decisions.precedence import (
+    Precedence,
+    Size,
+    Timeliness,
+    serving_order,
+)
 from godwitladder.decisions.prefill_fit import PrefillFit
-from godwitladder.decisions.quotas import LOWERED_AFTER_S, QuotaBook, TokenRate
-from godwitladder.decisions.repeat_budget import KEEP, RepeatBounds, RepeatBudget
-from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
+from godwitladder.decisions.quotas import LOWERED_AFTER_S, TokenQuotas, TokenRate
+from godwitladder.decisions.retry_budget import KEEP, RetryBudget, RetryLimits
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import ShedReason
 from tests.decisions.pools import add, given_up, make_pool, make_target, take
@@ -130,7 +135,7 @@
 
 def test_late_calls_of_any_rank_come_after_those_in_time():
     """A burst is over; late letters wait beside a verdict that has just come."""
-    back = Precedence(Timeliness.CAME_BACK, 0)
+    back = Precedence(Timeliness.RETRIED, 0)
     late = Precedence(Timeliness.LATE, 0)
     rows = [("late", late, 0.0), ("verdict", VERDICT, 1.0), ("back", back, 0.0)]
     assert order_of(rows) == ["verdict", "back", "late"]
@@ -155,7 +160,7 @@
 
 def test_tokens_beyond_a_quota_are_refused_with_the_time_to_come_back():
     pool = make_pool(make_target(limit=9))
-    pool.quotas = QuotaBook(rates=RATE)
+    pool.quotas = TokenQuotas(rates=RATE)
     for number in range(3):
         add(pool, f"r{number}", charge=400)
     allocation = allocate(pool, 0.0)
@@ -168,7 +173,7 @@
 def test_a_call_waits_for_a_quota_that_fills_within_its_aim():
     """Guards against callers sent away for seconds for want of a moment's tokens."""
     pool = make_pool(make_target(limit=9))
-    pool.quotas = QuotaBook(rates=RATE)
+    pool.quotas = TokenQuotas(rates=RATE)
     aimed(pool, "now", 0, aim=0.8, charge=500)
     aimed(pool, "soon", 0, aim=0.8, charge=600)
     aimed(pool, "too late", 0, aim=0.8, charge=600)
@@ -183,19 +188,19 @@
 def test_calls_that_wait_for_a_quota_are_no_load_of_the_pool():
     """Guards against others refused for places that such calls do not take."""
     pool = make_pool(make_target(limit=9))
-    pool.policy = ASKED
-    pool.quotas = QuotaBook(rates=RATE)
+    pool.policy = ROUTED
+    pool.quotas = TokenQuotas(rates=RATE)
     aimed(pool, "now", 0, aim=0.8, charge=500)
     aimed(pool, "soon", 0, aim=0.8, charge=400)
     allocate(pool, 0.0)
-    assert pool.memory.flow == 0.0
+    assert pool.state.throughput == 0.0
 
 
 def test_a_lowered_quota_binds_when_most_of_a_window_has_passed():
     """Guards against refusals by a lower quota before it is promised to anyone."""
     high, low = {"w0": TokenRate(1000.0, 2000.0)}, {"w0": TokenRate(100.0, 200.0)}
-    book = QuotaBook(rates=high)
-    book.recall("host", (), 8.0, 0.0)
+    book = TokenQuotas(rates=high)
+    book.add_history("host", (), 8.0, 0.0)
     book.settle(0.0)
     book.rates = low
     book.settle(1.0)
@@ -209,7 +214,7 @@
 def test_a_quota_lowered_twice_goes_by_the_first_one_no_longer():
     """Guards against a quota that is never lowered since it is lowered often."""
     rates = [{"w0": TokenRate(rate, 2000.0)} for rate in (1000.0, 500.0, 100.0)]
-    book = QuotaBook(rates=rates[0])
+    book = TokenQuotas(rates=rates[0])
     book.settle(0.0)
     for now, row in ((1.0, rates[1]), (4.0, rates[2])):
         book.rates = row
@@ -219,7 +224,7 @@
 
 def test_a_window_holds_no_more_than_the_quota_allows():
     """A workspace asks for ten times its quota, without a pause."""
-    book = QuotaBook(slack=500.0, rates=RATE)
+    book = TokenQuotas(slack=500.0, rates=RATE)
     used = []
     for step in range(2000):
         now = step / 100
@@ -232,13 +237,13 @@
 
 
 def test_a_book_that_sees_half_of_the_hosts_gives_out_half():
-    book = QuotaBook(share=0.5, rates=RATE)
+    book = TokenQuotas(share=0.5, rates=RATE)
     book.take("w0", 500, 0.0)
     assert book.wait_s("w0", 500, 0.0) > 0.9
 
 
 def test_a_request_larger_than_the_bucket_runs_when_it_is_full():
-    book = QuotaBook(rates=RATE)
+    book = TokenQuotas(rates=RATE)
     book.take("w0", 0, 0.0)
     assert book.wait_s("w0", 50_000, 0.0) > 0
     assert book.wait_s("w0", 50_000, 10.0) == 0
@@ -246,7 +251,7 @@
 
 def test_repeats_are_a_share_of_the_requests():
     """Half of the targets fail each request; sent again, all of it comes twice."""
-    budget = RepeatBudget(RepeatBounds(0.2, 30.0, 10.0))
+    budget = RetryBudget(RetryLimits(0.2, 30.0, 10.0))
     for _ in range(100):
         budget.note_request("s", 0.0)
     taken = sum(budget.take("s", 3, 1.0) for _ in range(100))
@@ -273,7 +278,7 @@
     served as soon as a place is free, where each kind is owed a part.
     """
     pool = make_pool(make_target(limit=1, used=1))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     aimed(pool, "letter", 0, aim=1.0)
     pool.waiting["letter"].start_by = 2.0
     aimed(pool, "question", 2, aim=9.0, arrived=2.9)
@@ -287,7 +292,7 @@
     back, and none waits until it is late.
     """
     pool = make_pool(make_target(limit=1, used=1))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     for number in range(40):
         aimed(pool, f"q{number:02}", 2, aim=5.0)
     refused = given_up(allocate(pool, 1.0))
@@ -298,8 +303,8 @@
 def refused_verdicts(started):
     """Return how many of twelve verdicts are refused after what was ``started``."""
     pool = make_pool(make_target(limit=10, used=10))
-    pool.policy = ASKED
-    pool.memory.started = dict(started)
+    pool.policy = ROUTED
+    pool.state.started = dict(started)
     for number in range(12):
         aimed(pool, f"v{number:02}", 4, aim=4.0, predicted_tokens=20)
     return len(given_up(allocate(pool, 0.0)))
@@ -326,7 +331,7 @@
     slow = make_target("t0", used=2, **SLOW)
     fast = make_target("t1", limit=1, used=1, read_s=0.00001)
     pool = make_pool(slow, fast)
-    pool.policy = ASKED
+    pool.policy = ROUTED
     ways = {"gap_s": 0.3, "event_tokens": 5}
     aimed(pool, "letter", 0, aim=9.0, prompt_tokens=3000, **ways)
     aimed(pool, "question", 2, aim=9.0, prompt_tokens=300, **ways)
@@ -338,7 +343,7 @@
 def test_a_prompt_too_long_for_any_target_still_goes_somewhere():
     """All targets are slow; refused for the pauses it makes, it never ran."""
     pool = make_pool(make_target("t0", used=2, **SLOW))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     aimed(pool, "letter", 0, aim=9.0, prompt_tokens=9000, gap_s=0.3, event_tokens=5)
     assert placed(pool) == ["letter"]
 
@@ -348,7 +353,7 @@
     slow = make_target("t0", first_s=0.4)
     fast = make_target("t1", limit=1, used=1, first_s=0.05)
     pool = make_pool(slow, fast)
-    pool.policy = ASKED
+    pool.policy = ROUTED
     aimed(pool, "r", 0, aim=0.3, prompt_tokens=10)
     assert placed(pool) == []
     fast.used = 0
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -135,14 +135,14 @@
             )
         self.stack.callback(end_process, host.process)
 
-    def knobs(self, server: Server, **knobs) -> None:
+    def set_knobs(self, server: Server, **knobs) -> None:
         """Set knobs of a stand-in."""
         answer = self.http.request(
             "POST", f"http://{server.address}/knobs", body=json.dumps(knobs)
         )
         assert answer.status == 200, answer.data
 
-    def ran(self, server: Server) -> list[dict]:
+    def run_records(self, server: Server) -> list[dict]:
         """Return a stand-in's own record of what it ran."""
         return json.loads(self.http.request("GET", f"http://{server.address}/ran").data)
 
--- a/tests/scheduler/test_allocator.py
+++ b/tests/scheduler/test_allocator.py
@@ -45,7 +45,7 @@
 
 
 def report(actor, host, **fields):
-    return PoolReport(host, 1, pool_of(actor), 1, 5.0, 0, 0, lines=(LINE,), **fields)
+    return PoolReport(host, 1, pool_of(actor), 1, 5.0, 0, 0, demands=(LINE,), **fields)
 
 
 def test_one_host_holds_the_role_and_gives_it_up_when_it_leaves():
@@ -119,7 +119,7 @@
     used = []
     for _ in range(8):
         actor.on_receive(TargetLoad("e0", 10))
-        used.append(role.loads.others("e0"))
+        used.append(role.loads.external("e0"))
     assert used == sorted(used)
     assert used[0] <= 1 < used[-1]
 
@@ -156,7 +156,7 @@
     for number in range(1, 40):
         clock.advance(0.05)
         row = PoolReport(
-            "h0", 1, pool_of(actor), number, clock.monotonic(), 0, 0, lines=(LINE,)
+            "h0", 1, pool_of(actor), number, clock.monotonic(), 0, 0, demands=(LINE,)
         )
         actor.on_receive(row)
     granted = [row for _, row in sent if isinstance(row, GrantOffer) and row.grants]
--- a/tests/test_truth.py
+++ b/tests/test_truth.py
@@ -48,9 +48,9 @@
 
 
 def set_faults(fleet: Fleet, platform: dict, engine: dict, service: dict) -> None:
-    fleet.knobs(fleet.platform, **{**PLATFORM, **platform})
-    fleet.knobs(fleet.engines["engine-a1"], **{**ENGINE, **engine})
-    fleet.knobs(fleet.services["app-a1"], **{**SERVICE, **service})
+    fleet.set_knobs(fleet.platform, **{**PLATFORM, **platform})
+    fleet.set_knobs(fleet.engines["engine-a1"], **{**ENGINE, **engine})
+    fleet.set_knobs(fleet.services["app-a1"], **{**SERVICE, **service})
 
 
 def send(fleet: Fleet, host, service: str, text: str, headers: dict) -> str:
@@ -102,7 +102,7 @@
         body = messages if service == "letters" else text
         digests[hashlib.sha256(body.encode()).hexdigest()] = (service, text)
     for server in (fleet.engines["engine-a1"], fleet.services["app-a1"]):
-        for row in fleet.ran(server):
+        for row in fleet.run_records(server):
             name = digests.get(row["digest"])
             if name:
                 told[name].runs += row.get("runs", 1)
