--- a/godwitladder/decisions/affinity.py
+++ b/godwitladder/decisions/affinity.py
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         self.hints: dict[TargetName, OrderedDict[str, float]] = {}
 
-    def note_dispatch(self, target: TargetName, prefix: str, now: float) -> None:
+    def record_dispatch(self, target: TargetName, prefix: str, now: float) -> None:
         """Record that a request with ``prefix`` was sent to ``target``."""
         if not prefix:
             return
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -330,7 +330,7 @@
                 reserved_tokens=row.reserved_tokens,
                 valid_for_s=OFFER_LIFETIME_S,
             )
-            self.hints.note_dispatch(row.target, waiting.demand.prefix, now)
+            self.hints.record_dispatch(row.target, waiting.demand.prefix, now)
             self.note_reading(row.target, waiting.demand.prompt_tokens, now)
             offerings.setdefault(waiting.host, Offering()).grants.append(grant)
         for row in allocation.sheds:
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -153,14 +153,14 @@
 def test_cache_hints_follow_events_and_expire():
     """Cache events arrive late, and an eviction event may be lost."""
     hints = PrefixHints()
-    hints.note_dispatch("t", "a", 0.0)
+    hints.record_dispatch("t", "a", 0.0)
     hints.apply_event("t", "b", kept=True, now=1.0)
     hints.apply_event("t", "b", kept=False, now=2.0)
     hints.apply_event("t", "never-seen", kept=False, now=2.0)
     assert hints.prefixes("t", 3.0) == {"a"}
     assert hints.prefixes("t", HINT_TTL_S + 1.0) == set()
     for n in range(1000):
-        hints.note_dispatch("t", f"p{n}", 0.0)
+        hints.record_dispatch("t", f"p{n}", 0.0)
     assert len(hints.prefixes("t", 0.0)) <= 128
 
 
