--- a/godwitladder/decisions/affinity.py
+++ b/godwitladder/decisions/affinity.py
@@ -52,7 +52,7 @@
             Whether the prefix is in the cache (True) or was evicted (False).
         """
         if kept:
-            self.note_dispatch(target, prefix, now)
+            self.record_dispatch(target, prefix, now)
         else:
             self.hints.get(target, {}).pop(prefix, None)
 
