--- a/godwitladder/decisions/forecast.py
+++ b/godwitladder/decisions/forecast.py
@@ -67,7 +67,9 @@
     def __init__(self) -> None:
         self.prefills: dict[TargetName, deque[ScheduledPrefill]] = {}
 
-    def note(self, target: TargetName, tokens: int, seconds: float, now: float) -> None:
+    def record_grant(
+        self, target: TargetName, tokens: int, seconds: float, now: float
+    ) -> None:
         """Add a prompt that was granted to ``target``.
 
         Parameters
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -353,7 +353,7 @@
     def note_reading(self, target: TargetName, tokens: int, now: float) -> None:
         """Foretell when a prompt is read that has just been granted."""
         _, read_s = self.speeds.prefill_cost(target)
-        self.forecast.note(target, tokens, tokens * read_s, now)
+        self.forecast.record_grant(target, tokens, tokens * read_s, now)
 
     def note_shed(self, rank: int, now: float) -> None:
         """Remember the most important tier shed within the last seconds."""
