--- a/godwitladder/decisions/losses.py
+++ b/godwitladder/decisions/losses.py
@@ -46,7 +46,7 @@
 
     losses: dict[BodyDigest, Loss] = field(default_factory=dict)
 
-    def note(self, digest: BodyDigest, target: TargetName, now: float) -> None:
+    def record_loss(self, digest: BodyDigest, target: TargetName, now: float) -> None:
         """Record that ``target`` lost the response to a call."""
         loss = self.losses.pop(digest, None)
         if loss is None or now - loss.at > HOLD_S:
