--- a/bench/ticks.py
+++ b/bench/ticks.py
@@ -22,7 +22,7 @@
     due_reports,
     update_targets,
 )
-from godwitladder.scheduler.role import RENEW_S, PoolRole
+from godwitladder.scheduler.role import RENEWAL_INTERVAL_S, PoolRole
 from godwitladder.scheduler.rows import RequestRow, Tables
 from godwitladder.scheduler.systems import add_request, run_systems
 
@@ -103,7 +103,7 @@
     hosts = [f"h{index}" for index in range(HOSTS)]
     now, times = 1.0, []
     for number in range(1, ROUNDS + 1):
-        now += RENEW_S
+        now += RENEWAL_INTERVAL_S
         for host in hosts:
             rows = tuple(
                 replace(line, request=f"{host}-{line.request}") for line in report.lines
@@ -114,7 +114,7 @@
                 number=number,
                 sent_s=now,
                 term=role.term,
-                seen=number - 1,
+                acked_offer=number - 1,
                 lines=rows,
             )
             role.take_report(news, now)
--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -15,7 +15,7 @@
     Allowance,
     Completion,
     GrantOffer,
-    Stretch,
+    ThroughputSample,
 )
 from godwitladder.scheduler.pools import Pool
 
@@ -132,7 +132,9 @@
     allowed_until: float = 0.0
     grants: dict[RequestId, HeldGrant] = field(default_factory=dict)
     completions: list[Completion] = field(default_factory=list)
-    stretches: dict[tuple[TargetName, bool], Stretch] = field(default_factory=dict)
+    throughput_samples: dict[tuple[TargetName, bool], ThroughputSample] = field(
+        default_factory=dict
+    )
     asked: dict[RequestId, int] = field(default_factory=dict)
     told: set[RequestId] = field(default_factory=set)
     settled: set[RequestId] = field(default_factory=set)
@@ -173,16 +175,16 @@
             return False
         self.seen = offer.number
         self.answered = now
-        self.echoed = max(self.echoed, offer.echo)
+        self.echoed = max(self.echoed, offer.acked_report)
         if self.echoed >= self.unanswered[0]:
             self.unanswered = (0, 0.0)
         while self.outstanding and self.outstanding[0][0] <= self.echoed:
             self.outstanding.popleft()
         self.allowances = {row.target: row for row in offer.allowances}
-        self.allowed_until = offer.until_s
+        self.allowed_until = offer.expires_s
         for grant in offer.grants:
-            self.grants[grant.request] = HeldGrant(grant, offer.until_s)
-        self.dirty |= offer.urgent or bool(offer.grants)
+            self.grants[grant.request] = HeldGrant(grant, offer.expires_s)
+        self.dirty |= offer.report_now or bool(offer.grants)
         # The allocator has dropped their lines, whatever becomes of them here.
         self.settled.update(grant.request for grant in offer.grants)
         self.settled.update(shed.request for shed in offer.sheds)
--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -52,12 +52,12 @@
 
     Attributes
     ----------
-    until_s : float
+    expires_s : float
         When they lapse, by the host's own clock.
     """
 
     number: int
-    until_s: float
+    expires_s: float
     allowances: dict[TargetName, Allowance]
 
 
@@ -66,7 +66,7 @@
     """One grant of one offer, for a request of ``workspace``."""
 
     number: int
-    until_s: float
+    expires_s: float
     grant: Grant
     workspace: WorkspaceName
     prompt_tokens: int = 0
@@ -127,7 +127,7 @@
         self.via = report.via
         self.uses = {use.target: use for use in report.uses}
         self.workspaces = {use.workspace: use.running for use in report.workspaces}
-        self.more_waiting = sum(row.count for row in report.rest)
+        self.more_waiting = sum(row.count for row in report.unlisted)
         self.avoided = frozenset(report.avoided)
         self._acknowledge(seen)
         self._lapse()
@@ -149,9 +149,9 @@
         self.known_counted = self.known_running = None
 
     def _take_lines(self, report: PoolReport) -> None:
-        if not report.changes:
+        if not report.incremental:
             self.lines = {}
-        for request in report.gone:
+        for request in report.removed:
             self.lines.pop(request, None)
         for line in report.lines:
             # A line whose grant is still on its way must not be granted again:
@@ -167,10 +167,10 @@
                 del self.grants[request]
 
     def _lapse(self) -> None:
-        while self.allowances and self.allowances[0].until_s <= self.sent_s:
+        while self.allowances and self.allowances[0].expires_s <= self.sent_s:
             self.allowances.popleft()
         for request, sent in list(self.grants.items()):
-            if sent.until_s <= self.sent_s:
+            if sent.expires_s <= self.sent_s:
                 del self.grants[request]
 
     def counted(self) -> dict[TargetName, Counted]:
--- a/godwitladder/scheduler/allocator.py
+++ b/godwitladder/scheduler/allocator.py
@@ -22,7 +22,7 @@
 )
 from godwitladder.scheduler.pools import Pool, make_pools, pool_key
 from godwitladder.scheduler.quotas import SeenHosts
-from godwitladder.scheduler.role import RENEW_S, PoolRole
+from godwitladder.scheduler.role import RENEWAL_INTERVAL_S, PoolRole
 
 log = part_logger("allocator")
 
@@ -135,7 +135,7 @@
             role.quotas.share = share
             self.tell_delays(role, now)
             self.tell_shares(role, now)
-        if now - self.floors_sent >= RENEW_S:
+        if now - self.floors_sent >= RENEWAL_INTERVAL_S:
             self.floors_sent = now
             for role in self.tables.roles.values():
                 self.send_floors(role, now)
@@ -223,7 +223,7 @@
         told_at, told = self.told_shares.get(role.pool.name, (float("-inf"), False))
         if not shares and not told:
             return
-        if shares and now - told_at < RENEW_S:
+        if shares and now - told_at < RENEWAL_INTERVAL_S:
             return
         self.told_shares[role.pool.name] = now, bool(shares)
         rows = {
@@ -246,7 +246,7 @@
         its own for as long as the cut lasts.
         """
         self.tables.seen.note(self.tables.hosts, now)
-        return len(self.tables.hosts) / self.tables.seen.recent(now)
+        return len(self.tables.hosts) / self.tables.seen.count_recent(now)
 
     def pass_on(self, message: PoolReport | FloorReport, pool: PoolName) -> None:
         """Pass a message from another zone on to this zone's allocator, once."""
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True)
-class Stretch:
+class ThroughputSample:
     """Work that a target has done, or should have done by now.
 
     Attributes
@@ -88,7 +88,7 @@
     prompt_tokens: int
     output_tokens: int
     taken_s: float
-    open: bool = False
+    in_progress: bool = False
 
 
 @dataclass(frozen=True)
@@ -154,19 +154,19 @@
     number: int
     sent_s: float
     term: int
-    seen: int
+    acked_offer: int
     uses: tuple[TargetUse, ...] = ()
     workspaces: tuple[WorkspaceUse, ...] = ()
     lines: tuple[DemandLine, ...] = ()
-    rest: tuple[TierCount, ...] = ()
+    unlisted: tuple[TierCount, ...] = ()
     avoided: tuple[TargetName, ...] = ()
     completions: tuple[Completion, ...] = ()
-    stretches: tuple[Stretch, ...] = ()
+    throughput_samples: tuple[ThroughputSample, ...] = ()
     spent: tuple[Spent, ...] = ()
     known_s: float = 0.0
     via: HostId = HostId("")
-    changes: bool = False
-    gone: tuple[RequestId, ...] = ()
+    incremental: bool = False
+    removed: tuple[RequestId, ...] = ()
 
 
 @peer_message
@@ -182,7 +182,7 @@
         Counts the allocator's offers to this host.
     echo : int
         Number of the last report it took in from this host.
-    until_s : float
+    expires_s : float
         When all of this lapses, by the clock of the host it is for.
     urgent : bool
         Whether the host is to report at once, since something was taken back.
@@ -200,9 +200,9 @@
     pool: PoolName
     term: int
     number: int
-    echo: int
-    until_s: float
-    urgent: bool = False
+    acked_report: int
+    expires_s: float
+    report_now: bool = False
     allowances: tuple[Allowance, ...] = ()
     grants: tuple[Grant, ...] = ()
     sheds: tuple[Shed, ...] = ()
--- a/godwitladder/scheduler/quotas.py
+++ b/godwitladder/scheduler/quotas.py
@@ -34,6 +34,6 @@
         """Take in the live hosts."""
         self.at.update(dict.fromkeys(hosts, now))
 
-    def recent(self, now: float) -> int:
+    def count_recent(self, now: float) -> int:
         """Return how many hosts were live lately."""
         return max(1, sum(now - at <= UNSEEN_S for at in self.at.values()))
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -212,18 +212,18 @@
         number=number,
         sent_s=now,
         term=access.term,
-        seen=access.seen,
+        acked_offer=access.seen,
         uses=report_uses(access, targets),
         workspaces=report_workspaces(tables, access),
         lines=tuple(make_line(tables, shown[request], now) for request in news.lines),
-        rest=tuple(TierCount(*item) for item in sorted(rest.items())),
+        unlisted=tuple(TierCount(*item) for item in sorted(rest.items())),
         avoided=tuple(row.name for row in targets if row.avoided_until > now),
         completions=completions,
-        stretches=take_stretches(tables, access, now),
+        throughput_samples=take_stretches(tables, access, now),
         spent=access.history.rows(now) if unanswered else (),
         known_s=access.history.known_s(now) if unanswered else 0.0,
-        changes=news.changes,
-        gone=news.gone,
+        incremental=news.changes,
+        removed=news.gone,
     )
 
 
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -52,28 +52,28 @@
     FloorReport,
     GrantOffer,
     PoolReport,
-    Stretch,
+    ThroughputSample,
 )
 from godwitladder.scheduler.pools import Pool
 from godwitladder.scheduler.quotas import token_rates
 from godwitladder.scheduler.views import pool_view, take_line, target_views
 
-LAPSE_S = 2.5
+OFFER_LIFETIME_S = 2.5
 """An allowance outlives a lost renewal, and lapses before a host that lost
 its allocator helps itself to its fixed share."""
 
-RENEW_S = 1.0
+RENEWAL_INTERVAL_S = 1.0
 """Longest time between two offers to a host that reports: what idle hosts cost
 their allocator grows with their number."""
 
-ANSWER_S = 0.2
+ANSWER_INTERVAL_S = 0.2
 """Longest time between two offers to a host that asks for requests, also if
 nothing was decided: it then knows that its allocator can be reached."""
 
 SILENT_S = 3.0
 """Demand of a host that was silent for so long is no longer answered."""
 
-FORGET_S = 5.0
+HOST_TIMEOUT_S = 5.0
 """Use of a silent host counts for so long: its requests may still run. After
 that the targets' own load reports have had time to show them."""
 
@@ -184,15 +184,15 @@
         if account is None:
             account = HostAccount(*key, next_number=self.first_number)
             self.accounts[key] = account
-        seen = report.seen if report.term == self.term else 0
+        seen = report.acked_offer if report.term == self.term else 0
         if not account.take(report, seen, now):
             return False
         self.take_lines(account, report, now - delay_s)
         self.quotas.recall(report.host, report.spent, report.known_s, now)
         for row in report.completions:
-            self.learn(row)
-        for stretch in report.stretches:
-            self.watch(stretch, now)
+            self.observe_completion(row)
+        for stretch in report.throughput_samples:
+            self.observe_throughput(stretch, now)
         wanted = any(row.lines or row.more_waiting for row in self.accounts.values())
         return wanted or account.offered == float("-inf")
 
@@ -210,17 +210,17 @@
                 row = take_line(self, account.host, line, told_at, before)
                 self.rows[line.request] = row
 
-    def watch(self, row: Stretch, now: float) -> None:
+    def observe_throughput(self, row: ThroughputSample, now: float) -> None:
         """Take in how fast a target works while requests run."""
         if not self.speeds.known(row.target):
             return
         expected_s = self.speeds.expected_s(
             row.target, row.prompt_tokens, row.output_tokens
         )
-        if not row.open or row.taken_s > expected_s:
+        if not row.in_progress or row.taken_s > expected_s:
             self.easing.observe(row.target, expected_s, row.taken_s, now)
 
-    def learn(self, row: Completion) -> None:
+    def observe_completion(self, row: Completion) -> None:
         """Take in the speed at which a request was completed."""
         if row.target not in self.speeds.learned:
             return
@@ -284,7 +284,7 @@
         """Drop hosts that are gone, and floors that nobody repeats."""
         self.listed_at = None
         for key, account in list(self.accounts.items()):
-            if now - account.heard > FORGET_S:
+            if now - account.heard > HOST_TIMEOUT_S:
                 # A host that comes back still knows the last offer's number,
                 # and would take those from one on for late ones.
                 self.first_number = max(self.first_number, account.next_number)
@@ -328,7 +328,7 @@
                 request=row.request,
                 tier_rank=waiting.line.tier_rank,
                 reserved_tokens=row.reserved_tokens,
-                lapse_s=LAPSE_S,
+                lapse_s=OFFER_LIFETIME_S,
             )
             self.hints.note_dispatch(row.target, waiting.line.prefix, now)
             self.note_reading(row.target, waiting.line.prompt_tokens, now)
@@ -363,13 +363,13 @@
 
     def count_grants(self, account: HostAccount, offering: Offering) -> None:
         """Count grants against a host before any allowance is worked out."""
-        until_s = account.sent_s + LAPSE_S
+        expires_s = account.sent_s + OFFER_LIFETIME_S
         for grant in offering.grants:
             line = account.lines.pop(grant.request)
             account.note_grant(
                 SentGrant(
                     account.next_number,
-                    until_s,
+                    expires_s,
                     grant,
                     line.workspace,
                     line.prompt_tokens,
@@ -408,7 +408,7 @@
         if not self.has_standing and account.echoed == account.received:
             return False
         taken_back = contended and account.holds_allowances()
-        longest_s = ANSWER_S if account.lines else RENEW_S
+        longest_s = ANSWER_INTERVAL_S if account.lines else RENEWAL_INTERVAL_S
         return taken_back or now - account.offered >= longest_s
 
     def standing(
@@ -469,8 +469,8 @@
         number, account.next_number = account.next_number, account.next_number + 1
         account.offered = now
         account.echoed = account.received
-        until_s = account.sent_s + LAPSE_S
-        account.note_allowances(SentAllowances(number, until_s, allowances))
+        expires_s = account.sent_s + OFFER_LIFETIME_S
+        account.note_allowances(SentAllowances(number, expires_s, allowances))
         return GrantOffer(
             host=account.host,
             incarnation=account.incarnation,
@@ -478,9 +478,9 @@
             pool=self.pool.name,
             term=self.term,
             number=number,
-            echo=account.received,
-            until_s=until_s,
-            urgent=not before <= set(allowances),
+            acked_report=account.received,
+            expires_s=expires_s,
+            report_now=not before <= set(allowances),
             allowances=tuple(allowances.values()),
             grants=tuple(offering.grants),
             sheds=tuple(offering.sheds),
--- a/godwitladder/scheduler/stretches.py
+++ b/godwitladder/scheduler/stretches.py
@@ -8,7 +8,7 @@
 
 from godwitladder.ids import TargetName
 from godwitladder.scheduler.access import PoolAccess
-from godwitladder.scheduler.exchange import Stretch
+from godwitladder.scheduler.exchange import ThroughputSample
 from godwitladder.scheduler.rows import RequestRow, Tables
 
 AWAITED_TOKENS = 64
@@ -26,12 +26,12 @@
         prompt = 0 if row.first_token else row.prompt_tokens
         since = row.progressed if row.first_token else row.dispatched
         new = tokens - row.produced_tokens
-        keep(access, Stretch(row.target, prompt, new, now - since))
+        keep(access, ThroughputSample(row.target, prompt, new, now - since))
     row.first_token = row.first_token or now
     row.progressed = now
 
 
-def keep(access: PoolAccess, done: Stretch) -> None:
+def keep(access: PoolAccess, done: ThroughputSample) -> None:
     """Keep what the next report is to tell of ``done``.
 
     First tokens are added up. Of running streams the fastest is kept: each is
@@ -39,25 +39,25 @@
     one such caller must not take slots from all others.
     """
     key = done.target, done.prompt_tokens > 0
-    held = access.stretches.get(key)
+    held = access.throughput_samples.get(key)
     if held and done.prompt_tokens:
         done = join(held, done)
     elif held and is_faster(held, done):
         done = held
-    access.stretches[key] = done
+    access.throughput_samples[key] = done
 
 
-def is_faster(one: Stretch, other: Stretch) -> bool:
+def is_faster(one: ThroughputSample, other: ThroughputSample) -> bool:
     """Return whether ``one`` made more output in a second than ``other``."""
     return one.output_tokens * other.taken_s > other.output_tokens * one.taken_s
 
 
 def take_stretches(
     tables: Tables, access: PoolAccess, now: float
-) -> tuple[Stretch, ...]:
+) -> tuple[ThroughputSample, ...]:
     """Return what to report, and start anew."""
-    done, access.stretches = access.stretches, {}
-    waited: dict[TargetName, Stretch] = {}
+    done, access.throughput_samples = access.throughput_samples, {}
+    waited: dict[TargetName, ThroughputSample] = {}
     for row in tables.running.values():
         if row.target not in access.pool.targets or not row.declared_tokens:
             continue
@@ -70,20 +70,24 @@
     return (*done.values(), *waited.values())
 
 
-def awaited(row: RequestRow, now: float) -> Stretch:
+def awaited(row: RequestRow, now: float) -> ThroughputSample:
     """Return what ``row`` is waiting for."""
     if not row.first_token:
         taken_s = now - row.dispatched
-        return Stretch(row.target, row.prompt_tokens, 1, taken_s, open=True)
-    return Stretch(row.target, 0, AWAITED_TOKENS, now - row.progressed, open=True)
+        return ThroughputSample(
+            row.target, row.prompt_tokens, 1, taken_s, in_progress=True
+        )
+    return ThroughputSample(
+        row.target, 0, AWAITED_TOKENS, now - row.progressed, in_progress=True
+    )
 
 
-def join(one: Stretch, other: Stretch) -> Stretch:
+def join(one: ThroughputSample, other: ThroughputSample) -> ThroughputSample:
     """Return both as one."""
-    return Stretch(
+    return ThroughputSample(
         one.target,
         one.prompt_tokens + other.prompt_tokens,
         one.output_tokens + other.output_tokens,
         one.taken_s + other.taken_s,
-        one.open,
+        one.in_progress,
     )
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -176,7 +176,7 @@
     each host that is cut off would let a workspace have all it asks for.
     """
     book = tables.quotas
-    book.share = 1.0 / tables.seen.recent(now)
+    book.share = 1.0 / tables.seen.count_recent(now)
     book.begin_anew(row.workspace, tables.by_service[row.service][0].answered)
     wait_s = book.wait_s(row.workspace, row.charge, now)
     if wait_s > 0:
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -24,7 +24,7 @@
 
 HEARTBEAT = Heartbeat("host-a1", "a", "127.0.0.1:1", 7, False, 3, 9)
 POOL = PoolName("a", "x")
-REPORT = PoolReport("host-a1", 7, POOL, 1, 2.5, 2, 3, rest=(TierCount(1, 4),))
+REPORT = PoolReport("host-a1", 7, POOL, 1, 2.5, 2, 3, unlisted=(TierCount(1, 4),))
 BYTES = st.one_of(
     st.binary(max_size=60),
     st.builds(cbor2.dumps, st.lists(st.one_of(st.none(), st.integers(), st.text()))),
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -16,7 +16,7 @@
 )
 from godwitladder.scheduler.messages import HostsChanged
 from godwitladder.scheduler.reports import due_reports, take_offer, update_targets
-from godwitladder.scheduler.role import FORGET_S, LAPSE_S, WARM_UP_S
+from godwitladder.scheduler.role import HOST_TIMEOUT_S, OFFER_LIFETIME_S, WARM_UP_S
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.scheduler.systems import finish_request, run_systems
 from tests.scheduler.desk import (
@@ -106,11 +106,11 @@
     desk, now = settled({"e0": 4})
     account = desk.roles["h0"].account("h1", now)
     assert account.counted().get("e0", NOTHING).running == 1
-    until_s = account.allowances[-1].until_s
-    late = PoolReport("h1", 1, desk.pool, 99, until_s - 0.1, 1, 0)
-    account.take(late, account.next_number - 1, now + LAPSE_S)
+    expires_s = account.allowances[-1].expires_s
+    late = PoolReport("h1", 1, desk.pool, 99, expires_s - 0.1, 1, 0)
+    account.take(late, account.next_number - 1, now + OFFER_LIFETIME_S)
     assert account.counted().get("e0", NOTHING).running == 1
-    account.take(replace(late, number=100, sent_s=until_s), 0, now + LAPSE_S)
+    account.take(replace(late, number=100, sent_s=expires_s), 0, now + OFFER_LIFETIME_S)
     assert account.counted().get("e0", NOTHING).running == 0
 
 
@@ -297,7 +297,7 @@
     ((_, report),) = due_reports(tables, now)
     assert len(report.lines) == 32
     assert report.lines[-1].request == "least"
-    assert sum(row.count for row in report.rest) == 969
+    assert sum(row.count for row in report.unlisted) == 969
 
 
 def test_use_and_completions_reach_the_allocator():
@@ -325,7 +325,7 @@
     """
     desk, now = settled({"e0": 1})
     now = run_for(desk, now, 5.0, lambda now: None)
-    now += FORGET_S + 1.0
+    now += HOST_TIMEOUT_S + 1.0
     desk.tick("h0", now)
     desk.decide("h0", now)
     row = submit(desk.hosts["h1"], make_request("r", now))
--- a/tests/scheduler/test_changes.py
+++ b/tests/scheduler/test_changes.py
@@ -88,7 +88,7 @@
     assert list(pair.tables.waiting) == ["r1"]
     pair.now += ROUND_S
     (report,) = pair.report()
-    assert report.changes
+    assert report.incremental
     assert pair.lines() == {"r1"}
 
 
--- a/tests/scheduler/test_grant_machine.py
+++ b/tests/scheduler/test_grant_machine.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from godwitladder.outcomes import RequestState
-from godwitladder.scheduler.role import FORGET_S, LAPSE_S
+from godwitladder.scheduler.role import HOST_TIMEOUT_S, OFFER_LIFETIME_S
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.scheduler.systems import finish_request, return_request
 from tests.scheduler.desk import decision, make_desk, make_request, submit
@@ -112,7 +112,9 @@
         self.desk.decide(holder, self.now)
         for (host, by), rows in self.desk.offers.items():
             for offer in list(rows)[before.get((host, by), 0) :]:
-                self.given.append((host, offer, self.heard[host, by][1] + LAPSE_S))
+                self.given.append(
+                    (host, offer, self.heard[host, by][1] + OFFER_LIFETIME_S)
+                )
 
     @rule(host=HOST, holder=HOLDER, lost=LOST)
     def offer(self, host, holder, lost):
@@ -220,7 +222,7 @@
 
     def forgotten(self, host):
         return all(
-            self.now - self.heard.get((host, holder), (0.0, 0.0))[0] > FORGET_S
+            self.now - self.heard.get((host, holder), (0.0, 0.0))[0] > HOST_TIMEOUT_S
             for holder in self.holders
         )
 
--- a/tests/scheduler/test_idle.py
+++ b/tests/scheduler/test_idle.py
@@ -5,7 +5,7 @@
 from godwitladder.scheduler.exchange import GrantOffer, PoolReport
 from godwitladder.scheduler.pools import make_pools
 from godwitladder.scheduler.reports import HEARTBEAT_S, due_reports, take_offer
-from godwitladder.scheduler.role import ANSWER_S, PoolRole
+from godwitladder.scheduler.role import ANSWER_INTERVAL_S, PoolRole
 from godwitladder.scheduler.views import target_views
 from tests.scheduler.desk import (
     START,
@@ -70,9 +70,9 @@
     first = role.run(HOSTS, START + 1)
     assert [offer.host for offer in first] == ["h1"]
     for step in range(10):
-        assert not role.run(HOSTS, START + 1 + step * ANSWER_S)
+        assert not role.run(HOSTS, START + 1 + step * ANSWER_INTERVAL_S)
     role.take_report(report_of("h1", 2, START + 2.5), START + 2.5)
-    assert role.run(HOSTS, START + 4)[0].echo == 2
+    assert role.run(HOSTS, START + 4)[0].acked_report == 2
 
 
 def test_a_target_that_one_busy_host_cannot_reach_is_kept_for_the_silent_ones():
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -91,7 +91,7 @@
     clock.advance(2 * UNSEEN_S)
     scheduler.take(Tick())
     scheduler.take(HostsChanged(("h1",), {}))
-    assert tables.seen.recent(clock.monotonic()) == 5
+    assert tables.seen.count_recent(clock.monotonic()) == 5
 
 
 PAIR = ("h0", "h1")
--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -7,7 +7,7 @@
 from godwitladder.decisions.speeds import KNOWN
 from godwitladder.ids import RequestId
 from godwitladder.outcomes import RequestState
-from godwitladder.scheduler.exchange import Completion, Stretch
+from godwitladder.scheduler.exchange import Completion, ThroughputSample
 from godwitladder.scheduler.stretches import note_progress
 from godwitladder.scheduler.systems import (
     dispatch_request,
@@ -127,8 +127,8 @@
     desk, now = settled({"e0": 8})
     role = desk.roles["h0"]
     for _ in range(KNOWN - 1):
-        role.learn(Completion("e0", "w", "chat", 10, 10, 5.0, 50.0))
-        role.watch(Stretch("e0", 0, 64, 60.0), now)
+        role.observe_completion(Completion("e0", "w", "chat", 10, 10, 5.0, 50.0))
+        role.observe_throughput(ThroughputSample("e0", 0, 64, 60.0), now)
     assert role.easing.limit("e0", 8, now) == 8
 
 
