--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -26,13 +26,13 @@
 from godwitladder.clients.log import CLAIM_STREAM, LogClient, LogUnavailable, Page
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId, Incarnation, Offset
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
 from godwitladder.quarantine.records import CrashNote
 from godwitladder.scheduler.messages import Tick
 from godwitladder.settings import ClaimSettings
 
-log = part_logger("claims")
+log = component_logger("claims")
 
 READ_WAIT_S = 2.0
 IDLE_CHECK_S = 0.5
--- a/godwitladder/claims/collector.py
+++ b/godwitladder/claims/collector.py
@@ -23,10 +23,10 @@
 from godwitladder.claims.table import ClaimTable, Held
 from godwitladder.clients.log import Page, Record
 from godwitladder.ids import HostId, Incarnation, Offset
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.quarantine.records import CrashNote
 
-log = part_logger("claims")
+log = component_logger("claims")
 
 # Pause after a failed append, and so what a refused caller is told to wait.
 RETRY_S = 0.5
--- a/godwitladder/configuration/follower.py
+++ b/godwitladder/configuration/follower.py
@@ -12,9 +12,9 @@
 from godwitladder.configuration.replica import Phase, Replica
 from godwitladder.configuration.snapshots import BadSnapshot, encode_snapshot
 from godwitladder.ids import HostId, Offset
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 
-log = part_logger("config")
+log = component_logger("config")
 
 # A connection that went silent is noticed this long plus the client's timeout
 # after it was last used, and a ticket must be in force within 14 s even then.
--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -18,7 +18,7 @@
 from godwitladder.configuration.replica import Phase
 from godwitladder.drain import stop_accepting, unfinished
 from godwitladder.ids import Incarnation
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.actor import (
     ConfigMoved,
     Leave,
@@ -51,7 +51,7 @@
 from godwitladder.settings import Settings
 from godwitladder.supervision import watch_threads
 
-log = part_logger("daemon")
+log = component_logger("daemon")
 
 HOST_LIST_PERIOD_S = 1.0
 ALONE_S = 3.0
--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -34,11 +34,11 @@
 )
 from godwitladder.discovery.targets import TargetTable
 from godwitladder.ids import HostId, TargetName
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.routing.currency import Currency
 from godwitladder.routing.model import Document
 
-log = part_logger("feed")
+log = component_logger("feed")
 
 PERIOD_S = 0.6
 """Between two reads. A target that leaves, and a change of the document, are
--- a/godwitladder/discovery/hostlist.py
+++ b/godwitladder/discovery/hostlist.py
@@ -11,10 +11,10 @@
 from godwitladder.decisions.rendezvous import rank_hosts
 from godwitladder.discovery.source import Source, StoreUnavailable
 from godwitladder.ids import HostId
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.contacts import ListedHost
 
-log = part_logger("hosts")
+log = component_logger("hosts")
 
 PERIOD_S = 10.0
 LONELY_PERIOD_S = 1.0
--- a/godwitladder/discovery/rolloutdesk.py
+++ b/godwitladder/discovery/rolloutdesk.py
@@ -5,9 +5,9 @@
 from godwitladder.discovery.rollouts import RolloutOrder, RolloutState
 from godwitladder.discovery.source import Batch, Record, Source, StoreUnavailable
 from godwitladder.ids import ServiceName
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 
-log = part_logger("rollouts")
+log = component_logger("rollouts")
 
 AFTER_S = 15.0
 """Targets of a version that is taken back are emptied within some seconds. Held back
--- a/godwitladder/logs.py
+++ b/godwitladder/logs.py
@@ -85,7 +85,7 @@
             self.target.handle(self.lines.get())
 
 
-def part_logger(part: str) -> PartLogger:
+def component_logger(part: str) -> PartLogger:
     """Return the logger of ``part``."""
     return PartLogger(logging.getLogger(f"godwitladder.{part}"), {"part": part})
 
--- a/godwitladder/membership/links.py
+++ b/godwitladder/membership/links.py
@@ -19,11 +19,11 @@
 from godwitladder.clock import Clock
 from godwitladder.findings import GodwitladderError
 from godwitladder.ids import HostId
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.codec import BadMessage, decode, encode
 from godwitladder.membership.messages import Hello, Proof
 
-log = part_logger("peers")
+log = component_logger("peers")
 
 GREETING_TIMEOUT_S = 2.0
 QUEUE_MESSAGES = 1000
--- a/godwitladder/membership/mesh.py
+++ b/godwitladder/membership/mesh.py
@@ -18,7 +18,7 @@
 
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.codec import encode
 from godwitladder.membership.links import (
     GREETING_TIMEOUT_S,
@@ -29,7 +29,7 @@
 from godwitladder.settings import TlsSettings
 from godwitladder.tls import client_context, server_context
 
-log = part_logger("peers")
+log = component_logger("peers")
 
 REDIAL_S = 0.1
 """After a restart of all hosts some listen a moment later than others dial."""
--- a/godwitladder/membership/topology.py
+++ b/godwitladder/membership/topology.py
@@ -6,7 +6,7 @@
 
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.contacts import ListedHost
 from godwitladder.membership.hubs import choose_able, choose_hubs
 from godwitladder.membership.links import Link
@@ -14,7 +14,7 @@
 from godwitladder.membership.mesh import Mesh
 from godwitladder.membership.messages import Heartbeat
 
-log = part_logger("membership")
+log = component_logger("membership")
 
 FANOUT = 4
 """Peers that are sent the news each period. With fewer, a live host's count could
--- a/godwitladder/orders/issuer.py
+++ b/godwitladder/orders/issuer.py
@@ -27,7 +27,7 @@
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.engines.wire import MayHaveRun, NotSent, connect
 from godwitladder.ids import HostId, TargetName, Zone
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.orders.stream import NotGranted, OrderStream
 from godwitladder.orders.wire import (
     OldFence,
@@ -38,7 +38,7 @@
     write_order,
 )
 
-log = part_logger("orders")
+log = component_logger("orders")
 
 SEND_S = 2.0
 PERIOD_S = 1.0
--- a/godwitladder/parts.py
+++ b/godwitladder/parts.py
@@ -10,12 +10,12 @@
 
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.serving.listener import make_listener
 from godwitladder.settings import LimitSettings, TlsSettings
 from godwitladder.supervision import supervised
 
-log = part_logger("daemon")
+log = component_logger("daemon")
 
 DRAIN_POLL_S = 0.1
 IDLE_LOOKS = 3
--- a/godwitladder/platform/source.py
+++ b/godwitladder/platform/source.py
@@ -8,7 +8,7 @@
 from godwitladder.discovery.source import Batch, Record
 from godwitladder.discovery.targets import TargetEntry
 from godwitladder.ids import Zone
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.contacts import ListedHost
 from godwitladder.platform import names
 from godwitladder.platform.documents import BadDocument, decode_document
@@ -21,7 +21,7 @@
 from godwitladder.platform.store import StoreClient
 from godwitladder.routing.model import Document
 
-log = part_logger("platform")
+log = component_logger("platform")
 
 
 class PlatformSource:
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -20,7 +20,7 @@
 from godwitladder.engines.engine import resume_stream
 from godwitladder.engines.wire import MayHaveRun, NotSent, TargetRefused, connect
 from godwitladder.ids import BodyDigest
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.links import Link
 from godwitladder.membership.mesh import Mesh
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
@@ -28,7 +28,7 @@
 from godwitladder.quarantine.records import Cleared, Crash, CrashNote, Lifted
 from godwitladder.serving.calls import Call, CallRefused
 
-log = part_logger("quarantine")
+log = component_logger("quarantine")
 
 PROBE_S = 1.0
 TRIAL_WAIT_S = 3.0
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -14,7 +14,7 @@
     StreamId,
     WorkspaceName,
 )
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, refuse
 from godwitladder.routing.calls import (
@@ -44,7 +44,7 @@
 from godwitladder.serving.passing import Passer
 from godwitladder.serving.problems import answer_problem
 
-log = part_logger("routing")
+log = component_logger("routing")
 
 ROUTE_STEP = 2
 """Ranks of workspaces that weigh as much as one rank of routes."""
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -18,7 +18,7 @@
 from godwitladder.drain import stop_accepting, unfinished
 from godwitladder.findings import InvalidInput
 from godwitladder.ids import HostId, Incarnation, Zone
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.actor import (
     Leave,
     LinkDown,
@@ -52,7 +52,7 @@
 from godwitladder.serving.watch import CallWatch
 from godwitladder.supervision import watch_threads
 
-log = part_logger("daemon")
+log = component_logger("daemon")
 
 IDLE_TICK_S = 0.25
 FIRST_LOOK_S = 1.0
--- a/godwitladder/scheduler/actor.py
+++ b/godwitladder/scheduler/actor.py
@@ -7,7 +7,7 @@
 
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, RequestState, refuse
 from godwitladder.scheduler.exchange import GrantOffer, PoolReport
@@ -48,7 +48,7 @@
 )
 from godwitladder.scheduler.ticker import Ticker
 
-log = part_logger("scheduler")
+log = component_logger("scheduler")
 
 RUN_AT_LEAST_S = 0.02
 STOPPED_RETRY_S = 1.0
--- a/godwitladder/scheduler/allocator.py
+++ b/godwitladder/scheduler/allocator.py
@@ -11,7 +11,7 @@
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.decisions.types import PoolName
 from godwitladder.ids import HostId, TargetName, Zone
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.scheduler.exchange import FloorReport, GrantOffer, PoolReport
 from godwitladder.scheduler.messages import (
     HostsChanged,
@@ -24,7 +24,7 @@
 from godwitladder.scheduler.quotas import SeenHosts
 from godwitladder.scheduler.role import RENEWAL_INTERVAL_S, PoolRole
 
-log = part_logger("allocator")
+log = component_logger("allocator")
 
 LONGEST_WAIT_S = 0.1
 """Roles run after so long also if messages keep coming: half of the time in which
--- a/godwitladder/scheduler/load.py
+++ b/godwitladder/scheduler/load.py
@@ -9,11 +9,11 @@
 from godwitladder.engines.engine import read_load
 from godwitladder.engines.wire import MayHaveRun, NotSent
 from godwitladder.ids import TargetName
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.scheduler.allocator import Allocator
 from godwitladder.scheduler.messages import TargetLoad
 
-log = part_logger("load")
+log = component_logger("load")
 
 PERIOD_S = 1.0
 READERS = 4
--- a/godwitladder/scheduler/silence.py
+++ b/godwitladder/scheduler/silence.py
@@ -3,12 +3,12 @@
 Pure: times are handed in.
 """
 
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.scheduler.access import PoolAccess
 from godwitladder.scheduler.pools import pool_key
 from godwitladder.scheduler.rows import Tables
 
-log = part_logger("scheduler")
+log = component_logger("scheduler")
 
 
 def note_silence(tables: Tables, now: float) -> None:
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -12,7 +12,7 @@
 from godwitladder.decisions.standing import fixed_share
 from godwitladder.decisions.types import TargetView
 from godwitladder.ids import HostId
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
 from godwitladder.scheduler.access import GrantFate, PoolAccess
 from godwitladder.scheduler.exchange import Completion
@@ -25,7 +25,7 @@
 )
 from godwitladder.scheduler.silence import note_silence
 
-log = part_logger("scheduler")
+log = component_logger("scheduler")
 
 AVOID_S = 1.0
 KEPT_COMPLETIONS = 64
--- a/godwitladder/serving/answers.py
+++ b/godwitladder/serving/answers.py
@@ -6,13 +6,13 @@
 import threading
 from collections.abc import Callable, Iterable, Iterator
 
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.outcomes import Reason, Refusal, RequestState
 from godwitladder.serving.ending import Ending
 from godwitladder.serving.problems import problem_body
 from godwitladder.serving.relay import AnswerCut, StreamFollower
 
-log = part_logger("callers")
+log = component_logger("callers")
 
 HEARTBEAT = b": waiting\n\n"
 PLAIN_KIND = "application/octet-stream"
--- a/godwitladder/serving/callers.py
+++ b/godwitladder/serving/callers.py
@@ -7,7 +7,7 @@
 from godwitladder.clock import Clock
 from godwitladder.configuration.state import ConfigState
 from godwitladder.ids import ServiceName, WorkspaceName
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason
 from godwitladder.serving.answers import internal_fault
@@ -28,7 +28,7 @@
 from godwitladder.serving.resuming import resume_request
 from godwitladder.settings import Settings
 
-log = part_logger("callers")
+log = component_logger("callers")
 
 CHAT_PATH = "/v1/chat/completions"
 SERVICE_PATH = "/v1/services/"
--- a/godwitladder/serving/dispatching.py
+++ b/godwitladder/serving/dispatching.py
@@ -11,7 +11,7 @@
 from godwitladder.engines.engine import cancel_stream
 from godwitladder.engines.service import call_service
 from godwitladder.engines.wire import MayHaveRun, NotSent, TargetRefused
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
 from godwitladder.scheduler.messages import (
@@ -35,7 +35,7 @@
 from godwitladder.serving.request_ids import RequestName, sign_request
 from godwitladder.settings import Settings
 
-log = part_logger("callers")
+log = component_logger("callers")
 
 GONE_CHECK_S = 0.5
 REFUSED_RETRY_S = 1.0
--- a/godwitladder/serving/forwarding.py
+++ b/godwitladder/serving/forwarding.py
@@ -17,12 +17,12 @@
 
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId, Incarnation
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.codec import peer_message
 from godwitladder.membership.links import Link
 from godwitladder.membership.mesh import Mesh
 
-log = part_logger("forwarding")
+log = component_logger("forwarding")
 
 # Calls that other hosts may have under way here; each takes a thread.
 CALLS = 64
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -25,7 +25,7 @@
 from godwitladder.claims.records import body_bytes, key_bytes, nonce_bytes
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId, Incarnation, StreamId
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
 from godwitladder.scheduler.rows import ClaimState, RequestRow
@@ -34,7 +34,7 @@
 from godwitladder.serving.repeats import First, Repeats
 from godwitladder.settings import Settings
 
-log = part_logger("keys")
+log = component_logger("keys")
 
 POLL_S = 0.5
 KEY_HEADER = "HTTP_IDEMPOTENCY_KEY"
--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -14,7 +14,7 @@
 from godwitladder.engines.engine import resume_stream
 from godwitladder.engines.wire import MayHaveRun, NotSent, TargetRefused
 from godwitladder.ids import Incarnation, StreamId, TargetName
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.mesh import Mesh
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, refuse
@@ -31,7 +31,7 @@
 if TYPE_CHECKING:
     from godwitladder.serving.callers import CallerApp
 
-log = part_logger("keys")
+log = component_logger("keys")
 
 KEYS_PATH = "/v1/keys"
 PROBE_S = 1.0
--- a/godwitladder/serving/losses.py
+++ b/godwitladder/serving/losses.py
@@ -8,10 +8,10 @@
 from godwitladder.clock import Clock
 from godwitladder.decisions.losses import LossTable
 from godwitladder.ids import BodyDigest, TargetName
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.membership.codec import peer_message
 
-log = part_logger("losses")
+log = component_logger("losses")
 
 
 @peer_message
--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -15,7 +15,7 @@
 from godwitladder.clock import Clock
 from godwitladder.decisions.repeat_budget import RepeatBudget
 from godwitladder.engines.wire import MayHaveRun, NotSent, connect, send
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
 from godwitladder.routing.calls import HeaderForm, RoutedCall, SendFacts
@@ -30,7 +30,7 @@
 from godwitladder.serving.upstream import NotRun, WholeAnswer, is_stream, read_whole
 from godwitladder.serving.watch import CallWatch, Cause, OpenCall
 
-log = part_logger("passing")
+log = component_logger("passing")
 
 CONNECT_S = 0.3
 """A connection within a region takes 1 to 5 ms. A target that drops it is full
--- a/godwitladder/serving/streaming.py
+++ b/godwitladder/serving/streaming.py
@@ -6,7 +6,7 @@
 import urllib3
 
 from godwitladder.engines.wire import MayHaveRun, NotSent
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 from godwitladder.outcomes import Refusal, RequestState
 from godwitladder.serving.events import EventReader
 from godwitladder.serving.upstream import NotRun, StreamCut, is_stream
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from godwitladder.serving.passing import Passing
 
-log = part_logger("passing")
+log = component_logger("passing")
 
 
 class StreamPassing:
--- a/godwitladder/supervision.py
+++ b/godwitladder/supervision.py
@@ -11,9 +11,9 @@
 
 import pykka
 
-from godwitladder.logs import part_logger
+from godwitladder.logs import component_logger
 
-log = part_logger("supervision")
+log = component_logger("supervision")
 
 
 def supervised(
