--- a/bench/policies.py
+++ b/bench/policies.py
@@ -14,9 +14,9 @@
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.types import (
     Allocation,
-    DemandLine,
     Placement,
     PoolView,
+    RequestDemand,
     ShedReason,
     TargetView,
     Waiting,
@@ -183,7 +183,7 @@
         early_s = self.refused.early_s(arrival.workspace, body, now)
         if early_s:
             return Refused(arrival.request, early_s, shed=False)
-        line = DemandLine(
+        line = RequestDemand(
             request=arrival.request,
             workspace=arrival.workspace,
             service=SERVICE,
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -5,8 +5,8 @@
 
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.types import (
-    DemandLine,
     PoolView,
+    RequestDemand,
     TargetView,
     Waiting,
     WorkspaceView,
@@ -54,7 +54,7 @@
     """Add one waiting request."""
     workspace = WorkspaceName(f"workspace-{draw.randrange(WORKSPACES)}")
     pool.workspaces.setdefault(workspace, WorkspaceView())
-    line = DemandLine(
+    line = RequestDemand(
         request=RequestId(f"request-{index:05}"),
         workspace=workspace,
         service=SERVICE,
--- a/examples/allocation_in_memory.py
+++ b/examples/allocation_in_memory.py
@@ -7,8 +7,8 @@
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.types import (
     Allocation,
-    DemandLine,
     PoolView,
+    RequestDemand,
     TargetView,
     Waiting,
 )
@@ -18,7 +18,7 @@
 
 def waiting(name: str, rank: int, slack_s: float) -> Waiting:
     """Return a request for a letter of some 200 tokens."""
-    line = DemandLine(name, "advisers", "letters", rank, 500, 200, slack_s, 0.0)
+    line = RequestDemand(name, "advisers", "letters", rank, 500, 200, slack_s, 0.0)
     return Waiting("host-a1", line, NOW + slack_s, NOW)
 
 
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -36,11 +36,11 @@
 )
 from godwitladder.decisions.types import (
     Allocation,
-    DemandLine,
     Entry,
     GivenUp,
     Placement,
     PoolView,
+    RequestDemand,
     ShedReason,
     WorkspaceView,
 )
@@ -194,7 +194,7 @@
         in_time = entry.precedence_at(self.now).timeliness is Timeliness.IN_TIME
         return entry.row.aim - self.now if in_time else math.inf
 
-    def quota_wait_s(self, line: DemandLine) -> float:
+    def quota_wait_s(self, line: RequestDemand) -> float:
         """Return the seconds until the workspace's tokens allow ``line``."""
         promised = self.promised[line.workspace]
         return self.pool.quotas.wait_s(line.workspace, line.charge, self.now, promised)
--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -25,7 +25,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from godwitladder.decisions.types import DemandLine, Pace, PoolView, TargetView
+from godwitladder.decisions.types import Pace, PoolView, RequestDemand, TargetView
 from godwitladder.ids import ServiceName, TargetName
 
 MEMORY_SHARE = 0.9
@@ -90,16 +90,16 @@
             return False
         return not self.view.memory_tokens or tokens <= self.tokens or self.used == 0
 
-    def seconds(self, line: DemandLine) -> float:
+    def seconds(self, line: RequestDemand) -> float:
         """Return how long a request is likely to hold a slot here."""
         output = max(1, line.likely_tokens or line.predicted_tokens)
         return line.prompt_tokens * self.prefill_s + output * self.decode_s
 
-    def first_s(self, line: DemandLine) -> float:
+    def first_s(self, line: RequestDemand) -> float:
         """Return the seconds to the first output, behind what it is reading."""
         return self.stall_s() + self.alone_s(line)
 
-    def alone_s(self, line: DemandLine) -> float:
+    def alone_s(self, line: RequestDemand) -> float:
         """Return the seconds to the first output with nothing else to read."""
         return self.view.first_s + line.prompt_tokens * self.view.read_s
 
@@ -108,20 +108,20 @@
         fixed_s = self.unread_requests * self.view.first_s
         return fixed_s + self.unread * self.view.read_s
 
-    def pause_left_s(self, line: DemandLine) -> float:
+    def pause_left_s(self, line: RequestDemand) -> float:
         """Return how long streams here may stand still beside their usual pace."""
         if not line.gap_s:
             return math.inf
         return line.gap_s - line.event_tokens * self.decode_s
 
-    def keeps_pace(self, line: DemandLine, aim_s: float) -> bool:
+    def keeps_pace(self, line: RequestDemand, aim_s: float) -> bool:
         """Return whether ``line`` is in time here and delays no stream too much."""
         first_s = self.first_s(line)
         if first_s > aim_s:
             return False
         return not self.used or first_s <= self.pause_left_s(line)
 
-    def could_keep_pace(self, line: DemandLine, aim_s: float) -> bool:
+    def could_keep_pace(self, line: RequestDemand, aim_s: float) -> bool:
         """Return whether it would with nothing else to read."""
         alone_s = self.alone_s(line)
         return alone_s <= aim_s and alone_s <= self.pause_left_s(line)
@@ -177,7 +177,7 @@
 
     def choose(
         self,
-        line: DemandLine,
+        line: RequestDemand,
         budget_s: float,
         avoided: Collection[TargetName] = (),
         aim_s: float | None = None,
@@ -221,7 +221,7 @@
                 best, best_score = room, score
         return best
 
-    def lacks_memory(self, line: DemandLine) -> bool:
+    def lacks_memory(self, line: RequestDemand) -> bool:
         """Return whether a slot is free that has no memory for ``line``."""
         tokens = line.prompt_tokens + line.predicted_tokens
         return any(
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class DemandLine:
+class RequestDemand:
     """One waiting request.
 
     Attributes
@@ -267,7 +267,7 @@
     """
 
     host: HostId
-    line: DemandLine
+    line: RequestDemand
     deadline: float
     arrived: float
     avoided: frozenset[TargetName] = frozenset()
--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from godwitladder.decisions.types import DemandLine, Grant, TargetUse
+from godwitladder.decisions.types import Grant, RequestDemand, TargetUse
 from godwitladder.ids import (
     HostId,
     Incarnation,
@@ -108,7 +108,7 @@
     next_number: int = 1
     uses: dict[TargetName, TargetUse] = field(default_factory=dict)
     workspaces: dict[WorkspaceName, int] = field(default_factory=dict)
-    lines: dict[RequestId, DemandLine] = field(default_factory=dict)
+    lines: dict[RequestId, RequestDemand] = field(default_factory=dict)
     more_waiting: int = 0
     avoided: frozenset[TargetName] = frozenset()
     allowances: deque[SentAllowances] = field(default_factory=deque)
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -20,7 +20,7 @@
 
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.quotas import Spent
-from godwitladder.decisions.types import DemandLine, Grant, PoolName, Shed, TargetUse
+from godwitladder.decisions.types import Grant, PoolName, RequestDemand, Shed, TargetUse
 from godwitladder.ids import (
     HostId,
     Incarnation,
@@ -126,7 +126,7 @@
         The allocator's term, and the last of its offers taken in.
     uses : tuple of TargetUse
         Requests running, and grants held for requests that can't go yet.
-    lines : tuple of DemandLine
+    lines : tuple of RequestDemand
         The first requests in the host's order; if the report tells of changes,
         those of them that the reports before it did not hold.
     rest : tuple of TierCount
@@ -157,7 +157,7 @@
     acked_offer: int
     uses: tuple[TargetUse, ...] = ()
     workspaces: tuple[WorkspaceUse, ...] = ()
-    lines: tuple[DemandLine, ...] = ()
+    lines: tuple[RequestDemand, ...] = ()
     unlisted: tuple[TierCount, ...] = ()
     avoided: tuple[TargetName, ...] = ()
     completions: tuple[Completion, ...] = ()
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -7,7 +7,7 @@
 from collections import Counter
 
 from godwitladder.decisions.rendezvous import choose_host
-from godwitladder.decisions.types import DemandLine, Shed, ShedReason, TargetUse
+from godwitladder.decisions.types import RequestDemand, Shed, ShedReason, TargetUse
 from godwitladder.ids import BodyDigest, HostId
 from godwitladder.outcomes import Reason, RequestState, refuse
 from godwitladder.scheduler.access import PoolAccess
@@ -288,9 +288,9 @@
     return tuple(WorkspaceUse(*item) for item in sorted(counts.items()))
 
 
-def make_line(tables: Tables, row: RequestRow, now: float) -> DemandLine:
+def make_line(tables: Tables, row: RequestRow, now: float) -> RequestDemand:
     """Return the line of one waiting request."""
-    return DemandLine(
+    return RequestDemand(
         request=row.request,
         workspace=row.workspace,
         service=row.service,
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -9,8 +9,8 @@
 from godwitladder.configuration.model import TargetState
 from godwitladder.decisions.forecast import Unread
 from godwitladder.decisions.types import (
-    DemandLine,
     PoolView,
+    RequestDemand,
     TargetView,
     Waiting,
     WorkspaceView,
@@ -53,7 +53,7 @@
 def take_line(
     role: "PoolRole",
     host: HostId,
-    line: DemandLine,
+    line: RequestDemand,
     now: float,
     before: Waiting | None,
 ) -> Waiting:
--- a/tests/decisions/pools.py
+++ b/tests/decisions/pools.py
@@ -1,8 +1,8 @@
 """Pools for the tests of the decisions."""
 
 from godwitladder.decisions.types import (
-    DemandLine,
     PoolView,
+    RequestDemand,
     TargetView,
     Waiting,
     WorkspaceView,
@@ -19,7 +19,7 @@
 def add(pool, request, rank=0, workspace="w0", deadline=60.0, arrived=0.0, **more):
     """Add a waiting request; a usual one takes two seconds."""
     lengths = {"prompt_tokens": 500, "predicted_tokens": 95, "service": "chat"}
-    line = DemandLine(
+    line = RequestDemand(
         request=request,
         workspace=workspace,
         tier_rank=rank,
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -5,7 +5,7 @@
 import pytest
 
 from godwitladder.configuration.model import TargetState
-from godwitladder.decisions.types import DemandLine, Shed, ShedReason, TargetUse
+from godwitladder.decisions.types import RequestDemand, Shed, ShedReason, TargetUse
 from godwitladder.ids import HostId, Zone
 from godwitladder.outcomes import Reason, RequestState
 from godwitladder.scheduler.access import REACH_S
@@ -131,7 +131,7 @@
     the warm-up.
     """
     config = make_config({"e0": 4})
-    line = DemandLine("r", "advisers", "letters", 0, 10, 10, 60.0, 0.0)
+    line = RequestDemand("r", "advisers", "letters", 0, 10, 10, 60.0, 0.0)
     role = make_role("h0", config, START)
     report = PoolReport("h0", 1, role.pool.name, 1, 0.0, 0, 0, lines=(line,))
     role.take_report(report, START)
--- a/tests/scheduler/test_allocator.py
+++ b/tests/scheduler/test_allocator.py
@@ -4,7 +4,7 @@
 
 from godwitladder.clock import PausedClock
 from godwitladder.decisions.rendezvous import choose_host
-from godwitladder.decisions.types import DemandLine
+from godwitladder.decisions.types import RequestDemand
 from godwitladder.membership.router import Router
 from godwitladder.scheduler.allocator import Allocator, AllocatorTables
 from godwitladder.scheduler.exchange import FloorReport, GrantOffer, PoolReport
@@ -19,7 +19,7 @@
 from tests.scheduler.desk import make_config
 
 HOSTS = ("h0", "h1", "h2")
-LINE = DemandLine("r", "advisers", "letters", 0, 10, 10, 60.0, 0.0)
+LINE = RequestDemand("r", "advisers", "letters", 0, 10, 10, 60.0, 0.0)
 
 
 def make_allocator(host: str, hosts=HOSTS):
