--- a/godwitladder/logs.py
+++ b/godwitladder/logs.py
@@ -21,7 +21,7 @@
 BURST_LINES = 400.0
 
 
-class PartLogger(logging.LoggerAdapter):
+class ComponentLogger(logging.LoggerAdapter):
     """A logger that puts the part's name before each short sentence."""
 
     def process(self, msg, kwargs):
@@ -85,9 +85,9 @@
             self.target.handle(self.lines.get())
 
 
-def component_logger(part: str) -> PartLogger:
+def component_logger(part: str) -> ComponentLogger:
     """Return the logger of ``part``."""
-    return PartLogger(logging.getLogger(f"godwitladder.{part}"), {"part": part})
+    return ComponentLogger(logging.getLogger(f"godwitladder.{part}"), {"part": part})
 
 
 def configure_logs(level: str = "INFO") -> None:
