--- a/bench/policies.py
+++ b/bench/policies.py
@@ -19,7 +19,7 @@
     RequestDemand,
     ShedReason,
     TargetView,
-    Waiting,
+    WaitingRequest,
     WorkspaceView,
 )
 from godwitladder.ids import (
@@ -200,7 +200,9 @@
             ),
             repeats=self.refused.count(arrival.workspace, body, now),
         )
-        self.pool.waiting[arrival.request] = Waiting(HOST, line, arrival.deadline, now)
+        self.pool.waiting[arrival.request] = WaitingRequest(
+            HOST, line, arrival.deadline, now
+        )
         self.pool.workspaces.setdefault(arrival.workspace, WorkspaceView())
         self.declared[arrival.request] = arrival.declared
         return None
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -8,7 +8,7 @@
     PoolView,
     RequestDemand,
     TargetView,
-    Waiting,
+    WaitingRequest,
     WorkspaceView,
 )
 from godwitladder.ids import (
@@ -65,13 +65,15 @@
         waited_s=0.0,
     )
     deadline = slack_s * (1.0 + draw.random())
-    pool.waiting[line.request] = Waiting(HostId("host"), line, deadline, 0.0)
+    pool.waiting[line.request] = WaitingRequest(HostId("host"), line, deadline, 0.0)
 
 
 def fresh_rows(pool: PoolView) -> None:
     """Replace each row by one that was never weighed, as new reports do."""
     for request, row in list(pool.waiting.items()):
-        pool.waiting[request] = Waiting(row.host, row.line, row.deadline, row.arrived)
+        pool.waiting[request] = WaitingRequest(
+            row.host, row.line, row.deadline, row.arrived
+        )
 
 
 def time_runs(waiting: int, slack_s: float, fresh: bool, refuse: bool) -> list[float]:
--- a/examples/allocation_in_memory.py
+++ b/examples/allocation_in_memory.py
@@ -10,16 +10,16 @@
     PoolView,
     RequestDemand,
     TargetView,
-    Waiting,
+    WaitingRequest,
 )
 
 NOW = 100.0
 
 
-def waiting(name: str, rank: int, slack_s: float) -> Waiting:
+def waiting(name: str, rank: int, slack_s: float) -> WaitingRequest:
     """Return a request for a letter of some 200 tokens."""
     line = RequestDemand(name, "advisers", "letters", rank, 500, 200, slack_s, 0.0)
-    return Waiting("host-a1", line, NOW + slack_s, NOW)
+    return WaitingRequest("host-a1", line, NOW + slack_s, NOW)
 
 
 def main() -> Allocation:
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -19,7 +19,7 @@
 from godwitladder.decisions.capacity import Capacity, ServiceCapacity
 from godwitladder.decisions.shares import Precedence, Timeliness
 from godwitladder.decisions.sizes import CallSizes
-from godwitladder.decisions.types import Entry, Pace, Waiting
+from godwitladder.decisions.types import Entry, Pace, WaitingRequest
 from godwitladder.ids import ServiceName
 
 MARGIN = 1.25
@@ -72,7 +72,7 @@
         self.groups: dict[tuple[Precedence, ServiceName], Group] = {}
         self.expired: list[Entry] = []
 
-    def sort(self, rows: list[Waiting], now: float) -> list[Entry]:
+    def sort(self, rows: list[WaitingRequest], now: float) -> list[Entry]:
         """Take ``rows`` in; return the new ones."""
         paces: dict[ServiceName, Pace] = {}
         fresh = []
@@ -93,7 +93,7 @@
                 self._add(entry, now)
         return fresh
 
-    def weigh(self, row: Waiting, pace: Pace) -> Entry:
+    def weigh(self, row: WaitingRequest, pace: Pace) -> Entry:
         """Return ``row`` with what it needs on the fastest target."""
         entry = weigh(row, pace)
         if self.sizes is not None:
@@ -142,7 +142,7 @@
             group.soonest = entry.safe
 
 
-def weigh(row: Waiting, pace: Pace) -> Entry:
+def weigh(row: WaitingRequest, pace: Pace) -> Entry:
     """Return ``row`` with what it needs on the fastest target."""
     line = row.line
     prefill_s, decode_s = pace
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -248,7 +248,7 @@
 
 
 @dataclass
-class Waiting:
+class WaitingRequest:
     """A demand line at the allocator; times are of the allocator's clock.
 
     Attributes
@@ -317,7 +317,7 @@
         Age of what is known here of the hosts' requests and targets.
     """
 
-    waiting: dict[RequestId, Waiting] = field(default_factory=dict)
+    waiting: dict[RequestId, WaitingRequest] = field(default_factory=dict)
     targets: dict[TargetName, TargetView] = field(default_factory=dict)
     workspaces: dict[WorkspaceName, WorkspaceView] = field(default_factory=dict)
     floors: dict[PoolName, int] = field(default_factory=dict)
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -28,7 +28,7 @@
     PoolView,
     Shed,
     TargetView,
-    Waiting,
+    WaitingRequest,
 )
 from godwitladder.ids import (
     HostId,
@@ -150,7 +150,7 @@
         self.forecast = ReadingForecast()
         self.memory = AllocatorMemory()
         self.quotas = QuotaBook()
-        self.rows: dict[RequestId, Waiting] = {}
+        self.rows: dict[RequestId, WaitingRequest] = {}
         self.loads = LoadReports()
         self.delays = ReportDelays()
         self.shed_rank = NO_RANK
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -12,7 +12,7 @@
     PoolView,
     RequestDemand,
     TargetView,
-    Waiting,
+    WaitingRequest,
     WorkspaceView,
 )
 from godwitladder.ids import HostId, TargetName, WorkspaceName
@@ -55,8 +55,8 @@
     host: HostId,
     line: RequestDemand,
     now: float,
-    before: Waiting | None,
-) -> Waiting:
+    before: WaitingRequest | None,
+) -> WaitingRequest:
     """Return a demand line as of ``now``, with its times by the allocator's clock.
 
     The aim counts from when the caller first asked, also if it was refused
@@ -81,7 +81,7 @@
             role.quotas.rate_of(line.workspace, now),
             now,
         )
-    return Waiting(
+    return WaitingRequest(
         host,
         line,
         now + line.slack_s,
--- a/tests/decisions/pools.py
+++ b/tests/decisions/pools.py
@@ -4,7 +4,7 @@
     PoolView,
     RequestDemand,
     TargetView,
-    Waiting,
+    WaitingRequest,
     WorkspaceView,
 )
 
@@ -27,7 +27,7 @@
         waited_s=0.0,
         **(lengths | more),
     )
-    pool.waiting[request] = Waiting("host", line, deadline, arrived)
+    pool.waiting[request] = WaitingRequest("host", line, deadline, arrived)
     pool.workspaces.setdefault(workspace, WorkspaceView())
 
 
