--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -7,6 +7,7 @@
 from aioprometheus import Gauge
 from waitress.server import TcpWSGIServer
 
+from godwitladder.base_host import HostParts
 from godwitladder.clients.hosts import HostListClient, HostListUnavailable
 from godwitladder.clients.log import LogClient
 from godwitladder.clients.weights import WeightClient
@@ -33,7 +34,6 @@
 from godwitladder.metrics import Metrics
 from godwitladder.orders.issuer import OrderIssuer
 from godwitladder.orders.stream import OrderStream
-from godwitladder.parts import HostParts
 from godwitladder.scheduler.actor import Scheduler
 from godwitladder.scheduler.allocator import Allocator, AllocatorTables
 from godwitladder.scheduler.load import LoadReader
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -9,6 +9,7 @@
 
 from waitress.server import TcpWSGIServer
 
+from godwitladder.base_host import HostParts
 from godwitladder.clock import Clock
 from godwitladder.decisions.repeat_budget import RepeatBounds, RepeatBudget
 from godwitladder.discovery.feed import Feed, StoreView
@@ -35,7 +36,6 @@
 from godwitladder.membership.messages import Heartbeat
 from godwitladder.membership.router import Router
 from godwitladder.metrics import Metrics
-from godwitladder.parts import HostParts
 from godwitladder.routing.app import ReadinessApp, RoutedApp, put_in_force
 from godwitladder.routing.calls import HeaderForm
 from godwitladder.routing.currency import Currency
