--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -36,10 +36,10 @@
 )
 from godwitladder.decisions.types import (
     Allocation,
-    Entry,
     GivenUp,
     Placement,
     PoolView,
+    QueueEntry,
     RequestDemand,
     ShedReason,
     WorkspaceView,
@@ -68,7 +68,7 @@
     return run.allocation
 
 
-def flow_of(entry: Entry) -> Flow:
+def flow_of(entry: QueueEntry) -> Flow:
     """Return whose calls of which service ``entry`` is one of."""
     return entry.row.line.service, entry.row.line.workspace
 
@@ -94,7 +94,7 @@
             name: view.running for name, view in pool.workspaces.items() if view.quota
         }
 
-    def count_offered(self, entry: Entry, number: float) -> None:
+    def count_offered(self, entry: QueueEntry, number: float) -> None:
         """Add ``number`` to what lately came with the precedence of ``entry``."""
         offered = self.pool.memory.offered
         offered[entry.precedence] = offered.get(entry.precedence, 0.0) + number
@@ -165,7 +165,7 @@
             self.capacity.of(service).hold_roomiest()
         return placed
 
-    def place(self, entry: Entry) -> bool:
+    def place(self, entry: QueueEntry) -> bool:
         """Place one request if a target takes it."""
         line = entry.row.line
         part = self.capacity.of(line.service)
@@ -187,7 +187,7 @@
         )
         return True
 
-    def aim_s(self, entry: Entry) -> float | None:
+    def aim_s(self, entry: QueueEntry) -> float | None:
         """Return the seconds left for the first output; None if any will do."""
         if not self.pool.policy.keeps_pace:
             return None
@@ -199,7 +199,7 @@
         promised = self.promised[line.workspace]
         return self.pool.quotas.wait_s(line.workspace, line.charge, self.now, promised)
 
-    def patience_s(self, entry: Entry) -> float:
+    def patience_s(self, entry: QueueEntry) -> float:
         """Return the seconds for which ``entry`` may wait for its quota.
 
         A quota fills all the time: refused at once, a caller who could be served in
@@ -211,14 +211,14 @@
         until = entry.aim if self.now <= entry.aim else entry.latest
         return until - self.now
 
-    def refuse_quota(self, entry: Entry, wait_s: float) -> None:
+    def refuse_quota(self, entry: QueueEntry, wait_s: float) -> None:
         """Refuse what is beyond its workspace's tokens: nobody is owed it."""
         if not entry.row.returned:
             self.count_offered(entry, -1.0)
         row = GivenUp(entry.row.line.request, ShedReason.QUOTA, wait_s)
         self.allocation.given_up.append(row)
 
-    def note(self, entry: Entry, room: Room, long: bool) -> None:
+    def note(self, entry: QueueEntry, room: Room, long: bool) -> None:
         """Remember a placement for the next runs."""
         line = entry.row.line
         memory = self.pool.memory
@@ -260,7 +260,7 @@
         below = give_up_below(self.backlog, rank, self.capacity.services)
         self.drop(below, ShedReason.OVERLOAD)
 
-    def drop(self, entries: Iterable[Entry], reason: ShedReason) -> None:
+    def drop(self, entries: Iterable[QueueEntry], reason: ShedReason) -> None:
         """Give ``entries`` up for ``reason``."""
         waits: dict[tuple[ServiceName, Precedence], float] = {}
         for entry in entries:
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -19,7 +19,7 @@
 from godwitladder.decisions.capacity import Capacity, ServiceCapacity
 from godwitladder.decisions.shares import Precedence, Timeliness
 from godwitladder.decisions.sizes import CallSizes
-from godwitladder.decisions.types import Entry, Pace, WaitingRequest
+from godwitladder.decisions.types import Pace, QueueEntry, WaitingRequest
 from godwitladder.ids import ServiceName
 
 MARGIN = 1.25
@@ -41,11 +41,11 @@
     precedence: Precedence
     service: ServiceName
     part: ServiceCapacity
-    entries: list[Entry] = field(default_factory=list)
+    entries: list[QueueEntry] = field(default_factory=list)
     work_s: float = 0.0
     soonest: float = float("inf")
 
-    def keep(self, entries: list[Entry]) -> None:
+    def keep(self, entries: list[QueueEntry]) -> None:
         """Replace the requests by ``entries``, which are some of them."""
         self.entries = entries
         self.work_s = sum(entry.slot_s for entry in entries)
@@ -70,9 +70,9 @@
         self.capacity = capacity
         self.sizes = sizes
         self.groups: dict[tuple[Precedence, ServiceName], Group] = {}
-        self.expired: list[Entry] = []
+        self.expired: list[QueueEntry] = []
 
-    def sort(self, rows: list[WaitingRequest], now: float) -> list[Entry]:
+    def sort(self, rows: list[WaitingRequest], now: float) -> list[QueueEntry]:
         """Take ``rows`` in; return the new ones."""
         paces: dict[ServiceName, Pace] = {}
         fresh = []
@@ -93,7 +93,7 @@
                 self._add(entry, now)
         return fresh
 
-    def weigh(self, row: WaitingRequest, pace: Pace) -> Entry:
+    def weigh(self, row: WaitingRequest, pace: Pace) -> QueueEntry:
         """Return ``row`` with what it needs on the fastest target."""
         entry = weigh(row, pace)
         if self.sizes is not None:
@@ -129,7 +129,7 @@
         slots = max(1, self.capacity.of(service).slots)
         return self.work_s(service, precedence) / slots
 
-    def _add(self, entry: Entry, now: float) -> None:
+    def _add(self, entry: QueueEntry, now: float) -> None:
         service, precedence = entry.row.line.service, entry.precedence_at(now)
         group = self.groups.get((precedence, service))
         if group is None:
@@ -142,7 +142,7 @@
             group.soonest = entry.safe
 
 
-def weigh(row: WaitingRequest, pace: Pace) -> Entry:
+def weigh(row: WaitingRequest, pace: Pace) -> QueueEntry:
     """Return ``row`` with what it needs on the fastest target."""
     line = row.line
     prefill_s, decode_s = pace
@@ -157,7 +157,7 @@
     late = Timeliness.CAME_BACK if row.returned else Timeliness.LATE
     if not row.entitled:
         in_time = late = Timeliness.BEYOND_QUOTA
-    return Entry(
+    return QueueEntry(
         row,
         slot_s,
         min(latest, row.start_by),
--- a/godwitladder/decisions/fairness.py
+++ b/godwitladder/decisions/fairness.py
@@ -14,7 +14,7 @@
 import heapq
 from collections.abc import Iterable, Mapping
 
-from godwitladder.decisions.types import Entry, WorkspaceView
+from godwitladder.decisions.types import QueueEntry, WorkspaceView
 from godwitladder.ids import WorkspaceName
 
 # Added to the latest start, these order requests in one number: sorting by
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        entries: Iterable[Entry],
+        entries: Iterable[QueueEntry],
         workspaces: Mapping[WorkspaceName, WorkspaceView],
         spent: Mapping[WorkspaceName, float],
         now: float,
@@ -66,7 +66,7 @@
         ]
         heapq.heapify(self.turns)
 
-    def pop(self) -> Entry | None:
+    def pop(self) -> QueueEntry | None:
         """Take the next request out, and charge its workspace for this run."""
         if not self.turns:
             return None
@@ -85,7 +85,7 @@
         self.turns = [turn for turn in self.turns if turn[1] != name]
         heapq.heapify(self.turns)
 
-    def ordered(self) -> list[Entry]:
+    def ordered(self) -> list[QueueEntry]:
         """Return all that is queued in the order in which it would start.
 
         The same as repeated `pop`, by sorting, which is faster when all are
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -40,9 +40,9 @@
 from godwitladder.decisions.backoff import retry_after_s
 from godwitladder.decisions.fairness import TierQueue
 from godwitladder.decisions.types import (
-    Entry,
     GivenUp,
     PoolView,
+    QueueEntry,
     ShedReason,
 )
 from godwitladder.ids import RequestId, ServiceName
@@ -53,7 +53,7 @@
 SPILL_MOST = 64
 
 
-def was_possible(entry: Entry) -> bool:
+def was_possible(entry: QueueEntry) -> bool:
     """Return whether an idle pool could have served it in time."""
     return entry.row.arrived <= entry.latest
 
@@ -66,14 +66,14 @@
     return True
 
 
-def refuse_early(backlog: Backlog, pool: PoolView, now: float) -> list[Entry]:
+def refuse_early(backlog: Backlog, pool: PoolView, now: float) -> list[QueueEntry]:
     """Take out and return what can't start in time, of the lowest tier.
 
     When all of that tier is gone the next one is looked at, and so on up.
     """
     if not is_time_to_refuse(pool, now):
         return []
-    refused: list[Entry] = []
+    refused: list[QueueEntry] = []
     lowest_elsewhere = max(pool.floors.values(), default=-1)
     for precedence in reversed(backlog.precedences()):
         if precedence.rank < lowest_elsewhere:
@@ -88,7 +88,7 @@
 
 def refuse_late(
     group: Group, backlog: Backlog, pool: PoolView, now: float
-) -> list[Entry]:
+) -> list[QueueEntry]:
     """Take out and return the requests of ``group`` that can't start in time."""
     slots = left_for(group, pool)
     if not slots:
@@ -119,7 +119,7 @@
 
 def project(
     queue: TierQueue, ahead_s: float, slots: float, now: float, first: bool
-) -> tuple[list[Entry], list[Entry]]:
+) -> tuple[list[QueueEntry], list[QueueEntry]]:
     """Split requests into those that can start in time and those that can't.
 
     Parameters
@@ -133,8 +133,8 @@
         when half of its kind would be late: nothing better can use its slot.
         With the safe time it was refused while slots came free.
     """
-    kept: list[Entry] = []
-    late: list[Entry] = []
+    kept: list[QueueEntry] = []
+    late: list[QueueEntry] = []
     for entry in queue.ordered():
         if now + ahead_s / slots <= (entry.latest if first else entry.safe):
             kept.append(entry)
@@ -146,9 +146,9 @@
 
 def give_up_below(
     backlog: Backlog, rank: int, services: Iterable[ServiceName]
-) -> list[Entry]:
+) -> list[QueueEntry]:
     """Take out and return what waits below ``rank`` for targets of ``services``."""
-    given_up: list[Entry] = []
+    given_up: list[QueueEntry] = []
     rivals = find_rivals(backlog, services)
     for group in backlog.groups.values():
         if group.precedence.rank > rank and group.service in rivals:
@@ -172,7 +172,7 @@
     """Return the requests that another zone should be asked for."""
     offered: list[RequestId] = []
     for precedence in backlog.precedences():
-        late: list[Entry] = []
+        late: list[QueueEntry] = []
         for group in backlog.at(precedence):
             if backlog.wait_s(group.service, precedence) > SPILL_AFTER_S:
                 late += group.entries
@@ -182,7 +182,7 @@
     return offered
 
 
-def give_up(entry: Entry, reason: ShedReason, backlog_s: float) -> GivenUp:
+def give_up(entry: QueueEntry, reason: ShedReason, backlog_s: float) -> GivenUp:
     """Return the refusal of ``entry``."""
     line = entry.row.line
     wait = retry_after_s(backlog_s, line.request, line.repeats)
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -207,7 +207,7 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class QueueEntry:
     """A waiting request as `allocate` weighs it.
 
     Attributes
@@ -276,7 +276,7 @@
     asked: float | None = None
     entitled: bool = True
     counted: bool = False
-    entry: Entry | None = field(default=None, compare=False, repr=False)
+    entry: QueueEntry | None = field(default=None, compare=False, repr=False)
 
     def __post_init__(self) -> None:
         if self.asked is None:
--- a/godwitladder/decisions/untimely.py
+++ b/godwitladder/decisions/untimely.py
@@ -22,29 +22,29 @@
 from godwitladder.decisions.fairness import TierQueue
 from godwitladder.decisions.shares import Timeliness
 from godwitladder.decisions.shedding import is_time_to_refuse
-from godwitladder.decisions.types import Entry, PoolView
+from godwitladder.decisions.types import PoolView, QueueEntry
 
 LATE_AIMS = 2.0
 LEAST_RATE = 0.01
 
 
-def refuse_untimely(backlog: Backlog, pool: PoolView, now: float) -> list[Entry]:
+def refuse_untimely(backlog: Backlog, pool: PoolView, now: float) -> list[QueueEntry]:
     """Take out and return what will not start in time, at any precedence."""
     if not is_time_to_refuse(pool, now):
         return []
-    refused: list[Entry] = []
+    refused: list[QueueEntry] = []
     for group in backlog.groups.values():
         refused += take_untimely(group, pool, now)
     return refused
 
 
-def take_untimely(group: Group, pool: PoolView, now: float) -> list[Entry]:
+def take_untimely(group: Group, pool: PoolView, now: float) -> list[QueueEntry]:
     """Take out and return the requests of ``group`` that will not start in time."""
     if not group.part.slots:
         return []
     rate = max(left_over(group, pool), pool.memory.rate(group.precedence), LEAST_RATE)
-    kept: list[Entry] = []
-    late: list[Entry] = []
+    kept: list[QueueEntry] = []
+    late: list[QueueEntry] = []
     ahead_s = 0.0
     queue = TierQueue(group.entries, pool.workspaces, pool.memory.spent, now)
     for entry in queue.ordered():
@@ -66,7 +66,7 @@
     return min(flow, group.part.slots) - pool.memory.rate_before(group.precedence)
 
 
-def start_limit(entry: Entry, group: Group) -> float:
+def start_limit(entry: QueueEntry, group: Group) -> float:
     """Return the time by which ``entry`` has to start."""
     if group.precedence.timeliness is Timeliness.IN_TIME:
         return min(entry.aim, entry.latest)
