--- a/godwitladder/base_host.py
+++ b/godwitladder/base_host.py
@@ -21,7 +21,7 @@
 IDLE_LOOKS = 3
 
 
-class HostParts:
+class BaseHost:
     """Actors, parts with threads and servers of one host.
 
     Parameters
--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -7,7 +7,7 @@
 from aioprometheus import Gauge
 from waitress.server import TcpWSGIServer
 
-from godwitladder.base_host import HostParts
+from godwitladder.base_host import BaseHost
 from godwitladder.clients.hosts import HostListClient, HostListUnavailable
 from godwitladder.clients.log import LogClient
 from godwitladder.clients.weights import WeightClient
@@ -65,7 +65,7 @@
 FAILED_EXIT = 70
 
 
-class EntryHost(HostParts):
+class EntryHost(BaseHost):
     """All parts of one host, owned by one exit stack.
 
     Parameters
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -9,7 +9,7 @@
 
 from waitress.server import TcpWSGIServer
 
-from godwitladder.base_host import HostParts
+from godwitladder.base_host import BaseHost
 from godwitladder.clock import Clock
 from godwitladder.decisions.repeat_budget import RepeatBounds, RepeatBudget
 from godwitladder.discovery.feed import Feed, StoreView
@@ -69,7 +69,7 @@
 FAILED_EXIT = 70
 
 
-class RoutingHost(HostParts):
+class RoutingHost(BaseHost):
     """All parts of one host, owned by one exit stack.
 
     Parameters
