--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -36,11 +36,11 @@
 )
 from godwitladder.decisions.types import (
     Allocation,
-    GivenUp,
     Placement,
     PoolView,
     QueueEntry,
     RequestDemand,
+    ShedDecision,
     ShedReason,
     WorkspaceView,
 )
@@ -215,7 +215,7 @@
         """Refuse what is beyond its workspace's tokens: nobody is owed it."""
         if not entry.row.returned:
             self.count_offered(entry, -1.0)
-        row = GivenUp(entry.row.line.request, ShedReason.QUOTA, wait_s)
+        row = ShedDecision(entry.row.line.request, ShedReason.QUOTA, wait_s)
         self.allocation.given_up.append(row)
 
     def note(self, entry: QueueEntry, room: Room, long: bool) -> None:
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -40,9 +40,9 @@
 from godwitladder.decisions.backoff import retry_after_s
 from godwitladder.decisions.fairness import TierQueue
 from godwitladder.decisions.types import (
-    GivenUp,
     PoolView,
     QueueEntry,
+    ShedDecision,
     ShedReason,
 )
 from godwitladder.ids import RequestId, ServiceName
@@ -182,8 +182,8 @@
     return offered
 
 
-def give_up(entry: QueueEntry, reason: ShedReason, backlog_s: float) -> GivenUp:
+def give_up(entry: QueueEntry, reason: ShedReason, backlog_s: float) -> ShedDecision:
     """Return the refusal of ``entry``."""
     line = entry.row.line
     wait = retry_after_s(backlog_s, line.request, line.repeats)
-    return GivenUp(line.request, reason, wait)
+    return ShedDecision(line.request, reason, wait)
