--- a/godwitladder/base_host.py
+++ b/godwitladder/base_host.py
@@ -55,7 +55,7 @@
         self.stack.callback(actor.stop)
         return actor
 
-    def start_part(self, part: Any, *args: Any) -> None:
+    def start_component(self, part: Any, *args: Any) -> None:
         """Start a part that stops with the host."""
         part.start(*args)
         self.stack.callback(part.stop)
--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -183,12 +183,12 @@
         self.mesh.start()
         self.stack.callback(self.mesh.close)
         idle_tick_s = self.settings.scheduler.idle_tick_s
-        self.start_part(self.ticker, self.scheduler)
-        self.start_part(Ticker(self.clock, idle_tick_s), self.allocator)
+        self.start_component(self.ticker, self.scheduler)
+        self.start_component(Ticker(self.clock, idle_tick_s), self.allocator)
         heartbeat_s = self.settings.peers.heartbeat_s
-        self.start_part(Ticker(self.clock, heartbeat_s), self.membership)
-        self.start_part(self.orders)
-        self.start_part(LoadReader(self.allocator, self.clock))
+        self.start_component(Ticker(self.clock, heartbeat_s), self.membership)
+        self.start_component(self.orders)
+        self.start_component(LoadReader(self.allocator, self.clock))
         self.keys.start(idle_tick_s)
         self.follower.start()
         self.stack.callback(self.follower.stop)
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -255,12 +255,12 @@
         settings = self.settings
         self.mesh.start()
         self.stack.callback(self.mesh.close)
-        self.start_part(self.ticker, self.scheduler)
-        self.start_part(Ticker(self.clock, IDLE_TICK_S), self.allocator)
+        self.start_component(self.ticker, self.scheduler)
+        self.start_component(Ticker(self.clock, IDLE_TICK_S), self.allocator)
         heartbeat_s = settings.peers.heartbeat_s
-        self.start_part(Ticker(self.clock, heartbeat_s), self.membership)
-        self.start_part(self.watch)
-        self.start_part(self.feed)
+        self.start_component(Ticker(self.clock, heartbeat_s), self.membership)
+        self.start_component(self.watch)
+        self.start_component(self.feed)
         threading.Thread(target=self.follow_hosts, name="hosts", daemon=True).start()
         listen, threads = settings.listen, settings.limits.threads
         self.caller_server = self.serve(self.app, listen.callers, threads)
