--- a/bench/policies.py
+++ b/bench/policies.py
@@ -239,7 +239,7 @@
     def give_up(self, allocation: Allocation, now: float) -> list[Refused]:
         """Account for what is refused."""
         refusals = []
-        for given_up in allocation.given_up:
+        for given_up in allocation.sheds:
             row = self.pool.waiting.pop(given_up.request)
             body = BodyDigest(given_up.request.rstrip("+"))
             wait = given_up.retry_after_s
--- a/examples/allocation_in_memory.py
+++ b/examples/allocation_in_memory.py
@@ -33,7 +33,7 @@
     allocation = allocate(pool, NOW)
     for placed in allocation.placements:
         print(f"{placed.request} goes to {placed.target}")
-    for lost in allocation.given_up:
+    for lost in allocation.sheds:
         print(f"{lost.request} is given up: {lost.reason.value}")
     return allocation
 
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -216,7 +216,7 @@
         if not entry.row.returned:
             self.count_offered(entry, -1.0)
         row = ShedDecision(entry.row.line.request, ShedReason.QUOTA, wait_s)
-        self.allocation.given_up.append(row)
+        self.allocation.sheds.append(row)
 
     def note(self, entry: QueueEntry, room: Room, long: bool) -> None:
         """Remember a placement for the next runs."""
@@ -276,7 +276,7 @@
             if reason is not ShedReason.QUOTA:
                 self.pool.memory.admission.shed[flow_of(entry)] += 1
             self.pool.memory.callers.note(line.body, entry.row.asked, self.now)
-            self.allocation.given_up.append(give_up(entry, reason, waits[key]))
+            self.allocation.sheds.append(give_up(entry, reason, waits[key]))
 
     def note_shed(self, rank: int) -> None:
         """Remember the most important tier that was shed."""
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -365,7 +365,7 @@
     """
 
     placements: list[Placement] = field(default_factory=list)
-    given_up: list[ShedDecision] = field(default_factory=list)
+    sheds: list[ShedDecision] = field(default_factory=list)
     spill: list[RequestId] = field(default_factory=list)
     floor: int | None = None
     shed_rank: int | None = None
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -333,7 +333,7 @@
             self.hints.note_dispatch(row.target, waiting.line.prefix, now)
             self.note_reading(row.target, waiting.line.prompt_tokens, now)
             offerings.setdefault(waiting.host, Offering()).grants.append(grant)
-        for row in allocation.given_up:
+        for row in allocation.sheds:
             waiting = view.waiting[row.request]
             shed = Shed(
                 waiting.host,
--- a/tests/decisions/pools.py
+++ b/tests/decisions/pools.py
@@ -43,9 +43,9 @@
         target.used += 1
         target.reserved_tokens += placement.reserved_tokens
         pool.workspaces[row.line.workspace].running += 1
-    for given_up in allocation.given_up:
+    for given_up in allocation.sheds:
         del pool.waiting[given_up.request]
 
 
 def given_up(allocation):
-    return {row.request: row.reason for row in allocation.given_up}
+    return {row.request: row.reason for row in allocation.sheds}
--- a/tests/decisions/test_allocation.py
+++ b/tests/decisions/test_allocation.py
@@ -73,7 +73,7 @@
         before = dict(pool.waiting)
         allocation = allocate(pool, now)
         decided = [row.request for row in allocation.placements]
-        decided += [row.request for row in allocation.given_up]
+        decided += [row.request for row in allocation.sheds]
         assert len(decided) == len(set(decided)) and set(decided) <= set(before)
         take(pool, allocation)
         check_bounds(pool, before, allocation)
@@ -93,7 +93,7 @@
 
 def check_order(pool, before, allocation):
     """No request is shed while one of a lower tier is kept for its targets."""
-    for row in allocation.given_up:
+    for row in allocation.sheds:
         line = before[row.request].line
         could_ever = row.reason is ShedReason.OVERLOAD or (
             row.reason is ShedReason.DEADLINE
@@ -141,7 +141,7 @@
     add(pool, "same", rank=1, deadline=500.0)
     add(pool, "low", rank=2, deadline=500.0)
     add(pool, "other", rank=2, deadline=500.0, service="call")
-    assert not allocate(pool, 0.0).given_up
+    assert not allocate(pool, 0.0).sheds
     later = allocate(pool, 4.0)
     assert given_up(later) == {"high": ShedReason.DEADLINE, "low": ShedReason.OVERLOAD}
     assert later.shed_rank == 1
@@ -177,16 +177,16 @@
         add(pool, f"r{n:02}", rank=1, deadline=20.0)
     pool.floors["elsewhere"] = floor
     allocation = allocate(pool, 1.0)
-    assert bool(allocation.given_up) is refused
+    assert bool(allocation.sheds) is refused
     assert allocation.spill
-    assert len(pool.waiting) - len(allocation.given_up) >= 5
+    assert len(pool.waiting) - len(allocation.sheds) >= 5
 
 
 def test_early_refusal_tells_the_backlog_and_spreads_it():
     pool = make_pool(make_target(limit=2, used=2))
     for n in range(100):
         add(pool, f"r{n:02}", deadline=20.0)
-    waits = [row.retry_after_s for row in allocate(pool, 0.0).given_up]
+    waits = [row.retry_after_s for row in allocate(pool, 0.0).sheds]
     assert len(waits) > 50
     assert min(waits) >= 10 and max(waits) <= 41 and len(set(waits)) > 8
 
@@ -201,7 +201,7 @@
     allocation = allocate(pool, 0.0)
     placed = Counter(row.request[0] for row in allocation.placements)
     assert placed == {"a": 2, "b": 2}
-    assert not any(row.request[0] == "b" for row in allocation.given_up)
+    assert not any(row.request[0] == "b" for row in allocation.sheds)
 
 
 def test_what_a_workspace_got_before_counts():
@@ -278,4 +278,4 @@
     for n in range(60):
         add(pool, f"b{n:02}", rank=1, deadline=5.0, **lengths)
     allocation = allocate(pool, 0.9)
-    assert {row.request[0] for row in allocation.given_up} == {"b"}
+    assert {row.request[0] for row in allocation.sheds} == {"b"}
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -157,7 +157,7 @@
         add(pool, f"r{number}", charge=400)
     allocation = allocate(pool, 0.0)
     assert len(allocation.placements) == 1
-    refused = allocation.given_up
+    refused = allocation.sheds
     assert {row.reason for row in refused} == {ShedReason.QUOTA}
     assert all(0.1 <= row.retry_after_s < 1.0 for row in refused)
 
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -21,4 +21,4 @@
 def test_allocation():
     allocation = run("allocation_in_memory")
     assert [row.request for row in allocation.placements] == ["high"]
-    assert [row.request for row in allocation.given_up] == ["late"]
+    assert [row.request for row in allocation.sheds] == ["late"]
