--- a/godwitladder/base_host.py
+++ b/godwitladder/base_host.py
@@ -100,7 +100,7 @@
         self.failed = True
         self.stopping.set()
 
-    def await_idle(
+    def wait_until_idle(
         self, is_busy: Callable[[], bool], until: float = float("inf")
     ) -> None:
         """Wait until no request is under way, and was none a moment ago.
--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -215,9 +215,9 @@
         self.keys.keyed.stopping = True
         log.info("The host is leaving", extra={"host": self.settings.host})
         self.clock.sleep(LEAVE_S)
-        self.await_idle(self.busy)
+        self.wait_until_idle(self.busy)
         stop_accepting(self.caller_server)
-        self.await_idle(self.busy)
+        self.wait_until_idle(self.busy)
         self.keys.flush()
 
     def busy(self) -> bool:
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -302,9 +302,9 @@
         self.clock.sleep(NOTICE_S)
         self.app.refusing = True
         until = began + self.settings.bounds.grace_s - LAST_S
-        self.await_idle(self.busy, until)
+        self.wait_until_idle(self.busy, until)
         stop_accepting(self.caller_server)
-        self.await_idle(self.busy, until)
+        self.wait_until_idle(self.busy, until)
 
     def busy(self) -> bool:
         """Return whether any call is waiting, running or being answered."""
