--- a/bench/policies.py
+++ b/bench/policies.py
@@ -231,8 +231,8 @@
         view = self.pool.targets[placement.target]
         self.ours[placement.target] = self.ours.get(placement.target, 0) + 1
         view.reserved_tokens += placement.reserved_tokens
-        self.pool.workspaces[row.line.workspace].running += 1
-        self.hints.note_dispatch(placement.target, row.line.prefix, now)
+        self.pool.workspaces[row.demand.workspace].running += 1
+        self.hints.note_dispatch(placement.target, row.demand.prefix, now)
         self.running[placement.request] = row, placement
         return placement.request, placement.target
 
@@ -243,7 +243,7 @@
             row = self.pool.waiting.pop(given_up.request)
             body = BodyDigest(given_up.request.rstrip("+"))
             wait = given_up.retry_after_s
-            self.refused.note(row.line.workspace, body, wait, now)
+            self.refused.note(row.demand.workspace, body, wait, now)
             possible = row.deadline - now > 0 or row.deadline - row.arrived > 0
             shed = given_up.reason is not ShedReason.QUOTA and possible
             refusals.append(Refused(given_up.request, wait, shed))
@@ -273,7 +273,7 @@
         """Free the slot or the place in the queue, and learn."""
         self.pool.waiting.pop(request, None)
         if produced:
-            line = self.running[request][0].line
+            line = self.running[request][0].demand
             self.predictor.observe(
                 line.workspace, SERVICE, self.declared[request], produced, cut=True
             )
@@ -289,7 +289,7 @@
         view = self.pool.targets[placement.target]
         self.ours[placement.target] -= 1
         view.reserved_tokens -= placement.reserved_tokens
-        self.pool.workspaces[row.line.workspace].running -= 1
+        self.pool.workspaces[row.demand.workspace].running -= 1
 
     def watch(self, queues: Mapping[TargetName, Queue], now: float) -> None:
         """Let reservations grow, take reports, and compare each second."""
@@ -320,17 +320,17 @@
             expected_s = tokens / self.speeds.learned[target].decode_tps
             self.easing.observe(target, expected_s, 1.0, now)
         row, placement = self.running[request]
-        reserved = placement.reserved_tokens - row.line.prompt_tokens
+        reserved = placement.reserved_tokens - row.demand.prompt_tokens
         grown = grow(reserved, int(stream.produced), stream.arrival.declared)
         if grown > reserved:
             self.predictor.observe(
-                row.line.workspace,
+                row.demand.workspace,
                 SERVICE,
                 stream.arrival.declared,
                 int(stream.produced),
                 cut=True,
             )
-            tokens = row.line.prompt_tokens + grown
+            tokens = row.demand.prompt_tokens + grown
             self.pool.targets[target].reserved_tokens += grown - reserved
             self.running[request] = (
                 row,
@@ -339,7 +339,7 @@
 
     def waiting_ranks(self) -> list[int]:
         """Return the rank of each waiting request."""
-        return [row.line.tier_rank for row in self.pool.waiting.values()]
+        return [row.demand.tier_rank for row in self.pool.waiting.values()]
 
 
 def body_of(arrival: Arrival) -> BodyDigest:
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -72,7 +72,7 @@
     """Replace each row by one that was never weighed, as new reports do."""
     for request, row in list(pool.waiting.items()):
         pool.waiting[request] = WaitingRequest(
-            row.host, row.line, row.deadline, row.arrived
+            row.host, row.demand, row.deadline, row.arrived
         )
 
 
--- a/examples/allocation_in_memory.py
+++ b/examples/allocation_in_memory.py
@@ -29,7 +29,7 @@
         "engine-a1", services, 1, 100_000, prefill_tps=4000, decode_tps=40, limit=1
     )
     rows = [waiting("low", 1, 60.0), waiting("high", 0, 60.0), waiting("late", 1, 0.0)]
-    pool = PoolView({row.line.request: row for row in rows}, {target.name: target})
+    pool = PoolView({row.demand.request: row for row in rows}, {target.name: target})
     allocation = allocate(pool, NOW)
     for placed in allocation.placements:
         print(f"{placed.request} goes to {placed.target}")
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -70,7 +70,7 @@
 
 def flow_of(entry: QueueEntry) -> Flow:
     """Return whose calls of which service ``entry`` is one of."""
-    return entry.row.line.service, entry.row.line.workspace
+    return entry.row.demand.service, entry.row.demand.workspace
 
 
 class _Run:
@@ -108,7 +108,7 @@
             groups = [g for g in self.backlog.at(precedence) if g.service in free]
             placed = self.place_groups(groups, free)
             for group in groups:
-                kept = [e for e in group.entries if e.row.line.request not in placed]
+                kept = [e for e in group.entries if e.row.demand.request not in placed]
                 if len(kept) < len(group.entries):
                     group.keep(kept)
         if self.pool.policy.measures_flow:
@@ -141,7 +141,7 @@
         blocked: set[ServiceName] = set()
         misses = 0
         while free and misses < MISSES and (entry := queue.pop()):
-            line = entry.row.line
+            line = entry.row.demand
             if line.service not in free:
                 continue
             if self.at_quota(line.workspace):
@@ -167,7 +167,7 @@
 
     def place(self, entry: QueueEntry) -> bool:
         """Place one request if a target takes it."""
-        line = entry.row.line
+        line = entry.row.demand
         part = self.capacity.of(line.service)
         long = is_long(entry.slot_s, self.pool.memory.typical_s)
         if long and not part.takes_long():
@@ -215,12 +215,12 @@
         """Refuse what is beyond its workspace's tokens: nobody is owed it."""
         if not entry.row.returned:
             self.count_offered(entry, -1.0)
-        row = ShedDecision(entry.row.line.request, ShedReason.QUOTA, wait_s)
+        row = ShedDecision(entry.row.demand.request, ShedReason.QUOTA, wait_s)
         self.allocation.sheds.append(row)
 
     def note(self, entry: QueueEntry, room: Room, long: bool) -> None:
         """Remember a placement for the next runs."""
-        line = entry.row.line
+        line = entry.row.demand
         memory = self.pool.memory
         memory.admission.served[flow_of(entry)] += 1
         memory.note(entry.precedence_at(self.now), line.workspace, entry.slot_s)
@@ -238,7 +238,7 @@
         """Give up what ran out of time, and what is kept below it."""
         lost: dict[int, set[ServiceName]] = {}
         for entry in self.backlog.expired:
-            line = entry.row.line
+            line = entry.row.demand
             if self.at_quota(line.workspace):
                 self.drop([entry], ShedReason.QUOTA)
                 continue
@@ -264,7 +264,7 @@
         """Give ``entries`` up for ``reason``."""
         waits: dict[tuple[ServiceName, Precedence], float] = {}
         for entry in entries:
-            line = entry.row.line
+            line = entry.row.demand
             key = line.service, entry.precedence
             if key not in waits:
                 waits[key] = max(
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -77,7 +77,7 @@
         paces: dict[ServiceName, Pace] = {}
         fresh = []
         for row in rows:
-            service = row.line.service
+            service = row.demand.service
             pace = paces.get(service)
             if pace is None:
                 pace = paces[service] = self.capacity.of(service).pace
@@ -97,7 +97,7 @@
         """Return ``row`` with what it needs on the fastest target."""
         entry = weigh(row, pace)
         if self.sizes is not None:
-            rank = row.line.tier_rank
+            rank = row.demand.tier_rank
             if not row.counted and not row.returned:
                 self.sizes.observe(rank, entry.slot_s)
             size = self.sizes.size(rank, entry.slot_s)
@@ -130,7 +130,7 @@
         return self.work_s(service, precedence) / slots
 
     def _add(self, entry: QueueEntry, now: float) -> None:
-        service, precedence = entry.row.line.service, entry.precedence_at(now)
+        service, precedence = entry.row.demand.service, entry.precedence_at(now)
         group = self.groups.get((precedence, service))
         if group is None:
             part = self.capacity.of(service)
@@ -144,7 +144,7 @@
 
 def weigh(row: WaitingRequest, pace: Pace) -> QueueEntry:
     """Return ``row`` with what it needs on the fastest target."""
-    line = row.line
+    line = row.demand
     prefill_s, decode_s = pace
     likely = line.likely_tokens or line.predicted_tokens or 1
     slot_s = line.prompt_tokens * prefill_s + likely * decode_s
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -178,12 +178,12 @@
                 late += group.entries
         room = SPILL_MOST - len(offered)
         soonest = heapq.nsmallest(room, late, key=lambda entry: entry.latest)
-        offered += [entry.row.line.request for entry in soonest]
+        offered += [entry.row.demand.request for entry in soonest]
     return offered
 
 
 def give_up(entry: QueueEntry, reason: ShedReason, backlog_s: float) -> ShedDecision:
     """Return the refusal of ``entry``."""
-    line = entry.row.line
+    line = entry.row.demand
     wait = retry_after_s(backlog_s, line.request, line.repeats)
     return ShedDecision(line.request, reason, wait)
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -267,7 +267,7 @@
     """
 
     host: HostId
-    line: RequestDemand
+    demand: RequestDemand
     deadline: float
     arrived: float
     avoided: frozenset[TargetName] = frozenset()
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -326,12 +326,12 @@
                 host=waiting.host,
                 target=row.target,
                 request=row.request,
-                tier_rank=waiting.line.tier_rank,
+                tier_rank=waiting.demand.tier_rank,
                 reserved_tokens=row.reserved_tokens,
                 lapse_s=OFFER_LIFETIME_S,
             )
-            self.hints.note_dispatch(row.target, waiting.line.prefix, now)
-            self.note_reading(row.target, waiting.line.prompt_tokens, now)
+            self.hints.note_dispatch(row.target, waiting.demand.prefix, now)
+            self.note_reading(row.target, waiting.demand.prompt_tokens, now)
             offerings.setdefault(waiting.host, Offering()).grants.append(grant)
         for row in allocation.sheds:
             waiting = view.waiting[row.request]
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -38,7 +38,7 @@
             # Kept from run to run: a row that is new is weighed anew, and its
             # deadline would move on with each run between two reports.
             row = role.rows.get(line.request)
-            if row is None or row.line is not line:
+            if row is None or row.demand is not line:
                 row = take_line(role, account.host, line, now, row)
             row.avoided = account.avoided
             view.waiting[line.request] = row
--- a/tests/decisions/pools.py
+++ b/tests/decisions/pools.py
@@ -42,7 +42,7 @@
         target = pool.targets[placement.target]
         target.used += 1
         target.reserved_tokens += placement.reserved_tokens
-        pool.workspaces[row.line.workspace].running += 1
+        pool.workspaces[row.demand.workspace].running += 1
     for given_up in allocation.sheds:
         del pool.waiting[given_up.request]
 
--- a/tests/decisions/test_allocation.py
+++ b/tests/decisions/test_allocation.py
@@ -83,7 +83,7 @@
 def check_bounds(pool, before, allocation):
     for placement in allocation.placements:
         target = pool.targets[placement.target]
-        assert before[placement.request].line.service in target.services
+        assert before[placement.request].demand.service in target.services
         assert target.used <= target.limit
         fits = target.reserved_tokens <= target.memory_tokens * MEMORY_SHARE
         assert fits or not target.memory_tokens or target.used == 1
@@ -94,7 +94,7 @@
 def check_order(pool, before, allocation):
     """No request is shed while one of a lower tier is kept for its targets."""
     for row in allocation.sheds:
-        line = before[row.request].line
+        line = before[row.request].demand
         could_ever = row.reason is ShedReason.OVERLOAD or (
             row.reason is ShedReason.DEADLINE
             and before[row.request].entry.latest >= before[row.request].arrived
@@ -102,9 +102,9 @@
         if not could_ever:
             continue
         kept = [
-            other.line.tier_rank
+            other.demand.tier_rank
             for other in pool.waiting.values()
-            if other.line.service in rivals(pool, line.service)
+            if other.demand.service in rivals(pool, line.service)
         ]
         assert max(kept, default=-1) <= line.tier_rank
 
@@ -123,7 +123,7 @@
     for n, (rank, workspace) in enumerate(rows):
         add(pool, f"r{n:02}", rank, workspace, deadline=1000.0)
     naive = Counter(sorted(rank for rank, _ in rows)[: sum(limits)])
-    placed = [pool.waiting[p.request].line for p in allocate(pool, 0.0).placements]
+    placed = [pool.waiting[p.request].demand for p in allocate(pool, 0.0).placements]
     assert Counter(line.tier_rank for line in placed) == naive
 
 
--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -70,7 +70,7 @@
     assert "first" not in tables.waiting
     back = submit(tables, make_request("back", now + 2.0, body=BODY, aim=now + 2.8))
     exchange(tables, role, now + 2.0)
-    (row,) = [row for row in role.rows.values() if row.line.request == back.request]
+    (row,) = [row for row in role.rows.values() if row.demand.request == back.request]
     assert row.returned
     assert row.aim == pytest.approx(START + 1.8, abs=0.1)
 
