--- a/bench/queues.py
+++ b/bench/queues.py
@@ -15,7 +15,7 @@
 from typing import Protocol
 
 from bench.traces import Arrival, Engine
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.ids import RequestId, TargetName, WorkspaceName
 
 STEP_S = 0.05
@@ -269,7 +269,7 @@
     def __init__(self, scenario: Scenario, policy: Policy) -> None:
         self.scenario = scenario
         self.policy = policy
-        self.clock = PausedClock()
+        self.clock = ManualClock()
         self.queues = {TargetName(e.name): Queue(e) for e in scenario.engines}
         self.arrivals = [(row.time, row.request, row) for row in scenario.trace]
         heapq.heapify(self.arrivals)
--- a/godwitladder/clock.py
+++ b/godwitladder/clock.py
@@ -49,7 +49,7 @@
         await asyncio.sleep(seconds)
 
 
-class PausedClock(Clock):
+class ManualClock(Clock):
     """A clock that stands still until a test advances it.
 
     Parameters
--- a/tests/configuration/fakes.py
+++ b/tests/configuration/fakes.py
@@ -1,7 +1,7 @@
 """A log in memory and hosts on it, without threads or network."""
 
 from godwitladder.clients.log import LogNotReached, LogUnavailable, Page, Record
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.configuration.follower import ConfigFollower
 from godwitladder.configuration.messages import ConfigRequest
 from godwitladder.ids import HostId, Offset
@@ -66,7 +66,7 @@
     """Followers that share a log and hear each other when told to."""
 
     def __init__(self, count=1, clock=None):
-        self.clock = clock or PausedClock()
+        self.clock = clock or ManualClock()
         self.log = FakeLog(self.clock)
         self.followers = {}
         self.clients = {}
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.discovery.feed import (
     AWAY_S,
     PERIOD_S,
@@ -138,7 +138,7 @@
 
 def test_an_older_document_never_comes_back():
     """A host reads version 5, then a peer that is behind passes on version 4."""
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put_document(5)
     feed, views = make_feed(source, clock)
     feed.step()
@@ -150,7 +150,7 @@
 
 
 def test_one_host_reads_and_the_other_hears_of_it():
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     source.put(b"one")
     reader, _ = make_feed(source, clock)
@@ -171,7 +171,7 @@
 
 
 def test_beats_that_say_nothing_new_are_not_passed_on():
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put(b"one")
     feed, _ = make_feed(source, clock)
     feed.step()
@@ -192,7 +192,7 @@
     out of that, the target was unknown to the second host for good, and callers
     waited there for the others.
     """
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put(b"one")
     one, _ = make_feed(source, clock, "h1")
     two, _ = make_feed(source, clock, "h2")
@@ -212,7 +212,7 @@
 
 def test_a_host_that_hears_nothing_reads_by_itself():
     """The host that read for all is gone; no news comes any more."""
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     feed, _ = make_feed(source, clock, host="h2")
     feed.step()
@@ -231,7 +231,7 @@
     The next message begins after it. Taken in, it would prove the host's
     knowledge to be fresh, and the target would be used until it is gone.
     """
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     reader, _ = make_feed(source, clock)
     other, _ = make_feed(source, clock, host="h2")
@@ -248,7 +248,7 @@
 
 def test_history_that_is_gone_is_read_as_a_snapshot():
     """A target left, and the records that told so were compacted away."""
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put(b"one")
     source.put(b"two", "e2")
     feed, _ = make_feed(source, clock)
@@ -262,7 +262,7 @@
 
 
 def test_lapsed_entries_after_an_outage_are_waited_for():
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put(b"one")
     feed, _ = make_feed(source, clock)
     feed.step()
@@ -282,7 +282,7 @@
 
 
 def test_an_entry_nobody_can_read_harms_no_other():
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put(b"one")
     source.put(b"\xff", "e2")
     feed, _ = make_feed(source, clock)
@@ -297,7 +297,7 @@
     store is away. It takes over the age of their proof too, so that it believes
     in keys no longer than they do.
     """
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put_document(3)
     source.put(b"one")
     source.put(b"two", key="e2")
@@ -319,7 +319,7 @@
 
 
 def test_a_target_that_was_dropped_is_not_told_to_a_newcomer():
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     source.put(b"one")
     source.put(b"two", key="e2")
@@ -339,7 +339,7 @@
     The one that reads for all reads; the others ask until it can tell them,
     and make no calls of their own.
     """
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     reader, _ = make_feed(source, clock)
     feed, _ = make_newcomer(source, clock, [reader])
@@ -355,7 +355,7 @@
 @pytest.mark.parametrize(("tellers", "patience_s"), [(0, UNLINKED_S), (1, UNTOLD_S)])
 def test_a_newcomer_that_nobody_tells_reads_by_itself(tellers, patience_s):
     """It has no peer, or one that knows as little as it does itself."""
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     mute = [make_feed(source, clock)[0] for _ in range(tellers)]
     feed, _ = make_newcomer(source, clock, mute)
@@ -373,7 +373,7 @@
 
     It is told as soon as the other one has read, without asking again.
     """
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     reader, _ = make_feed(source, clock)
     told = []
@@ -386,7 +386,7 @@
 
 
 def test_a_host_that_others_dial_reads_at_once():
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     feed, _ = make_newcomer(source, clock, [])
     feed.reads_first = True
--- a/tests/discovery/test_slow_store.py
+++ b/tests/discovery/test_slow_store.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.discovery.feed import ASK_S, PERIOD_S, Feed
 from godwitladder.routing.currency import Currency
 from tests.discovery.test_discovery import MemorySource, make_feed, make_newcomer
@@ -30,7 +30,7 @@
     told: int = 0
 
     def __post_init__(self) -> None:
-        self.source, self.clock = MemorySource(), PausedClock()
+        self.source, self.clock = MemorySource(), ManualClock()
         self.source.put_document(1)
         self.names = tuple(f"h{number:02}" for number in range(self.count))
         self.feeds = []
@@ -99,7 +99,7 @@
 
 def test_a_host_that_restarts_among_others_does_not_tell_them_what_they_know():
     """Guards against a whole document over each link with each restart."""
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     restarted, _ = make_newcomer(source, clock, [], host="h2")
     restarted.reads_first = True
@@ -112,7 +112,7 @@
 
 def test_a_change_that_came_while_the_reader_restarted_is_known_to_all_at_once():
     """Guards against hosts that go by an old document until each reads by itself."""
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     other, _ = make_feed(source, clock, host="h2")
     other.step()
@@ -125,7 +125,7 @@
 
 
 def test_what_another_host_told_during_a_read_is_not_told_again():
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     one, _ = make_feed(source, clock)
     two, _ = make_feed(source, clock, host="h2")
     one.step(), two.step(), two.read()
@@ -144,7 +144,7 @@
 
 def test_a_newcomer_asks_one_peer_at_a_time():
     """Guards against the whole document from every peer at once."""
-    source, clock = MemorySource(), PausedClock()
+    source, clock = MemorySource(), ManualClock()
     feed, _ = make_newcomer(source, clock, [])
     asked = []
     for peer in range(8):
@@ -160,7 +160,7 @@
 
     The store turns away all that may read for others.
     """
-    source, away, clock = MemorySource(), MemorySource(), PausedClock()
+    source, away, clock = MemorySource(), MemorySource(), ManualClock()
     source.put_document(1)
     strong, _ = make_feed(source, clock, hosts=("h1",))
     weak, _ = make_feed(source, clock, host="h9", hosts=("h1",))
--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.membership.actor import LinkDown, LinkUp, Membership
 from godwitladder.membership.codec import decode, encode
 from godwitladder.membership.members import Members
@@ -118,7 +118,7 @@
     """Hosts, the links between them, and cuts."""
 
     def __init__(self, places, hosts_each, strong_each=1):
-        self.clock = PausedClock()
+        self.clock = ManualClock()
         self.wire = deque()
         self.cuts = set()
         self.sent_bytes = 0
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from godwitladder.clock import Clock, PausedClock
+from godwitladder.clock import Clock, ManualClock
 from godwitladder.daemon import ALONE_S, EntryHost
 from godwitladder.membership.actor import Leave, LinkUp, Membership
 from godwitladder.membership.codec import encode
@@ -100,7 +100,7 @@
 
 def make_membership():
     """Return membership of h1, its clock and what it published."""
-    clock, published = PausedClock(), []
+    clock, published = ManualClock(), []
     members = Members(TIMEOUT_S)
     me = Heartbeat("h1", "a", "", 1, False, 0)
     actor = Membership(me, members, QuietMesh(), clock, published.append)
@@ -229,7 +229,7 @@
     It would take itself for the allocator. If all its seeds are gone it
     serves alone after a while, as a host that is cut off must.
     """
-    clock = PausedClock()
+    clock = ManualClock()
     mesh = SimpleNamespace(seeds=seeds, current=lambda: links)
     host = SimpleNamespace(clock=clock, started=clock.monotonic(), mesh=mesh)
     clock.advance(waited_s)
--- a/tests/orders/test_issuer.py
+++ b/tests/orders/test_issuer.py
@@ -3,7 +3,7 @@
 import pytest
 
 from godwitladder.clients.weights import WeightsBusy
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.configuration.model import Target
 from godwitladder.configuration.state import ConfigState
 from godwitladder.engines.wire import connect
@@ -33,7 +33,7 @@
             raise WeightsBusy("limit")
 
 
-class Clock(PausedClock):
+class Clock(ManualClock):
     """A paused clock on which a sleep advances the time."""
 
     def sleep(self, seconds):
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -9,7 +9,7 @@
 
 from godwitladder.claims.actor import GiveUp, Note, Want
 from godwitladder.claims.collector import Settled, Verdict
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.configuration.model import Service, ServiceKind, Target
 from godwitladder.configuration.state import ConfigState
 from godwitladder.decisions.quarantine import HOLD_S, Standing
@@ -73,7 +73,7 @@
 def make_watch(run, address: str = "") -> CrashWatch:
     address = address or f"127.0.0.1:{free_ports(1)[0]}"
     config = ConfigState(targets={"t1": Target(address=address)})
-    return CrashWatch(run, lambda: config, FakeClaims(), FakeMesh(), PausedClock())
+    return CrashWatch(run, lambda: config, FakeClaims(), FakeMesh(), ManualClock())
 
 
 def end(state: RequestState):
--- a/tests/scheduler/test_allocator.py
+++ b/tests/scheduler/test_allocator.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.decisions.types import RequestDemand
 from godwitladder.membership.router import Router
@@ -24,7 +24,7 @@
 
 def make_allocator(host: str, hosts=HOSTS):
     """Return a host's allocator actor, its clock and what it sent."""
-    clock, sent = PausedClock(), []
+    clock, sent = ManualClock(), []
     actor = Allocator(
         AllocatorTables(host, "a"),
         clock,
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.configuration.model import (
     Service,
     ServiceKind,
@@ -82,7 +82,7 @@
     Nothing changed in that minute, so nobody told of the hosts. The one that
     is left must still share the quotas with the four that it has just lost.
     """
-    clock = PausedClock()
+    clock = ManualClock()
     tables = make_tables([])
     scheduler = Scheduler(
         tables, clock, Metrics(), Ticker(clock, 1.0), lambda host, report: None
--- a/tests/serving/test_grant_fates.py
+++ b/tests/serving/test_grant_fates.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.decisions.types import Grant
 from godwitladder.metrics import Metrics
 from godwitladder.scheduler.access import HeldGrant, PoolAccess
@@ -18,7 +18,7 @@
     One grant has lapsed when the systems run; the request of the other is
     gone, so it is given back. Neither is counted again at the next run.
     """
-    clock, metrics = PausedClock(), Metrics()
+    clock, metrics = ManualClock(), Metrics()
     tables = Tables("host", "a", hosts=("host",))
     access = PoolAccess(Pool("p", frozenset(), frozenset()), home=True)
     tables.pools["p"] = access
--- a/tests/serving/test_relay.py
+++ b/tests/serving/test_relay.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.engines.engine import DONE, Chunk
 from godwitladder.engines.wire import MayHaveRun, TargetRefused
 from godwitladder.ids import StreamId
@@ -19,7 +19,7 @@
 WHOLE += [Chunk(MINE, LENGTH - 2, END), Chunk(MINE, LENGTH - 1, DONE)]
 
 
-class FakeClock(PausedClock):
+class FakeClock(ManualClock):
     """Time that moves on by itself when anybody sleeps."""
 
     def sleep(self, seconds: float) -> None:
--- a/tests/serving/test_watch.py
+++ b/tests/serving/test_watch.py
@@ -2,7 +2,7 @@
 
 import socket
 
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.serving.watch import CallWatch, Cause, OpenCall
 
 
@@ -21,7 +21,7 @@
 
 def test_a_caller_that_left_takes_a_waiting_call_back():
     call, withdrawn = make_call(gone=True)
-    watch_call(call, PausedClock())
+    watch_call(call, ManualClock())
     assert call.cause is Cause.CALLER_GONE and withdrawn
 
 
@@ -31,12 +31,12 @@
     with ours, theirs:
         call, withdrawn = make_call(gone=True)
         call.attach(ours)
-        watch_call(call, PausedClock())
+        watch_call(call, ManualClock())
         assert ours.recv(1) == b"" and not withdrawn
 
 
 def test_time_that_is_up_breaks_it_too_and_leaves_a_waiting_call():
-    clock = PausedClock()
+    clock = ManualClock()
     call, withdrawn = make_call()
     watch = watch_call(call, clock)
     assert call.cause is None
@@ -49,14 +49,14 @@
     ours, theirs = socket.socketpair()
     with ours, theirs:
         call, _ = make_call(gone=True)
-        watch_call(call, PausedClock())
+        watch_call(call, ManualClock())
         call.attach(ours)
         assert ours.recv(1) == b""
 
 
 def test_calls_that_have_ended_are_not_looked_at():
     call, _ = make_call(gone=True)
-    watch = CallWatch(PausedClock())
+    watch = CallWatch(ManualClock())
     watch.add(call)
     watch.remove(call)
     watch.look()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from godwitladder.clock import PausedClock
+from godwitladder.clock import ManualClock
 from godwitladder.logs import BURST_LINES, LINES_PER_S, BoundedHandler, is_new
 from godwitladder.serving.upstream import StreamCut
 
@@ -24,7 +24,7 @@
 
 def test_lines_beyond_the_rate_are_dropped_and_counted():
     """Nobody reads the pipe: no thread that logs may wait for it."""
-    clock, kept = PausedClock(), Kept()
+    clock, kept = ManualClock(), Kept()
     handler = BoundedHandler(kept, clock)
     for _ in range(int(BURST_LINES) + 50):
         handler.emit(make_record())
