--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -70,7 +70,7 @@
 
 def flow_of(entry: QueueEntry) -> Flow:
     """Return whose calls of which service ``entry`` is one of."""
-    return entry.row.demand.service, entry.row.demand.workspace
+    return entry.waiting.demand.service, entry.waiting.demand.workspace
 
 
 class _Run:
@@ -86,7 +86,7 @@
         pool.memory.fade(now)
         for entry in self.backlog.sort(list(pool.waiting.values()), now):
             pool.memory.admission.asked[flow_of(entry)] += 1
-            if not entry.row.returned:
+            if not entry.waiting.returned:
                 self.count_offered(entry, 1.0)
         self.placed_s = 0.0
         self.promised: Counter[WorkspaceName] = Counter()
@@ -108,7 +108,9 @@
             groups = [g for g in self.backlog.at(precedence) if g.service in free]
             placed = self.place_groups(groups, free)
             for group in groups:
-                kept = [e for e in group.entries if e.row.demand.request not in placed]
+                kept = [
+                    e for e in group.entries if e.waiting.demand.request not in placed
+                ]
                 if len(kept) < len(group.entries):
                     group.keep(kept)
         if self.pool.policy.measures_flow:
@@ -141,7 +143,7 @@
         blocked: set[ServiceName] = set()
         misses = 0
         while free and misses < MISSES and (entry := queue.pop()):
-            line = entry.row.demand
+            line = entry.waiting.demand
             if line.service not in free:
                 continue
             if self.at_quota(line.workspace):
@@ -167,13 +169,13 @@
 
     def place(self, entry: QueueEntry) -> bool:
         """Place one request if a target takes it."""
-        line = entry.row.demand
+        line = entry.waiting.demand
         part = self.capacity.of(line.service)
         long = is_long(entry.slot_s, self.pool.memory.typical_s)
         if long and not part.takes_long():
             return False
-        budget_s = entry.row.deadline - self.now
-        room = part.choose(line, budget_s, entry.row.avoided, self.aim_s(entry))
+        budget_s = entry.waiting.deadline - self.now
+        room = part.choose(line, budget_s, entry.waiting.avoided, self.aim_s(entry))
         if room is None:
             return False
         tokens = line.prompt_tokens + line.predicted_tokens
@@ -192,7 +194,7 @@
         if not self.pool.policy.keeps_pace:
             return None
         in_time = entry.precedence_at(self.now).timeliness is Timeliness.IN_TIME
-        return entry.row.aim - self.now if in_time else math.inf
+        return entry.waiting.aim - self.now if in_time else math.inf
 
     def quota_wait_s(self, line: RequestDemand) -> float:
         """Return the seconds until the workspace's tokens allow ``line``."""
@@ -213,14 +215,14 @@
 
     def refuse_quota(self, entry: QueueEntry, wait_s: float) -> None:
         """Refuse what is beyond its workspace's tokens: nobody is owed it."""
-        if not entry.row.returned:
+        if not entry.waiting.returned:
             self.count_offered(entry, -1.0)
-        row = ShedDecision(entry.row.demand.request, ShedReason.QUOTA, wait_s)
+        row = ShedDecision(entry.waiting.demand.request, ShedReason.QUOTA, wait_s)
         self.allocation.sheds.append(row)
 
     def note(self, entry: QueueEntry, room: Room, long: bool) -> None:
         """Remember a placement for the next runs."""
-        line = entry.row.demand
+        line = entry.waiting.demand
         memory = self.pool.memory
         memory.admission.served[flow_of(entry)] += 1
         memory.note(entry.precedence_at(self.now), line.workspace, entry.slot_s)
@@ -238,7 +240,7 @@
         """Give up what ran out of time, and what is kept below it."""
         lost: dict[int, set[ServiceName]] = {}
         for entry in self.backlog.expired:
-            line = entry.row.demand
+            line = entry.waiting.demand
             if self.at_quota(line.workspace):
                 self.drop([entry], ShedReason.QUOTA)
                 continue
@@ -264,7 +266,7 @@
         """Give ``entries`` up for ``reason``."""
         waits: dict[tuple[ServiceName, Precedence], float] = {}
         for entry in entries:
-            line = entry.row.demand
+            line = entry.waiting.demand
             key = line.service, entry.precedence
             if key not in waits:
                 waits[key] = max(
@@ -275,7 +277,7 @@
                 self.note_shed(line.tier_rank)
             if reason is not ShedReason.QUOTA:
                 self.pool.memory.admission.shed[flow_of(entry)] += 1
-            self.pool.memory.callers.note(line.body, entry.row.asked, self.now)
+            self.pool.memory.callers.note(line.body, entry.waiting.asked, self.now)
             self.allocation.sheds.append(give_up(entry, reason, waits[key]))
 
     def note_shed(self, rank: int) -> None:
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -130,7 +130,7 @@
         return self.work_s(service, precedence) / slots
 
     def _add(self, entry: QueueEntry, now: float) -> None:
-        service, precedence = entry.row.demand.service, entry.precedence_at(now)
+        service, precedence = entry.waiting.demand.service, entry.precedence_at(now)
         group = self.groups.get((precedence, service))
         if group is None:
             part = self.capacity.of(service)
--- a/godwitladder/decisions/fairness.py
+++ b/godwitladder/decisions/fairness.py
@@ -49,7 +49,7 @@
         self.workspaces = workspaces
         self.queues: dict[WorkspaceName, list[tuple]] = {}
         for entry in entries:
-            line = entry.row.demand
+            line = entry.waiting.demand
             key = entry.latest + line.repeats * LAST_S
             if entry.safe < now:
                 key += UNSAFE_LAST_S
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -55,7 +55,7 @@
 
 def was_possible(entry: QueueEntry) -> bool:
     """Return whether an idle pool could have served it in time."""
-    return entry.row.arrived <= entry.latest
+    return entry.waiting.arrived <= entry.latest
 
 
 def is_time_to_refuse(pool: PoolView, now: float) -> bool:
@@ -100,9 +100,9 @@
     first = group.precedence == backlog.precedences()[0]
     kept, late = project(queue, ahead_s, slots, now, first)
     if pool.floors:
-        fresh = [e for e in late if now - e.row.arrived < SPILL_AFTER_S]
+        fresh = [e for e in late if now - e.waiting.arrived < SPILL_AFTER_S]
         kept += fresh
-        late = [e for e in late if now - e.row.arrived >= SPILL_AFTER_S]
+        late = [e for e in late if now - e.waiting.arrived >= SPILL_AFTER_S]
     group.keep(kept)
     return late
 
@@ -178,12 +178,12 @@
                 late += group.entries
         room = SPILL_MOST - len(offered)
         soonest = heapq.nsmallest(room, late, key=lambda entry: entry.latest)
-        offered += [entry.row.demand.request for entry in soonest]
+        offered += [entry.waiting.demand.request for entry in soonest]
     return offered
 
 
 def give_up(entry: QueueEntry, reason: ShedReason, backlog_s: float) -> ShedDecision:
     """Return the refusal of ``entry``."""
-    line = entry.row.demand
+    line = entry.waiting.demand
     wait = retry_after_s(backlog_s, line.request, line.repeats)
     return ShedDecision(line.request, reason, wait)
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -226,7 +226,7 @@
         Speeds that these were worked out from.
     """
 
-    row: "Waiting"
+    waiting: "Waiting"
     slot_s: float
     latest: float
     safe: float
--- a/godwitladder/decisions/untimely.py
+++ b/godwitladder/decisions/untimely.py
@@ -70,5 +70,5 @@
     """Return the time by which ``entry`` has to start."""
     if group.precedence.timeliness is Timeliness.IN_TIME:
         return min(entry.aim, entry.latest)
-    row = entry.row
+    row = entry.waiting
     return min(entry.latest, row.arrived + LATE_AIMS * (row.aim - row.asked))
