--- a/godwitladder/clock.py
+++ b/godwitladder/clock.py
@@ -44,7 +44,7 @@
         """Wait for ``event`` at most ``seconds``; return whether it is set."""
         return event.wait(seconds)
 
-    async def pause(self, seconds: float) -> None:
+    async def async_sleep(self, seconds: float) -> None:
         """Hold up the calling coroutine for ``seconds``."""
         await asyncio.sleep(seconds)
 
@@ -94,7 +94,7 @@
                 self.changed.wait(POLL_S)
         return event.is_set()
 
-    async def pause(self, seconds: float) -> None:
+    async def async_sleep(self, seconds: float) -> None:
         """Hold up the coroutine until the clock was advanced by ``seconds``."""
         due = self.now + seconds
         while self.now < due:
--- a/godwitladder/membership/mesh.py
+++ b/godwitladder/membership/mesh.py
@@ -294,7 +294,7 @@
         while address in self.dialled:
             if await self._dial_once(address):
                 pause_s = first_pause_s
-            await self.clock.pause(pause_s)
+            await self.clock.async_sleep(pause_s)
             pause_s = min(2 * pause_s, LONGEST_REDIAL_S)
 
     def _start_meetings(self, addresses: set[str]) -> None:
@@ -307,7 +307,7 @@
         # Hosts that start together hear of each other at once. Two that dial
         # each other close each other's link, so the lower one goes first.
         if address < self.address:
-            await self.clock.pause(MEET_PAUSE_S)
+            await self.clock.async_sleep(MEET_PAUSE_S)
         await self._dial_once(address)
 
     def _is_linked(self, address: str) -> bool:
--- a/tests/membership/test_tls.py
+++ b/tests/membership/test_tls.py
@@ -27,9 +27,9 @@
     def __init__(self) -> None:
         self.pauses = 0
 
-    async def pause(self, seconds):
+    async def async_sleep(self, seconds):
         self.pauses += 1
-        await super().pause(seconds)
+        await super().async_sleep(seconds)
 
 
 def make_mesh(stack, name: str, port: int, tls, seeds: list, taken: list) -> Mesh:
