--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -210,7 +210,7 @@
         """
         if math.isinf(entry.aim):
             return 0.0
-        until = entry.aim if self.now <= entry.aim else entry.latest
+        until = entry.aim if self.now <= entry.aim else entry.latest_start
         return until - self.now
 
     def refuse_quota(self, entry: QueueEntry, wait_s: float) -> None:
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -87,7 +87,7 @@
                 if not row.counted:
                     row.counted = True
                     fresh.append(entry)
-            if entry.latest < now:
+            if entry.latest_start < now:
                 self.expired.append(entry)
             else:
                 self._add(entry, now)
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -55,7 +55,7 @@
 
 def was_possible(entry: QueueEntry) -> bool:
     """Return whether an idle pool could have served it in time."""
-    return entry.waiting.arrived <= entry.latest
+    return entry.waiting.arrived <= entry.latest_start
 
 
 def is_time_to_refuse(pool: PoolView, now: float) -> bool:
@@ -136,7 +136,7 @@
     kept: list[QueueEntry] = []
     late: list[QueueEntry] = []
     for entry in queue.ordered():
-        if now + ahead_s / slots <= (entry.latest if first else entry.safe):
+        if now + ahead_s / slots <= (entry.latest_start if first else entry.safe):
             kept.append(entry)
             ahead_s += entry.slot_s
         else:
@@ -177,7 +177,7 @@
             if backlog.wait_s(group.service, precedence) > SPILL_AFTER_S:
                 late += group.entries
         room = SPILL_MOST - len(offered)
-        soonest = heapq.nsmallest(room, late, key=lambda entry: entry.latest)
+        soonest = heapq.nsmallest(room, late, key=lambda entry: entry.latest_start)
         offered += [entry.waiting.demand.request for entry in soonest]
     return offered
 
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -228,7 +228,7 @@
 
     waiting: "Waiting"
     slot_s: float
-    latest: float
+    latest_start: float
     safe: float
     precedence: Precedence
     late_precedence: Precedence
--- a/tests/decisions/test_allocation.py
+++ b/tests/decisions/test_allocation.py
@@ -97,7 +97,7 @@
         line = before[row.request].demand
         could_ever = row.reason is ShedReason.OVERLOAD or (
             row.reason is ShedReason.DEADLINE
-            and before[row.request].entry.latest >= before[row.request].arrived
+            and before[row.request].entry.latest_start >= before[row.request].arrived
         )
         if not could_ever:
             continue
