--- a/godwitladder/configuration/tickets.py
+++ b/godwitladder/configuration/tickets.py
@@ -14,7 +14,7 @@
 from godwitladder.findings import Findings
 from godwitladder.ids import TicketNumber
 from godwitladder.settings import load_toml
-from godwitladder.tables import WHOLE_MAX, read_table
+from godwitladder.tables import MAX_JSON_INTEGER, read_table
 
 # Bounds are constants and no settings: a verdict must be the same everywhere.
 TICKET_BYTES = 1_048_576
@@ -71,8 +71,8 @@
             findings.add_unknown(f"{name}: {key}", key, HEAD + TABLES)
     number = raw.get("number")
     whole = isinstance(number, int) and not isinstance(number, bool)
-    if not whole or not 1 <= number <= WHOLE_MAX:
-        text = f"must be a whole number from 1 to {WHOLE_MAX}"
+    if not whole or not 1 <= number <= MAX_JSON_INTEGER:
+        text = f"must be a whole number from 1 to {MAX_JSON_INTEGER}"
         findings.add(f"{name}: number", text)
     for key in ("operator", "reason"):
         if not isinstance(raw.get(key), str) or not raw.get(key):
--- a/godwitladder/tables.py
+++ b/godwitladder/tables.py
@@ -21,7 +21,7 @@
 Check = Callable[[Any], str | None]
 DIGEST = re.compile("[0-9a-f]{64}")
 # The largest that every reader of JSON keeps exactly.
-WHOLE_MAX = 2**53 - 1
+MAX_JSON_INTEGER = 2**53 - 1
 
 
 def checked(check: Check, **kwargs: Any) -> Any:
@@ -172,8 +172,8 @@
         return read_table(raw, hint, place, findings)
     if hint is float and isinstance(raw, int) and not isinstance(raw, bool):
         return _read_float(raw, place, findings)
-    if hint is int and isinstance(raw, int) and abs(raw) > WHOLE_MAX:
-        findings.add(place, f"is a larger number than {WHOLE_MAX}")
+    if hint is int and isinstance(raw, int) and abs(raw) > MAX_JSON_INTEGER:
+        findings.add(place, f"is a larger number than {MAX_JSON_INTEGER}")
         return None
     if isinstance(raw, hint) and not (hint is int and isinstance(raw, bool)):
         return raw
