--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -49,7 +49,9 @@
         """Replace the requests by ``entries``, which are some of them."""
         self.entries = entries
         self.work_s = sum(entry.slot_s for entry in entries)
-        self.soonest = min((entry.safe for entry in entries), default=float("inf"))
+        self.soonest = min(
+            (entry.safe_start for entry in entries), default=float("inf")
+        )
 
 
 class Backlog:
@@ -138,8 +140,8 @@
             self.groups[precedence, service] = group
         group.entries.append(entry)
         group.work_s += entry.slot_s
-        if entry.safe < group.soonest:
-            group.soonest = entry.safe
+        if entry.safe_start < group.soonest:
+            group.soonest = entry.safe_start
 
 
 def weigh(row: WaitingRequest, pace: Pace) -> QueueEntry:
--- a/godwitladder/decisions/fairness.py
+++ b/godwitladder/decisions/fairness.py
@@ -51,7 +51,7 @@
         for entry in entries:
             line = entry.waiting.demand
             key = entry.latest_start + line.repeats * LAST_S
-            if entry.safe < now:
+            if entry.safe_start < now:
                 key += UNSAFE_LAST_S
             item = (key, line.request, entry)
             queue = self.queues.get(line.workspace)
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -136,7 +136,7 @@
     kept: list[QueueEntry] = []
     late: list[QueueEntry] = []
     for entry in queue.ordered():
-        if now + ahead_s / slots <= (entry.latest_start if first else entry.safe):
+        if now + ahead_s / slots <= (entry.latest_start if first else entry.safe_start):
             kept.append(entry)
             ahead_s += entry.slot_s
         else:
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -229,7 +229,7 @@
     waiting: "Waiting"
     slot_s: float
     latest_start: float
-    safe: float
+    safe_start: float
     precedence: Precedence
     late_precedence: Precedence
     pace: "Pace"
