--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -194,7 +194,7 @@
         if not self.pool.policy.keeps_pace:
             return None
         in_time = entry.precedence_at(self.now).timeliness is Timeliness.IN_TIME
-        return entry.waiting.aim - self.now if in_time else math.inf
+        return entry.waiting.ttft_deadline - self.now if in_time else math.inf
 
     def quota_wait_s(self, line: RequestDemand) -> float:
         """Return the seconds until the workspace's tokens allow ``line``."""
@@ -208,9 +208,13 @@
         time by the next second's tokens is sent away for as many seconds as it is
         told, and comes back late. Without an aim nobody can tell what is in time.
         """
-        if math.isinf(entry.aim):
+        if math.isinf(entry.ttft_deadline):
             return 0.0
-        until = entry.aim if self.now <= entry.aim else entry.latest_start
+        until = (
+            entry.ttft_deadline
+            if self.now <= entry.ttft_deadline
+            else entry.latest_start
+        )
         return until - self.now
 
     def refuse_quota(self, entry: QueueEntry, wait_s: float) -> None:
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -167,5 +167,5 @@
         Precedence(in_time, line.tier_rank),
         Precedence(late, line.tier_rank),
         pace,
-        row.aim - line.prompt_tokens * prefill_s,
+        row.ttft_deadline - line.prompt_tokens * prefill_s,
     )
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -233,11 +233,11 @@
     precedence: Precedence
     late_precedence: Precedence
     pace: "Pace"
-    aim: float = float("inf")
+    ttft_deadline: float = float("inf")
 
     def precedence_at(self, now: float) -> Precedence:
         """Return its precedence at a time."""
-        return self.precedence if now <= self.aim else self.late_precedence
+        return self.precedence if now <= self.ttft_deadline else self.late_precedence
 
 
 class Pace(NamedTuple):
@@ -271,7 +271,7 @@
     deadline: float
     arrived: float
     avoided: frozenset[TargetName] = frozenset()
-    aim: float = float("inf")
+    ttft_deadline: float = float("inf")
     start_by: float = float("inf")
     asked: float | None = None
     entitled: bool = True
--- a/godwitladder/decisions/untimely.py
+++ b/godwitladder/decisions/untimely.py
@@ -69,6 +69,8 @@
 def start_limit(entry: QueueEntry, group: Group) -> float:
     """Return the time by which ``entry`` has to start."""
     if group.precedence.timeliness is Timeliness.IN_TIME:
-        return min(entry.aim, entry.latest_start)
+        return min(entry.ttft_deadline, entry.latest_start)
     row = entry.waiting
-    return min(entry.latest_start, row.arrived + LATE_AIMS * (row.aim - row.asked))
+    return min(
+        entry.latest_start, row.arrived + LATE_AIMS * (row.ttft_deadline - row.asked)
+    )
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -94,7 +94,7 @@
     for number in range(40):
         add(pool, f"flood{number}")
     for row in pool.waiting.values():
-        row.aim = 0.3
+        row.ttft_deadline = 0.3
     pool.behind_s = BEHIND
     allocate(pool, 0.0)
     assert {workspace for _, workspace in pool.memory.admission.shares} == {"w0"}
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -19,7 +19,7 @@
 
 def aimed(pool, request, rank, aim, **more):
     add(pool, request, rank, **more)
-    pool.waiting[request].aim = aim
+    pool.waiting[request].ttft_deadline = aim
 
 
 def placed(pool, now=0.0):
--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -72,7 +72,7 @@
     exchange(tables, role, now + 2.0)
     (row,) = [row for row in role.rows.values() if row.demand.request == back.request]
     assert row.returned
-    assert row.aim == pytest.approx(START + 1.8, abs=0.1)
+    assert row.ttft_deadline == pytest.approx(START + 1.8, abs=0.1)
 
 
 def test_a_request_that_goes_on_waiting_has_not_come_back():
