--- a/godwitladder/configuration/judgement.py
+++ b/godwitladder/configuration/judgement.py
@@ -62,12 +62,12 @@
     _judge_references(objects, ticket, fit)
     _judge_removals(objects, ticket, fit)
     _judge_unique(holders, ticket, fit)
-    findings = tuple(numbers.rows + fit.rows)
+    findings = tuple(numbers.items + fit.items)
     if same:
         return Rejection.CONFLICT, findings
-    if numbers.rows:
+    if numbers.items:
         return Rejection.OUTDATED, findings
-    return (Rejection.INCONSISTENT if fit.rows else None), findings
+    return (Rejection.INCONSISTENT if fit.items else None), findings
 
 
 def _judge_references(
--- a/godwitladder/findings.py
+++ b/godwitladder/findings.py
@@ -28,11 +28,11 @@
 class Findings:
     """A list of findings that grows while an input is read."""
 
-    rows: list[Finding] = field(default_factory=list)
+    items: list[Finding] = field(default_factory=list)
 
     def add(self, place: str, text: str) -> None:
         """Note ``text`` about ``place``."""
-        self.rows.append(Finding(place, text))
+        self.items.append(Finding(place, text))
 
     def add_unknown(self, place: str, name: str, known: Iterable[str]) -> None:
         """Note an unknown ``name`` together with the nearest known one."""
@@ -42,8 +42,8 @@
 
     def raise_if_any(self) -> None:
         """Raise `InvalidInput` with every finding, if there is one."""
-        if self.rows:
-            raise InvalidInput(tuple(self.rows))
+        if self.items:
+            raise InvalidInput(tuple(self.items))
 
 
 class GodwitladderError(Exception):
--- a/godwitladder/orders/records.py
+++ b/godwitladder/orders/records.py
@@ -71,5 +71,5 @@
     findings = Findings()
     record: Any = read_table(fields, kind, name, findings)
     if record is None:
-        raise BadRecord("; ".join(str(row) for row in findings.rows))
+        raise BadRecord("; ".join(str(row) for row in findings.items))
     return record
--- a/godwitladder/tables.py
+++ b/godwitladder/tables.py
@@ -114,7 +114,7 @@
         return None
     hints = _hints(kind)
     fields = _fields(kind)
-    before = len(findings.rows)
+    before = len(findings.items)
     for name in raw:
         if name not in fields:
             findings.add_unknown(_join(place, name), name, fields)
@@ -126,7 +126,7 @@
             _run_check(field, values[name], where, findings)
         elif _required(field):
             findings.add(where, "is missing")
-    if len(findings.rows) > before:
+    if len(findings.items) > before:
         return None
     return kind(**values)
 
