--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -81,7 +81,7 @@
     prefix: str = ""
     repeats: int = 0
     likely_tokens: int = 0
-    aim_s: float = float("inf")
+    ttft_budget_s: float = float("inf")
     start_s: float = float("inf")
     charge: int = 0
     place: Zone = Zone("")
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -301,7 +301,7 @@
         waited_s=now - row.arrived,
         prefix=row.prefix,
         likely_tokens=row.likely_tokens,
-        aim_s=row.aim - now if row.aim else math.inf,
+        ttft_budget_s=row.aim - now if row.aim else math.inf,
         start_s=row.start_by - now,
         charge=row.charge,
         place=tables.place,
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -86,7 +86,7 @@
         line,
         now + line.slack_s,
         arrived,
-        ttft_deadline=asked + line.waited_s + line.aim_s,
+        ttft_deadline=asked + line.waited_s + line.ttft_budget_s,
         start_by=now + line.start_s,
         asked=asked,
         entitled=entitled,
