--- a/godwitladder/outcomes.py
+++ b/godwitladder/outcomes.py
@@ -67,7 +67,7 @@
     INTERNAL = "internal"
 
 
-STATUS: dict[Reason, http.HTTPStatus] = {
+HTTP_STATUS: dict[Reason, http.HTTPStatus] = {
     Reason.MALFORMED: http.HTTPStatus.BAD_REQUEST,
     Reason.TOO_LARGE: http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
     Reason.UNAUTHENTICATED: http.HTTPStatus.UNAUTHORIZED,
--- a/godwitladder/serving/problems.py
+++ b/godwitladder/serving/problems.py
@@ -4,14 +4,14 @@
 import json
 import math
 
-from godwitladder.outcomes import STATUS, Reason, Refusal, RequestState
+from godwitladder.outcomes import HTTP_STATUS, Reason, Refusal, RequestState
 
 PROBLEM_TYPE = "application/problem+json"
 
 
 def refusal_status(refusal: Refusal) -> http.HTTPStatus:
     """Return the HTTP status; 503 invites a retry, so only what never ran has it."""
-    status = STATUS[refusal.reason]
+    status = HTTP_STATUS[refusal.reason]
     ran = refusal.outcome is not RequestState.NOT_RUN
     if ran and refusal.reason is Reason.DEADLINE:
         return http.HTTPStatus.GATEWAY_TIMEOUT
