--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -56,7 +56,7 @@
     aim_s : float
         Seconds left, when the line was sent, for its first output to count as
         in time; infinite where no aim is set.
-    start_s : float
+    start_within_s : float
         Seconds left, likewise, in which it has to start to be of use.
     charge : int
         Tokens that it counts for in its workspace's quota.
@@ -82,7 +82,7 @@
     repeats: int = 0
     likely_tokens: int = 0
     ttft_budget_s: float = float("inf")
-    start_s: float = float("inf")
+    start_within_s: float = float("inf")
     charge: int = 0
     place: Zone = Zone("")
     body: BodyDigest = BodyDigest("")
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -302,7 +302,7 @@
         prefix=row.prefix,
         likely_tokens=row.likely_tokens,
         ttft_budget_s=row.aim - now if row.aim else math.inf,
-        start_s=row.start_by - now,
+        start_within_s=row.start_by - now,
         charge=row.charge,
         place=tables.place,
         body=caller_digest(row),
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -87,7 +87,7 @@
         now + line.slack_s,
         arrived,
         ttft_deadline=asked + line.waited_s + line.ttft_budget_s,
-        start_by=now + line.start_s,
+        start_by=now + line.start_within_s,
         asked=asked,
         entitled=entitled,
         counted=before is not None and before.counted,
