--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -59,7 +59,7 @@
 LEAVE_S = 1.0
 """Time for balancers and peers to see that this host is leaving."""
 OPERATOR_THREADS = 8
-VITAL_THREADS = frozenset(
+CRITICAL_THREADS = frozenset(
     {"config", "hosts", "ticker", "http", "claim-read", "claim-write"}
 )
 FAILED_EXIT = 70
@@ -319,7 +319,7 @@
     host = EntryHost(settings, Clock())
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: host.stop())
-    watch_threads(VITAL_THREADS, host.fail)
+    watch_threads(CRITICAL_THREADS, host.fail)
     host.run()
     if host.failed:
         # Threads of callers may still run; a planned stop waits for them, but
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -65,7 +65,7 @@
 SMALL_THREADS = 2
 SHOWN_HOSTS = 12
 """Allocators that a log line names."""
-VITAL_THREADS = frozenset({"feed", "ticker", "http", "watch", "peers"})
+CRITICAL_THREADS = frozenset({"feed", "ticker", "http", "watch", "peers"})
 FAILED_EXIT = 70
 
 
@@ -390,7 +390,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: host.stop())
     signal.signal(signal.SIGHUP, lambda *_: host.reload())
-    watch_threads(VITAL_THREADS, host.fail)
+    watch_threads(CRITICAL_THREADS, host.fail)
     host.run()
     # Threads of calls may still run; nothing that they could do counts now.
     os._exit(FAILED_EXIT if host.failed else 0)
