--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -281,7 +281,9 @@
                 self.note_shed(line.tier_rank)
             if reason is not ShedReason.QUOTA:
                 self.pool.memory.admission.shed[flow_of(entry)] += 1
-            self.pool.memory.callers.note(line.body, entry.waiting.asked, self.now)
+            self.pool.memory.callers.note(
+                line.body, entry.waiting.first_arrived, self.now
+            )
             self.allocation.sheds.append(give_up(entry, reason, waits[key]))
 
     def note_shed(self, rank: int) -> None:
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -273,19 +273,19 @@
     avoided: frozenset[TargetName] = frozenset()
     ttft_deadline: float = float("inf")
     start_by: float = float("inf")
-    asked: float | None = None
+    first_arrived: float | None = None
     entitled: bool = True
     counted: bool = False
     entry: QueueEntry | None = field(default=None, compare=False, repr=False)
 
     def __post_init__(self) -> None:
-        if self.asked is None:
-            self.asked = self.arrived
+        if self.first_arrived is None:
+            self.first_arrived = self.arrived
 
     @property
     def returned(self) -> bool:
         """Whether its caller was sent away before, and has come back."""
-        return self.asked < self.arrived
+        return self.first_arrived < self.arrived
 
 
 @dataclass
--- a/godwitladder/decisions/untimely.py
+++ b/godwitladder/decisions/untimely.py
@@ -72,5 +72,6 @@
         return min(entry.ttft_deadline, entry.latest_start)
     row = entry.waiting
     return min(
-        entry.latest_start, row.arrived + LATE_AIMS * (row.ttft_deadline - row.asked)
+        entry.latest_start,
+        row.arrived + LATE_AIMS * (row.ttft_deadline - row.first_arrived),
     )
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -88,7 +88,7 @@
         arrived,
         ttft_deadline=asked + line.waited_s + line.ttft_budget_s,
         start_by=now + line.start_within_s,
-        asked=asked,
+        first_arrived=asked,
         entitled=entitled,
         counted=before is not None and before.counted,
     )
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -259,7 +259,7 @@
     pool = make_pool(make_target(limit=1))
     aimed(pool, "late", 0, aim=1.0)
     aimed(pool, "back", 0, aim=1.0, arrived=4.0)
-    pool.waiting["back"].asked = 0.0
+    pool.waiting["back"].first_arrived = 0.0
     assert placed(pool, now=5.0) == ["back"]
 
 
