--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -62,7 +62,7 @@
 CRITICAL_THREADS = frozenset(
     {"config", "hosts", "ticker", "http", "claim-read", "claim-write"}
 )
-FAILED_EXIT = 70
+FAILURE_EXIT_CODE = 70
 
 
 class EntryHost(BaseHost):
@@ -324,4 +324,4 @@
     if host.failed:
         # Threads of callers may still run; a planned stop waits for them, but
         # what they wait for will never come.
-        os._exit(FAILED_EXIT)
+        os._exit(FAILURE_EXIT_CODE)
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -66,7 +66,7 @@
 SHOWN_HOSTS = 12
 """Allocators that a log line names."""
 CRITICAL_THREADS = frozenset({"feed", "ticker", "http", "watch", "peers"})
-FAILED_EXIT = 70
+FAILURE_EXIT_CODE = 70
 
 
 class RoutingHost(BaseHost):
@@ -393,4 +393,4 @@
     watch_threads(CRITICAL_THREADS, host.fail)
     host.run()
     # Threads of calls may still run; nothing that they could do counts now.
-    os._exit(FAILED_EXIT if host.failed else 0)
+    os._exit(FAILURE_EXIT_CODE if host.failed else 0)
