--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -86,7 +86,7 @@
         pool.memory.fade(now)
         for entry in self.backlog.sort(list(pool.waiting.values()), now):
             pool.memory.admission.asked[flow_of(entry)] += 1
-            if not entry.waiting.returned:
+            if not entry.waiting.is_retry:
                 self.count_offered(entry, 1.0)
         self.placed_s = 0.0
         self.promised: Counter[WorkspaceName] = Counter()
@@ -219,7 +219,7 @@
 
     def refuse_quota(self, entry: QueueEntry, wait_s: float) -> None:
         """Refuse what is beyond its workspace's tokens: nobody is owed it."""
-        if not entry.waiting.returned:
+        if not entry.waiting.is_retry:
             self.count_offered(entry, -1.0)
         row = ShedDecision(entry.waiting.demand.request, ShedReason.QUOTA, wait_s)
         self.allocation.sheds.append(row)
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -100,7 +100,7 @@
         entry = weigh(row, pace)
         if self.sizes is not None:
             rank = row.demand.tier_rank
-            if not row.counted and not row.returned:
+            if not row.counted and not row.is_retry:
                 self.sizes.observe(rank, entry.slot_s)
             size = self.sizes.size(rank, entry.slot_s)
             entry.precedence = entry.precedence._replace(size=size)
@@ -156,7 +156,7 @@
         safe = max(row.deadline - most_s * MARGIN, row.arrived + SAFE_LEAST_S)
         safe = min(safe, latest)
     in_time = Timeliness.IN_TIME
-    late = Timeliness.CAME_BACK if row.returned else Timeliness.LATE
+    late = Timeliness.CAME_BACK if row.is_retry else Timeliness.LATE
     if not row.entitled:
         in_time = late = Timeliness.BEYOND_QUOTA
     return QueueEntry(
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -283,7 +283,7 @@
             self.first_arrived = self.arrived
 
     @property
-    def returned(self) -> bool:
+    def is_retry(self) -> bool:
         """Whether its caller was sent away before, and has come back."""
         return self.first_arrived < self.arrived
 
--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -71,7 +71,7 @@
     back = submit(tables, make_request("back", now + 2.0, body=BODY, aim=now + 2.8))
     exchange(tables, role, now + 2.0)
     (row,) = [row for row in role.rows.values() if row.demand.request == back.request]
-    assert row.returned
+    assert row.is_retry
     assert row.ttft_deadline == pytest.approx(START + 1.8, abs=0.1)
 
 
@@ -84,7 +84,7 @@
         now += 0.1
         exchange(tables, role, now)
     (row,) = role.rows.values()
-    assert not row.returned
+    assert not row.is_retry
 
 
 def test_just_the_request_that_is_named_is_refused():
