--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -54,7 +54,7 @@
 log = component_logger("daemon")
 
 HOST_LIST_PERIOD_S = 1.0
-ALONE_S = 3.0
+PEER_DISCOVERY_TIMEOUT_S = 3.0
 """A host that found none of its seeds in this time serves alone."""
 LEAVE_S = 1.0
 """Time for balancers and peers to see that this host is leaving."""
@@ -236,7 +236,11 @@
         with callers sent to it, targets would get twice their slots.
         """
         waited_s = self.clock.monotonic() - self.started
-        return bool(self.mesh.current()) or not self.mesh.seeds or waited_s > ALONE_S
+        return (
+            bool(self.mesh.current())
+            or not self.mesh.seeds
+            or waited_s > PEER_DISCOVERY_TIMEOUT_S
+        )
 
     def status(self) -> HostStatus:
         """Return what operators are told of this host."""
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -56,7 +56,7 @@
 
 IDLE_TICK_S = 0.25
 FIRST_LOOK_S = 1.0
-ALONE_S = 3.0
+PEER_DISCOVERY_TIMEOUT_S = 3.0
 """A host that found no other in this time serves alone."""
 NOTICE_S = 2.5
 """The balancer takes a host out after two looks, one a second."""
@@ -284,7 +284,7 @@
         with callers sent to it, targets would get twice their slots.
         """
         waited_s = self.clock.monotonic() - self.started
-        return bool(self.mesh.current()) or waited_s > ALONE_S
+        return bool(self.mesh.current()) or waited_s > PEER_DISCOVERY_TIMEOUT_S
 
     def drain(self) -> None:
         """Let the balancer see that this host goes, and finish what is in flight.
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -6,7 +6,7 @@
 import pytest
 
 from godwitladder.clock import Clock, ManualClock
-from godwitladder.daemon import ALONE_S, EntryHost
+from godwitladder.daemon import PEER_DISCOVERY_TIMEOUT_S, EntryHost
 from godwitladder.membership.actor import Leave, LinkUp, Membership
 from godwitladder.membership.codec import encode
 from godwitladder.membership.members import Members
@@ -220,7 +220,7 @@
         ({"a"}, [], 0.0, False),
         ({"a"}, ["link"], 0.0, True),
         (set(), [], 0.0, True),
-        ({"a"}, [], ALONE_S + 0.1, True),
+        ({"a"}, [], PEER_DISCOVERY_TIMEOUT_S + 0.1, True),
     ],
 )
 def test_a_host_is_not_ready_before_it_knows_a_peer(seeds, links, waited_s, ready):
