--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -157,7 +157,7 @@
         safe = min(safe, latest)
     in_time = Timeliness.IN_TIME
     late = Timeliness.CAME_BACK if row.is_retry else Timeliness.LATE
-    if not row.entitled:
+    if not row.within_quota:
         in_time = late = Timeliness.BEYOND_QUOTA
     return QueueEntry(
         row,
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -274,7 +274,7 @@
     ttft_deadline: float = float("inf")
     start_by: float = float("inf")
     first_arrived: float | None = None
-    entitled: bool = True
+    within_quota: bool = True
     counted: bool = False
     entry: QueueEntry | None = field(default=None, compare=False, repr=False)
 
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -89,7 +89,7 @@
         ttft_deadline=asked + line.waited_s + line.ttft_budget_s,
         start_by=now + line.start_within_s,
         first_arrived=asked,
-        entitled=entitled,
+        within_quota=entitled,
         counted=before is not None and before.counted,
     )
 
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -373,7 +373,7 @@
     """One workspace sends six times its quota; another's question is late."""
     pool = make_pool(make_target(limit=1))
     aimed(pool, "beyond", 0, aim=9.0)
-    pool.waiting["beyond"].entitled = False
+    pool.waiting["beyond"].within_quota = False
     aimed(pool, "late", 2, aim=1.0)
     assert placed(pool, now=5.0) == ["late"]
 
