--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -227,9 +227,9 @@
     def ready(self) -> bool:
         """Return whether callers should be sent here."""
         caught_up = self.follower.caught_up.is_set()
-        return caught_up and self.acquainted() and not self.stopping.is_set()
+        return caught_up and self.peer_discovery_done() and not self.stopping.is_set()
 
-    def acquainted(self) -> bool:
+    def peer_discovery_done(self) -> bool:
         """Return whether a peer was found, or none can be.
 
         A host that knows no peer takes itself for the allocator of its zone;
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -275,9 +275,14 @@
         """Return whether callers should be sent here."""
         known = self.app.in_force.document.version >= 0
         current = self.currency.holds(self.clock.boottime())
-        return known and current and self.acquainted() and not self.stopping.is_set()
+        return (
+            known
+            and current
+            and self.peer_discovery_done()
+            and not self.stopping.is_set()
+        )
 
-    def acquainted(self) -> bool:
+    def peer_discovery_done(self) -> bool:
         """Return whether a peer was found, or none can be.
 
         A host that knows no peer takes itself for the allocator of its region;
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -233,7 +233,7 @@
     mesh = SimpleNamespace(seeds=seeds, current=lambda: links)
     host = SimpleNamespace(clock=clock, started=clock.monotonic(), mesh=mesh)
     clock.advance(waited_s)
-    assert EntryHost.acquainted(host) is ready
+    assert EntryHost.peer_discovery_done(host) is ready
 
 
 def make_mesh(stack, name, seeds=()):
