--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -64,7 +64,7 @@
     refuse = refuse_early if pool.policy.is_strict else refuse_untimely
     run.drop(refuse(run.backlog, pool, now), ShedReason.OVERLOAD)
     run.summarize()
-    pool.memory.admission.look(now, pool.behind_s)
+    pool.memory.admission.look(now, pool.staleness_s)
     return run.allocation
 
 
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -325,7 +325,7 @@
     memory: AllocatorMemory = field(default_factory=AllocatorMemory)
     quotas: QuotaBook = field(default_factory=QuotaBook)
     policy: Policy = Policy()
-    behind_s: float = 0.0
+    staleness_s: float = 0.0
 
 
 @dataclass(frozen=True)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -31,7 +31,7 @@
         memory=role.memory,
         quotas=role.quotas,
         policy=role.policy,
-        behind_s=role.delays.lately_s(now),
+        staleness_s=role.delays.lately_s(now),
     )
     for account in role.current(now):
         for line in account.lines.values():
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -95,6 +95,6 @@
         add(pool, f"flood{number}")
     for row in pool.waiting.values():
         row.ttft_deadline = 0.3
-    pool.behind_s = BEHIND
+    pool.staleness_s = BEHIND
     allocate(pool, 0.0)
     assert {workspace for _, workspace in pool.memory.admission.shares} == {"w0"}
