--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -192,7 +192,7 @@
         self.keys.start(idle_tick_s)
         self.follower.start()
         self.stack.callback(self.follower.stop)
-        threading.Thread(target=self.follow_hosts, name="hosts", daemon=True).start()
+        threading.Thread(target=self.poll_host_list, name="hosts", daemon=True).start()
         listen, threads = self.settings.listen, self.settings.limits.threads
         self.caller_server = self.serve(
             self.callers, listen.callers, threads, listen.callers_tls
@@ -295,7 +295,7 @@
         if isinstance(message, HostsChanged):
             self.orders.hosts = message.hosts
 
-    def follow_hosts(self) -> None:
+    def poll_host_list(self) -> None:
         """Read the platform's host list from time to time, as a hint."""
         client = HostListClient(self.settings.platform.hosts, self.settings.zone)
         while not self.stopping.is_set():
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -261,7 +261,7 @@
         self.start_component(Ticker(self.clock, heartbeat_s), self.membership)
         self.start_component(self.watch)
         self.start_component(self.feed)
-        threading.Thread(target=self.follow_hosts, name="hosts", daemon=True).start()
+        threading.Thread(target=self.poll_host_list, name="hosts", daemon=True).start()
         listen, threads = settings.listen, settings.limits.threads
         self.caller_server = self.serve(self.app, listen.callers, threads)
         self.serve(ReadinessApp(self.ready), listen.readiness, SMALL_THREADS)
@@ -365,7 +365,7 @@
             }
             log.info("Live hosts have changed", extra=extra)
 
-    def follow_hosts(self) -> None:
+    def poll_host_list(self) -> None:
         """Do this host's part in the list of hosts, and see if settings changed."""
         # Peers are mostly found by the seeds in this time.
         period_s = FIRST_LOOK_S
