--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -213,7 +213,10 @@
             if seconds > budget_s:
                 continue
             score = seconds * (1.0 + room.load) + room.unread * room.prefill_s
-            if line.place and room.view.place != line.place:
+            if (
+                line.availability_zone
+                and room.view.availability_zone != line.availability_zone
+            ):
                 score *= FAR_FACTOR
             if line.prefix and line.prefix in room.view.prefixes and room.load <= bound:
                 score -= seconds
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -84,7 +84,7 @@
     ttft_budget_s: float = float("inf")
     start_within_s: float = float("inf")
     charge: int = 0
-    place: Zone = Zone("")
+    availability_zone: Zone = Zone("")
     body: BodyDigest = BodyDigest("")
     gap_s: float = 0.0
     event_tokens: int = 1
@@ -203,7 +203,7 @@
     unread_s: float = float("inf")
     first_s: float = 0.0
     read_s: float = 0.0
-    place: Zone = Zone("")
+    availability_zone: Zone = Zone("")
 
 
 @dataclass(slots=True)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -127,7 +127,7 @@
             first_s=first_s,
             read_s=read_s,
             unread_s=role.unread_s,
-            place=target.place,
+            availability_zone=target.place,
         )
     return views
 
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -75,8 +75,11 @@
 
 
 def test_the_own_zone_is_preferred_among_equals():
-    pool = make_pool(make_target("t0", place="a"), make_target("t1", place="b"))
-    add(pool, "r", place="b")
+    pool = make_pool(
+        make_target("t0", availability_zone="a"),
+        make_target("t1", availability_zone="b"),
+    )
+    add(pool, "r", availability_zone="b")
     assert [row.target for row in allocate(pool, 0.0).placements] == ["t1"]
 
 
