--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -215,12 +215,12 @@
         self.keys.keyed.stopping = True
         log.info("The host is leaving", extra={"host": self.settings.host})
         self.clock.sleep(LEAVE_S)
-        self.wait_until_idle(self.busy)
+        self.wait_until_idle(self.has_open_calls)
         stop_accepting(self.caller_server)
-        self.wait_until_idle(self.busy)
+        self.wait_until_idle(self.has_open_calls)
         self.keys.flush()
 
-    def busy(self) -> bool:
+    def has_open_calls(self) -> bool:
         """Return whether any request is waiting, running or being answered."""
         return self.callers.open_calls > 0 or unfinished(self.caller_server) > 0
 
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -307,11 +307,11 @@
         self.clock.sleep(NOTICE_S)
         self.app.refusing = True
         until = began + self.settings.bounds.grace_s - LAST_S
-        self.wait_until_idle(self.busy, until)
+        self.wait_until_idle(self.has_open_calls, until)
         stop_accepting(self.caller_server)
-        self.wait_until_idle(self.busy, until)
+        self.wait_until_idle(self.has_open_calls, until)
 
-    def busy(self) -> bool:
+    def has_open_calls(self) -> bool:
         """Return whether any call is waiting, running or being answered."""
         return self.app.open_calls > 0 or unfinished(self.caller_server) > 0
 
