--- a/bench/policies.py
+++ b/bench/policies.py
@@ -198,7 +198,7 @@
             likely_tokens=self.predictor.likely(
                 arrival.workspace, SERVICE, arrival.declared
             ),
-            repeats=self.refused.count(arrival.workspace, body, now),
+            prior_refusals=self.refused.count(arrival.workspace, body, now),
         )
         self.pool.waiting[arrival.request] = WaitingRequest(
             HOST, line, arrival.deadline, now
--- a/godwitladder/decisions/fairness.py
+++ b/godwitladder/decisions/fairness.py
@@ -50,7 +50,7 @@
         self.queues: dict[WorkspaceName, list[tuple]] = {}
         for entry in entries:
             line = entry.waiting.demand
-            key = entry.latest_start + line.repeats * LAST_S
+            key = entry.latest_start + line.prior_refusals * LAST_S
             if entry.safe_start < now:
                 key += UNSAFE_LAST_S
             item = (key, line.request, entry)
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -185,5 +185,5 @@
 def give_up(entry: QueueEntry, reason: ShedReason, backlog_s: float) -> ShedDecision:
     """Return the refusal of ``entry``."""
     line = entry.waiting.demand
-    wait = retry_after_s(backlog_s, line.request, line.repeats)
+    wait = retry_after_s(backlog_s, line.request, line.prior_refusals)
     return ShedDecision(line.request, reason, wait)
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -79,7 +79,7 @@
     slack_s: float
     waited_s: float
     prefix: str = ""
-    repeats: int = 0
+    prior_refusals: int = 0
     likely_tokens: int = 0
     ttft_budget_s: float = float("inf")
     start_within_s: float = float("inf")
