--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -17,7 +17,7 @@
 from godwitladder.configuration.ledger import Ledger, make_state
 from godwitladder.configuration.messages import ConfigRequest, ConfigSnapshot
 from godwitladder.configuration.replica import Phase
-from godwitladder.drain import stop_accepting, unfinished
+from godwitladder.drain import count_unfinished, stop_accepting
 from godwitladder.ids import Incarnation
 from godwitladder.logs import component_logger
 from godwitladder.membership.actor import (
@@ -222,7 +222,7 @@
 
     def has_open_calls(self) -> bool:
         """Return whether any request is waiting, running or being answered."""
-        return self.callers.open_calls > 0 or unfinished(self.caller_server) > 0
+        return self.callers.open_calls > 0 or count_unfinished(self.caller_server) > 0
 
     def ready(self) -> bool:
         """Return whether callers should be sent here."""
--- a/godwitladder/drain.py
+++ b/godwitladder/drain.py
@@ -5,7 +5,7 @@
 from waitress.server import TcpWSGIServer
 
 
-def unfinished(server: TcpWSGIServer) -> int:
+def count_unfinished(server: TcpWSGIServer) -> int:
     """Return how many connections have a request or an answer under way.
 
     An answer is under way until its last byte has left the process. The
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -16,7 +16,7 @@
 from godwitladder.discovery.hostlist import HostList
 from godwitladder.discovery.messages import FeedNews, FeedWanted
 from godwitladder.discovery.source import Source
-from godwitladder.drain import stop_accepting, unfinished
+from godwitladder.drain import count_unfinished, stop_accepting
 from godwitladder.findings import InvalidInput
 from godwitladder.ids import HostId, Incarnation, Zone
 from godwitladder.logs import component_logger
@@ -313,7 +313,7 @@
 
     def has_open_calls(self) -> bool:
         """Return whether any call is waiting, running or being answered."""
-        return self.app.open_calls > 0 or unfinished(self.caller_server) > 0
+        return self.app.open_calls > 0 or count_unfinished(self.caller_server) > 0
 
     def reload(self) -> None:
         """Read the settings file again; what can change without a start does."""
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -4,7 +4,7 @@
 import socket
 import threading
 
-from godwitladder.drain import unfinished
+from godwitladder.drain import count_unfinished
 from godwitladder.serving.listener import make_listener
 from godwitladder.settings import LimitSettings
 from tests.fleet import CALLER_KEY, wait_until
@@ -77,12 +77,12 @@
         head = caller.recv(10)
         channel = next(iter(server.active_channels.values()))
         wait_until(lambda: not channel.requests, "the application to be done")
-        assert unfinished(server) == 1
+        assert count_unfinished(server) == 1
         got = len(head)
         while data := caller.recv(1 << 20):
             got += len(data)
     assert got > len(ANSWER)
-    wait_until(lambda: unfinished(server) == 0, "the connection to be done")
+    wait_until(lambda: count_unfinished(server) == 0, "the connection to be done")
     server.close()
 
 
@@ -91,7 +91,7 @@
     server = make_listener(lambda *_: [], "127.0.0.1:0", LimitSettings(), 4)
     threading.Thread(target=server.run, daemon=True).start()
     with socket.create_connection(server.socket.getsockname()) as caller:
-        assert unfinished(server) == 0
+        assert count_unfinished(server) == 0
         caller.sendall(f"GET / HTTP/1.1\r\nAuthorization: {CALLER_KEY}\r\n".encode())
-        wait_until(lambda: unfinished(server) == 1, "the half request")
+        wait_until(lambda: count_unfinished(server) == 1, "the half request")
     server.close()
