--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -279,7 +279,7 @@
         used=view.used,
         tokens=view.memory_tokens * MEMORY_SHARE - view.reserved_tokens,
         long_used=long_used,
-        unread=view.unread_tokens,
+        unread=view.pending_prefill_tokens,
         unread_requests=view.unread_requests,
         prefill_s=1.0 / max(view.prefill_tps, 1e-9),
         decode_s=1.0 / max(view.decode_tps, 1e-9),
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -107,7 +107,7 @@
     target: TargetName
     running: int
     reserved_tokens: int
-    unread_tokens: int = 0
+    pending_prefill_tokens: int = 0
     unread_requests: int = 0
 
 
@@ -198,7 +198,7 @@
     reserved_tokens: int = 0
     limit: int = 0
     prefixes: set[str] = field(default_factory=set)
-    unread_tokens: int = 0
+    pending_prefill_tokens: int = 0
     unread_requests: int = 0
     unread_s: float = float("inf")
     first_s: float = 0.0
--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -190,7 +190,7 @@
             name: Counted(
                 use.running,
                 use.reserved_tokens,
-                use.unread_tokens,
+                use.pending_prefill_tokens,
                 use.unread_requests,
             )
             for name, use in self.uses.items()
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -122,7 +122,7 @@
             reserved_tokens=count.tokens,
             limit=limit_of(role, name, target.slots, now),
             prefixes=role.hints.prefixes(name, now),
-            unread_tokens=unread.tokens,
+            pending_prefill_tokens=unread.tokens,
             unread_requests=unread.requests,
             first_s=first_s,
             read_s=read_s,
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -56,11 +56,11 @@
 
 def test_a_target_that_reads_gets_no_further_prompt():
     """A long prompt was sent; the next would wait at the target, out of order."""
-    reading = make_target("t0", unread_tokens=1000, unread_s=0.1)
+    reading = make_target("t0", pending_prefill_tokens=1000, unread_s=0.1)
     pool = make_pool(reading)
     add(pool, "r")
     assert placed(pool) == []
-    reading.unread_tokens = 400
+    reading.pending_prefill_tokens = 400
     assert placed(pool) == ["r"]
 
 
