--- a/godwitladder/routing/settings.py
+++ b/godwitladder/routing/settings.py
@@ -5,7 +5,7 @@
 
 from godwitladder.findings import Findings
 from godwitladder.ids import HostId, Zone
-from godwitladder.settings import LimitSettings, load_file
+from godwitladder.settings import LimitSettings, read_toml_file
 from godwitladder.tables import (
     checked,
     ip_port,
@@ -138,7 +138,7 @@
         With every finding in the file.
     """
     findings = Findings()
-    raw = load_file(path, findings)
+    raw = read_toml_file(path, findings)
     settings = None
     if raw is not None:
         settings = read_table(raw, RoutedSettings, f"{path}: ", findings)
--- a/godwitladder/settings.py
+++ b/godwitladder/settings.py
@@ -185,7 +185,7 @@
     """
     findings = Findings()
     settings = None
-    raw = load_file(path, findings)
+    raw = read_toml_file(path, findings)
     if raw is not None:
         settings = read_table(raw, Settings, f"{path}: ", findings)
     if settings is not None:
@@ -194,7 +194,7 @@
     return settings
 
 
-def load_file(path: Path, findings: Findings) -> dict | None:
+def read_toml_file(path: Path, findings: Findings) -> dict | None:
     """Return the TOML in a file, or None with a finding."""
     try:
         data = path.read_bytes()
