--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -280,7 +280,7 @@
         tokens=view.memory_tokens * MEMORY_SHARE - view.reserved_tokens,
         long_used=long_used,
         unread=view.pending_prefill_tokens,
-        unread_requests=view.unread_requests,
+        unread_requests=view.pending_prefill_requests,
         prefill_s=1.0 / max(view.prefill_tps, 1e-9),
         decode_s=1.0 / max(view.decode_tps, 1e-9),
     )
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -108,7 +108,7 @@
     running: int
     reserved_tokens: int
     pending_prefill_tokens: int = 0
-    unread_requests: int = 0
+    pending_prefill_requests: int = 0
 
 
 @dataclass(frozen=True)
@@ -199,7 +199,7 @@
     limit: int = 0
     prefixes: set[str] = field(default_factory=set)
     pending_prefill_tokens: int = 0
-    unread_requests: int = 0
+    pending_prefill_requests: int = 0
     unread_s: float = float("inf")
     first_s: float = 0.0
     read_s: float = 0.0
--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -191,7 +191,7 @@
                 use.running,
                 use.reserved_tokens,
                 use.pending_prefill_tokens,
-                use.unread_requests,
+                use.pending_prefill_requests,
             )
             for name, use in self.uses.items()
         }
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -123,7 +123,7 @@
             limit=limit_of(role, name, target.slots, now),
             prefixes=role.hints.prefixes(name, now),
             pending_prefill_tokens=unread.tokens,
-            unread_requests=unread.requests,
+            pending_prefill_requests=unread.requests,
             first_s=first_s,
             read_s=read_s,
             unread_s=role.unread_s,
