--- a/godwitladder/configuration/tickets.py
+++ b/godwitladder/configuration/tickets.py
@@ -13,7 +13,7 @@
 from godwitladder.configuration.model import TYPES, ObjectKind, ObjectName
 from godwitladder.findings import Findings
 from godwitladder.ids import TicketNumber
-from godwitladder.settings import load_toml
+from godwitladder.settings import parse_toml
 from godwitladder.tables import MAX_JSON_INTEGER, read_table
 
 # Bounds are constants and no settings: a verdict must be the same everywhere.
@@ -55,11 +55,11 @@
         findings.add(name, f"has {len(data)} bytes, more than {TICKET_BYTES}")
         findings.raise_if_any()
     ticket = None
-    raw = load_toml(data, name, findings)
+    raw = parse_toml(data, name, findings)
     try:
         ticket = _read(raw, name, findings) if raw is not None else None
     except RecursionError:
-        # A dotted key of thousands of parts is sound TOML; see load_toml.
+        # A dotted key of thousands of parts is sound TOML; see parse_toml.
         findings.add(name, "is nested too deeply")
     findings.raise_if_any()
     return ticket
--- a/godwitladder/settings.py
+++ b/godwitladder/settings.py
@@ -201,7 +201,7 @@
     except OSError as error:
         findings.add(str(path), f"can't be read: {error.strerror}")
         return None
-    return load_toml(data, str(path), findings)
+    return parse_toml(data, str(path), findings)
 
 
 def _check_whole(settings: Settings, place: str, findings: Findings) -> None:
@@ -251,7 +251,7 @@
             findings.add(f"{place}.{name}", f"there is no file {path!r}")
 
 
-def load_toml(data: bytes, name: str, findings: Findings) -> dict | None:
+def parse_toml(data: bytes, name: str, findings: Findings) -> dict | None:
     """Return ``data`` as TOML, or None with a finding."""
     try:
         return tomllib.loads(data.decode())
