--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -86,7 +86,7 @@
         """
         if self.held or self.used >= self.view.limit:
             return False
-        if self.unread * self.prefill_s > self.view.unread_s:
+        if self.unread * self.prefill_s > self.view.max_pending_prefill_s:
             return False
         return not self.view.memory_tokens or tokens <= self.tokens or self.used == 0
 
@@ -166,7 +166,7 @@
         return any(
             not room.held
             and room.used < room.view.limit
-            and room.unread * room.prefill_s <= room.view.unread_s
+            and room.unread * room.prefill_s <= room.view.max_pending_prefill_s
             for room in self.rooms
         )
 
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -200,7 +200,7 @@
     prefixes: set[str] = field(default_factory=set)
     pending_prefill_tokens: int = 0
     pending_prefill_requests: int = 0
-    unread_s: float = float("inf")
+    max_pending_prefill_s: float = float("inf")
     first_s: float = 0.0
     read_s: float = 0.0
     availability_zone: Zone = Zone("")
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -126,7 +126,7 @@
             pending_prefill_requests=unread.requests,
             first_s=first_s,
             read_s=read_s,
-            unread_s=role.unread_s,
+            max_pending_prefill_s=role.unread_s,
             availability_zone=target.place,
         )
     return views
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -56,7 +56,7 @@
 
 def test_a_target_that_reads_gets_no_further_prompt():
     """A long prompt was sent; the next would wait at the target, out of order."""
-    reading = make_target("t0", pending_prefill_tokens=1000, unread_s=0.1)
+    reading = make_target("t0", pending_prefill_tokens=1000, max_pending_prefill_s=0.1)
     pool = make_pool(reading)
     add(pool, "r")
     assert placed(pool) == []
@@ -66,7 +66,7 @@
 
 def test_one_run_sends_one_long_prompt_to_each_target():
     pool = make_pool(
-        *(make_target(name, unread_s=0.1) for name in ("t0", "t1")),
+        *(make_target(name, max_pending_prefill_s=0.1) for name in ("t0", "t1")),
     )
     for number in range(4):
         add(pool, f"r{number}", prompt_tokens=1000)
