--- a/godwitladder/metrics.py
+++ b/godwitladder/metrics.py
@@ -85,7 +85,7 @@
         """Count a request that has ended."""
         self.requests.inc({"rank": str(rank), "outcome": state.value})
 
-    def count_turned_away(self, rank: int, reason: Reason) -> None:
+    def count_refused_request(self, rank: int, reason: Reason) -> None:
         """Count a request that was refused while it waited."""
         self.count_request(rank, RequestState.NOT_RUN)
         if reason in (Reason.SHED, Reason.DEADLINE):
--- a/godwitladder/serving/dispatching.py
+++ b/godwitladder/serving/dispatching.py
@@ -83,7 +83,7 @@
         while True:
             decision = self._await_decision(call, gone)
             if isinstance(decision, Refusal):
-                self.metrics.count_turned_away(call.row.tier_rank, decision.reason)
+                self.metrics.count_refused_request(call.row.tier_rank, decision.reason)
                 call.on_end(decision.outcome)
                 return answer_problem(start_response, decision, call.row.request)
             attempt = Attempt(self, call, decision)
--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -251,7 +251,9 @@
             return self.kept.start(start_response)
         if self.lost:
             refusal = self.lost_refusal(self.lost)
-        self.passer.metrics.count_turned_away(self.call.row.tier_rank, refusal.reason)
+        self.passer.metrics.count_refused_request(
+            self.call.row.tier_rank, refusal.reason
+        )
         extra = self.names() | {
             "reason": refusal.reason.value,
             "workspace": self.call.workspace,
