--- a/bench/policies.py
+++ b/bench/policies.py
@@ -192,7 +192,7 @@
             predicted_tokens=self.predictor.predict(
                 arrival.workspace, SERVICE, arrival.declared
             ),
-            slack_s=arrival.deadline - now,
+            time_to_deadline_s=arrival.deadline - now,
             waited_s=0.0,
             prefix=arrival.prefix,
             likely_tokens=self.predictor.likely(
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -27,7 +27,7 @@
 SERVICE = ServiceName("letters")
 
 
-def make_pool(waiting: int, slack_s: float) -> PoolView:
+def make_pool(waiting: int, time_to_deadline_s: float) -> PoolView:
     """Return a pool with one free slot on half of its targets."""
     draw = random.Random(1)
     pool = PoolView()
@@ -44,12 +44,12 @@
             limit=SLOTS,
         )
     for index in range(waiting):
-        add_waiting(pool, index, slack_s, draw)
+        add_waiting(pool, index, time_to_deadline_s, draw)
     return pool
 
 
 def add_waiting(
-    pool: PoolView, index: int, slack_s: float, draw: random.Random
+    pool: PoolView, index: int, time_to_deadline_s: float, draw: random.Random
 ) -> None:
     """Add one waiting request."""
     workspace = WorkspaceName(f"workspace-{draw.randrange(WORKSPACES)}")
@@ -61,10 +61,10 @@
         tier_rank=draw.randrange(4),
         prompt_tokens=draw.randrange(50, 2000),
         predicted_tokens=draw.randrange(10, 500),
-        slack_s=slack_s,
+        time_to_deadline_s=time_to_deadline_s,
         waited_s=0.0,
     )
-    deadline = slack_s * (1.0 + draw.random())
+    deadline = time_to_deadline_s * (1.0 + draw.random())
     pool.waiting[line.request] = WaitingRequest(HostId("host"), line, deadline, 0.0)
 
 
@@ -76,9 +76,11 @@
         )
 
 
-def time_runs(waiting: int, slack_s: float, fresh: bool, refuse: bool) -> list[float]:
+def time_runs(
+    waiting: int, time_to_deadline_s: float, fresh: bool, refuse: bool
+) -> list[float]:
     """Return the milliseconds of several runs over the same pool."""
-    pool = make_pool(waiting, slack_s)
+    pool = make_pool(waiting, time_to_deadline_s)
     times = []
     for _ in range(RUNS):
         pool.memory.refused_at = float("-inf") if refuse else 0.0
--- a/examples/allocation_in_memory.py
+++ b/examples/allocation_in_memory.py
@@ -16,10 +16,12 @@
 NOW = 100.0
 
 
-def waiting(name: str, rank: int, slack_s: float) -> WaitingRequest:
+def waiting(name: str, rank: int, time_to_deadline_s: float) -> WaitingRequest:
     """Return a request for a letter of some 200 tokens."""
-    line = RequestDemand(name, "advisers", "letters", rank, 500, 200, slack_s, 0.0)
-    return WaitingRequest("host-a1", line, NOW + slack_s, NOW)
+    line = RequestDemand(
+        name, "advisers", "letters", rank, 500, 200, time_to_deadline_s, 0.0
+    )
+    return WaitingRequest("host-a1", line, NOW + time_to_deadline_s, NOW)
 
 
 def main() -> Allocation:
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -42,7 +42,7 @@
         0 matters most.
     prompt_tokens, predicted_tokens : int
         Prompt and expected output.
-    slack_s : float
+    time_to_deadline_s : float
         Seconds to its deadline when the line was sent.
     waited_s : float
         Seconds since its arrival when the line was sent.
@@ -76,7 +76,7 @@
     tier_rank: int
     prompt_tokens: int
     predicted_tokens: int
-    slack_s: float
+    time_to_deadline_s: float
     waited_s: float
     prefix: str = ""
     prior_refusals: int = 0
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -297,7 +297,7 @@
         tier_rank=row.tier_rank,
         prompt_tokens=row.prompt_tokens,
         predicted_tokens=row.predicted_tokens or row.declared_tokens,
-        slack_s=row.deadline - now,
+        time_to_deadline_s=row.deadline - now,
         waited_s=now - row.arrived,
         prefix=row.prefix,
         likely_tokens=row.likely_tokens,
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -84,7 +84,7 @@
     return WaitingRequest(
         host,
         line,
-        now + line.slack_s,
+        now + line.time_to_deadline_s,
         arrived,
         ttft_deadline=asked + line.waited_s + line.ttft_budget_s,
         start_by=now + line.start_within_s,
--- a/tests/decisions/pools.py
+++ b/tests/decisions/pools.py
@@ -23,7 +23,7 @@
         request=request,
         workspace=workspace,
         tier_rank=rank,
-        slack_s=deadline,
+        time_to_deadline_s=deadline,
         waited_s=0.0,
         **(lengths | more),
     )
