--- a/godwitladder/metrics.py
+++ b/godwitladder/metrics.py
@@ -91,7 +91,7 @@
         if reason in (Reason.SHED, Reason.DEADLINE):
             self.sheds.inc({"rank": str(rank), "reason": reason.value})
 
-    def count_refusal(self, reason: Reason) -> None:
+    def count_refused_call(self, reason: Reason) -> None:
         """Count a call that was turned away before it became a request."""
         self.refusals.inc({"reason": reason.value})
 
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -143,7 +143,7 @@
     ) -> Iterable[bytes]:
         """Refuse a call that has not reached the scheduler."""
         refusal = error.refusal
-        self.metrics.count_refusal(refusal.reason)
+        self.metrics.count_refused_call(refusal.reason)
         extra = {
             "request": facts.attempt,
             "reason": refusal.reason.value,
--- a/godwitladder/serving/callers.py
+++ b/godwitladder/serving/callers.py
@@ -81,7 +81,7 @@
         try:
             return self._route(environ, start_response)
         except CallRefused as error:
-            self.metrics.count_refusal(error.refusal.reason)
+            self.metrics.count_refused_call(error.refusal.reason)
             return answer_problem(start_response, error.refusal, error.request)
         except Exception:
             log.exception("A request failed")
