--- a/godwitladder/base_host.py
+++ b/godwitladder/base_host.py
@@ -1,4 +1,8 @@
-"""What every daemon owns, ended in the reverse order by one exit stack."""
+"""Base class of the hosts.
+
+A host owns actors, components with threads, and HTTP servers. One exit stack
+stops them in the reverse order of their start.
+"""
 
 import contextlib
 import threading
@@ -22,23 +26,25 @@
 
 
 class BaseHost:
-    """Actors, parts with threads and servers of one host.
+    """Base class of the hosts; starts, drains and stops their components.
 
     Parameters
     ----------
     host : HostId
-        The host's name, for its log.
+        Name of the host, for its log lines.
     clock : Clock
-        The host's clock.
+        Clock of the host.
     limits : LimitSettings
-        Bounds of the listeners.
+        Limits of the listeners.
 
     Attributes
     ----------
+    stack : contextlib.ExitStack
+        Stops the components in the reverse order of their start.
     stopping : threading.Event
-        Set when the host is to end.
+        Set when the host is to stop.
     failed : bool
-        Whether it ends because a part of it no longer works.
+        Whether the host stops because one of its components has failed.
     """
 
     def __init__(self, host: HostId, clock: Clock, limits: LimitSettings) -> None:
@@ -50,13 +56,13 @@
         self.failed = False
 
     def start_actor(self, kind: type[pykka.ThreadingActor], *parts: Any) -> Any:
-        """Start an actor that stops with the host."""
+        """Start an actor, to be stopped with the host, and return its reference."""
         actor = supervised(kind, self.fail).start(*parts)
         self.stack.callback(actor.stop)
         return actor
 
     def start_component(self, part: Any, *args: Any) -> None:
-        """Start a part that stops with the host."""
+        """Start a component with a thread of its own, to be stopped with the host."""
         part.start(*args)
         self.stack.callback(part.stop)
 
@@ -67,14 +73,31 @@
         threads: int,
         tls: TlsSettings | None = None,
     ) -> TcpWSGIServer:
-        """Serve ``app`` by waitress at ``address``."""
+        """Serve the WSGI application ``app`` with waitress at ``address``.
+
+        Parameters
+        ----------
+        app : callable
+            The WSGI application.
+        address : str
+            Where to listen, as ``address:port``.
+        threads : int
+            Number of threads that run the application.
+        tls : TlsSettings or None, default=None
+            Certificate and key of the listener; None for plain HTTP.
+
+        Returns
+        -------
+        server : TcpWSGIServer
+            The running server, to be closed with the host.
+        """
         server = make_listener(app, address, self.limits, threads, tls)
         threading.Thread(target=server.run, name="http", daemon=True).start()
         self.stack.callback(server.close)
         return server
 
     def run(self) -> None:
-        """Serve until a stop was asked for and all work in flight is done."""
+        """Serve until a stop is requested, then drain unless the host has failed."""
         with self.stack:
             self.start()
             self.stopping.wait()
@@ -84,34 +107,37 @@
         log.info("The host has stopped", extra={"host": self.host})
 
     def start(self) -> None:
-        """Start every part; each kind of host has its own."""
-        raise TypeError(f"{type(self).__name__} starts nothing")
+        """Start all components; subclasses override this."""
+        raise TypeError(f"{type(self).__name__} doesn't implement start()")
 
     def drain(self) -> None:
-        """Finish what is in flight; each kind of host has its own way."""
-        raise TypeError(f"{type(self).__name__} can't be drained")
+        """Wait for the requests in flight; subclasses override this."""
+        raise TypeError(f"{type(self).__name__} doesn't implement drain()")
 
     def stop(self) -> None:
-        """Ask for a planned stop."""
+        """Request a graceful stop."""
         self.stopping.set()
 
     def fail(self) -> None:
-        """End at once: a part of the host no longer works."""
+        """Stop without draining because a component has failed."""
         self.failed = True
         self.stopping.set()
 
     def wait_until_idle(
         self, is_busy: Callable[[], bool], until: float = float("inf")
     ) -> None:
-        """Wait until no request is under way, and was none a moment ago.
+        """Wait until several checks in a row find no request in flight.
 
-        A single look could fall between two of a caller's requests, or
-        between a request's last byte and the call that serves it.
+        A single check could fall between two requests of a caller, or between
+        the arrival of a request's last byte and the call that serves it. The
+        wait ends early if the host has failed.
 
         Parameters
         ----------
-        until : float
-            Monotonic time at which the wait ends in any case.
+        is_busy : callable
+            Returns whether a request is in flight.
+        until : float, default=inf
+            Monotonic time, in seconds, at which the wait ends at the latest.
         """
         idle = 0
         while idle < IDLE_LOOKS and not self.failed:
--- a/godwitladder/findings.py
+++ b/godwitladder/findings.py
@@ -1,4 +1,7 @@
-"""Findings about input: collected with their place and reported together."""
+"""Validation errors of an input, collected with their location.
+
+All errors of an input are reported together instead of only the first one.
+"""
 
 import difflib
 from collections.abc import Iterable
@@ -7,14 +10,14 @@
 
 @dataclass(frozen=True)
 class Finding:
-    """One thing wrong with an input.
+    """One error in an input.
 
     Attributes
     ----------
     place : str
-        Where it stands, as ``file: table.key``.
+        Location of the error, as ``file: table.key``.
     text : str
-        What is wrong, with the offending value.
+        Description of the error, including the invalid value.
     """
 
     place: str
@@ -26,37 +29,43 @@
 
 @dataclass
 class Findings:
-    """A list of findings that grows while an input is read."""
+    """Collects findings while an input is read.
+
+    Attributes
+    ----------
+    items : list of Finding
+        The findings so far, in the order of the input.
+    """
 
     items: list[Finding] = field(default_factory=list)
 
     def add(self, place: str, text: str) -> None:
-        """Note ``text`` about ``place``."""
+        """Add a finding at ``place`` with the description ``text``."""
         self.items.append(Finding(place, text))
 
     def add_unknown(self, place: str, name: str, known: Iterable[str]) -> None:
-        """Note an unknown ``name`` together with the nearest known one."""
+        """Add a finding for an unknown ``name`` and suggest the closest known one."""
         near = difflib.get_close_matches(name, list(known), n=1)
         hint = f", did you mean {near[0]!r}?" if near else ""
         self.add(place, f"unknown name {name!r}{hint}")
 
     def raise_if_any(self) -> None:
-        """Raise `InvalidInput` with every finding, if there is one."""
+        """Raise `InvalidInput` with all findings, if there are any."""
         if self.items:
             raise InvalidInput(tuple(self.items))
 
 
 class GodwitladderError(Exception):
-    """Base of every error that this package raises on purpose."""
+    """Base class of the errors that this package defines."""
 
 
 class InvalidInput(GodwitladderError):
-    """An input that was read whole and found wrong.
+    """Raised after a whole input was read and at least one error was found.
 
     Parameters
     ----------
     findings : tuple of Finding
-        Everything found, in the order of the input.
+        All errors, in the order of the input.
     """
 
     def __init__(self, findings: tuple[Finding, ...]) -> None:
--- a/godwitladder/ids.py
+++ b/godwitladder/ids.py
@@ -1,4 +1,4 @@
-"""Distinct types for the identifiers that travel through the system."""
+"""Distinct types for the identifiers used throughout the package."""
 
 from typing import NewType
 
--- a/godwitladder/outcomes.py
+++ b/godwitladder/outcomes.py
@@ -1,4 +1,4 @@
-"""How a request can end, and the refusals that tell a caller so."""
+"""States of a request, reasons for refusing it, and refusals."""
 
 import enum
 import http
@@ -6,7 +6,7 @@
 
 
 class RequestState(enum.Enum):
-    """The states of a request on the host where its caller is connected."""
+    """State of a request on its entry host, to which the caller is connected."""
 
     WAITING = "waiting"
     CLAIMING = "claiming"
@@ -22,8 +22,9 @@
         {RequestState.CLAIMING, RequestState.DISPATCHED, RequestState.NOT_RUN}
     ),
     RequestState.CLAIMING: frozenset({RequestState.WAITING, RequestState.NOT_RUN}),
-    # Back to WAITING only when no byte was written to the target, when the
-    # target said that it ran nothing, or when the request may run twice.
+    # A request returns to WAITING only if no byte was written to the target, if
+    # the target reported that it did not run the request, or if the request
+    # may run more than once.
     RequestState.DISPATCHED: frozenset(
         {
             RequestState.WAITING,
@@ -41,7 +42,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a request was refused or failed; part of the public interface."""
+    """Why a request was refused or failed; the values are part of the public API."""
 
     MALFORMED = "malformed"
     TOO_LARGE = "too_large"
@@ -95,16 +96,19 @@
 
 @dataclass(frozen=True)
 class Refusal:
-    """A final answer that is not the target's own.
+    """A final error response that the scheduler, not the target, produced.
 
     Attributes
     ----------
     outcome : RequestState
         NOT_RUN, MAY_HAVE_RUN or FAILED.
+    reason : Reason
+        Why the request was refused or failed.
     detail : str
-        One sentence for a person.
+        One human-readable sentence.
     retry_after_s : float or None
-        When to come back, in seconds; None where coming back can't help.
+        Delay after which the caller may retry, in seconds; None if a retry
+        can't succeed.
     """
 
     outcome: RequestState
@@ -114,5 +118,15 @@
 
 
 def refuse(reason: Reason, detail: str, retry_after_s: float | None = None) -> Refusal:
-    """Return a refusal of a request that did not run."""
+    """Return the refusal of a request that did not run.
+
+    Parameters
+    ----------
+    reason : Reason
+        Why the request is refused.
+    detail : str
+        One human-readable sentence.
+    retry_after_s : float or None, default=None
+        Delay after which the caller may retry, in seconds.
+    """
     return Refusal(RequestState.NOT_RUN, reason, detail, retry_after_s)
--- a/godwitladder/tables.py
+++ b/godwitladder/tables.py
@@ -1,8 +1,8 @@
-"""Reading TOML tables into dataclasses, collecting every finding on the way.
+"""Parses TOML tables into dataclasses and reports every error found.
 
-A dataclass describes the table: the type of a field says what is accepted,
-and its metadata may hold ``check``, a function from the value to a message
-about it or None.
+A dataclass is the schema of a table. The type of a field says which values are
+accepted. Its metadata may hold ``check``, a function that takes the value and
+returns an error message, or None if the value is valid.
 """
 
 import dataclasses
@@ -20,7 +20,7 @@
 T = TypeVar("T")
 Check = Callable[[Any], str | None]
 DIGEST = re.compile("[0-9a-f]{64}")
-# The largest that every reader of JSON keeps exactly.
+# The largest integer that every JSON parser represents exactly.
 MAX_JSON_INTEGER = 2**53 - 1
 
 
@@ -30,26 +30,26 @@
 
 
 def positive(value: float) -> str | None:
-    """Accept finite numbers above zero."""
+    """Accept finite numbers greater than zero."""
     return None if 0 < value < math.inf else f"{value!r} must be above zero and finite"
 
 
 def not_negative(value: float) -> str | None:
-    """Accept zero and finite numbers above it."""
+    """Accept finite numbers greater than or equal to zero."""
     return (
         None if 0 <= value < math.inf else f"{value!r} must be finite and not negative"
     )
 
 
 def sha256_digest(value: str) -> str | None:
-    """Accept a SHA-256 in lower-case hex."""
+    """Accept a SHA-256 digest in lower-case hexadecimal."""
     if DIGEST.fullmatch(value):
         return None
     return f"{value!r} must be a SHA-256: 64 digits of lower-case hex"
 
 
 def sha256_digests(values: tuple[str, ...]) -> str | None:
-    """Accept a list of SHA-256 digests in lower-case hex."""
+    """Accept a list of SHA-256 digests in lower-case hexadecimal."""
     return _first_text(sha256_digest, values)
 
 
@@ -59,14 +59,14 @@
 
 
 def http_url(value: str) -> str | None:
-    """Accept ``http://`` or ``https://`` and an address."""
+    """Accept a URL of ``http://`` or ``https://`` followed by an address."""
     if value.startswith(("http://", "https://")) and value.split("://")[1]:
         return None
     return f"{value!r} must start with http:// or https:// and name an address"
 
 
 def not_empty(value: str) -> str | None:
-    """Accept any text but the empty one."""
+    """Accept any non-empty string."""
     return None if value else "must not be empty"
 
 
@@ -79,7 +79,7 @@
 
 
 def ip_port(value: str) -> str | None:
-    """Accept an IP number and a port; IPv6 numbers stand in brackets."""
+    """Accept an IP address and a port; IPv6 addresses are in brackets."""
     text = host_port(value)
     if text:
         return text
@@ -91,23 +91,28 @@
 
 
 def ip_ports(values: tuple[str, ...]) -> str | None:
-    """Accept a list of IP numbers with ports."""
+    """Accept a list of IP addresses with ports."""
     return _first_text(ip_port, values)
 
 
 def read_table(raw: Any, kind: type[T], place: str, findings: Findings) -> T | None:
-    """Return ``raw`` as a ``kind``, or None with findings that say why not.
+    """Return ``raw`` as an instance of ``kind``, or None if it is invalid.
 
     Parameters
     ----------
     raw : Any
-        What the TOML reader gave for this table.
+        The table as parsed from TOML.
     kind : type
-        A dataclass that describes the table.
+        The dataclass that is the schema of the table.
     place : str
-        Place of the table, for the findings.
+        Location of the table in the input, for the findings.
     findings : Findings
-        Where to note what is wrong.
+        Receives a finding for each error in the table.
+
+    Returns
+    -------
+    table : kind or None
+        None if a finding was added.
     """
     if not isinstance(raw, Mapping):
         findings.add(place, f"expected a table, found {raw!r}")
@@ -131,8 +136,8 @@
     return kind(**values)
 
 
-# Peer messages are read through here too, many a second: the type hints are
-# resolved once for each dataclass.
+# Peer messages are read by this module too, many per second. Type hints are
+# therefore resolved once per dataclass.
 @functools.cache
 def _hints(kind: type) -> dict[str, Any]:
     return typing.get_type_hints(kind)
@@ -160,7 +165,7 @@
 
 
 def _read_value(raw: Any, hint: Any, place: str, findings: Findings) -> Any:
-    # TOML has no null, but messages and snapshots in CBOR do.
+    # TOML has no null, but CBOR, which encodes messages and snapshots, does.
     if raw is None and type(None) in typing.get_args(hint):
         return None
     hint = unwrap_type(hint)
@@ -191,7 +196,7 @@
 
 @functools.cache
 def unwrap_type(hint: Any) -> Any:
-    """Return the type below a NewType or an optional."""
+    """Return the type that a NewType or an Optional wraps."""
     while hasattr(hint, "__supertype__"):
         hint = hint.__supertype__
     options = [arg for arg in typing.get_args(hint) if arg is not type(None)]
