--- a/godwitladder/clock.py
+++ b/godwitladder/clock.py
@@ -1,7 +1,6 @@
-"""The one source of time, which tests pause and advance.
+"""The package's only source of time, which tests replace by a manual clock.
 
-Nothing else in the package reads the time of the runtime. Durations are in
-seconds throughout.
+No other module reads the time from the runtime. All durations are in seconds.
 """
 
 import asyncio
@@ -9,19 +8,19 @@
 import time
 
 POLL_S = 0.01
-"""Between two looks of a paused clock, in seconds of the runtime."""
+"""Real time between two checks of a `ManualClock` that is waited on, in seconds."""
 
 
 class Clock:
-    """Time of the runtime.
+    """Clock that reads the time from the runtime.
 
-    ``monotonic`` orders events within one process; ``wall`` is seconds since
-    the epoch, and only for what leaves the process (logs, audit, expiry of
-    records that several hosts judge).
+    Use ``monotonic`` to order events within one process. Use ``wall`` only for
+    times that leave the process, such as those of log lines and audit entries,
+    and the expiry of records that several hosts evaluate.
     """
 
     def monotonic(self) -> float:
-        """Return seconds from an arbitrary start, never going back."""
+        """Return seconds since an arbitrary start; the value never decreases."""
         return time.monotonic()
 
     def wall(self) -> float:
@@ -29,10 +28,10 @@
         return time.time()
 
     def boottime(self) -> float:
-        """Return seconds from an arbitrary start, suspension counted.
+        """Return seconds since an arbitrary start, including time suspended.
 
-        ``monotonic`` stands still while a machine is suspended; what must not
-        be believed for longer than a bound goes by this one.
+        ``monotonic`` stops while a machine is suspended. Use this method for
+        data that must not be trusted for longer than a given time.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -41,21 +40,21 @@
         time.sleep(seconds)
 
     def wait(self, event: threading.Event, seconds: float) -> bool:
-        """Wait for ``event`` at most ``seconds``; return whether it is set."""
+        """Wait up to ``seconds`` for ``event``; return whether it is set."""
         return event.wait(seconds)
 
     async def async_sleep(self, seconds: float) -> None:
-        """Hold up the calling coroutine for ``seconds``."""
+        """Suspend the calling coroutine for ``seconds``."""
         await asyncio.sleep(seconds)
 
 
 class ManualClock(Clock):
-    """A clock that stands still until a test advances it.
+    """Clock for tests that only changes when it is advanced.
 
     Parameters
     ----------
-    start : float
-        First reading of both ``monotonic`` and ``wall``, in seconds.
+    start : float, default=1000.0
+        Initial value of ``monotonic``, ``wall`` and ``boottime``, in seconds.
     """
 
     def __init__(self, start: float = 1_000.0) -> None:
@@ -63,31 +62,34 @@
         self.changed = threading.Condition()
 
     def monotonic(self) -> float:
-        """Return the reading that the test has set."""
+        """Return the time that the test has set, in seconds."""
         return self.now
 
     def wall(self) -> float:
-        """Return the reading that the test has set."""
+        """Return the time that the test has set, in seconds."""
         return self.now
 
     def boottime(self) -> float:
-        """Return the reading that the test has set."""
+        """Return the time that the test has set, in seconds."""
         return self.now
 
     def advance(self, seconds: float) -> None:
-        """Move the reading on by ``seconds`` and wake all sleepers."""
+        """Advance the clock by ``seconds`` and wake all waiting threads."""
         with self.changed:
             self.now += seconds
             self.changed.notify_all()
 
     def sleep(self, seconds: float) -> None:
-        """Block until the test has advanced the clock by ``seconds``."""
+        """Block until the clock has been advanced by ``seconds``."""
         due = self.now + seconds
         with self.changed:
             self.changed.wait_for(lambda: self.now >= due)
 
     def wait(self, event: threading.Event, seconds: float) -> bool:
-        """Wait for ``event`` until the clock was advanced by ``seconds``."""
+        """Wait for ``event`` until the clock has been advanced by ``seconds``.
+
+        Return whether the event is set.
+        """
         due = self.now + seconds
         with self.changed:
             while self.now < due and not event.is_set():
@@ -95,7 +97,7 @@
         return event.is_set()
 
     async def async_sleep(self, seconds: float) -> None:
-        """Hold up the coroutine until the clock was advanced by ``seconds``."""
+        """Suspend the coroutine until the clock has been advanced by ``seconds``."""
         due = self.now + seconds
         while self.now < due:
             await asyncio.sleep(POLL_S)
--- a/godwitladder/logs.py
+++ b/godwitladder/logs.py
@@ -1,8 +1,8 @@
-"""Structured JSON logs: one line an event, with a fixed prefix for each part.
+"""Structured JSON logs: one line per event, with a prefix for each component.
 
-On a host that serves, lines go through a bounded queue to a thread of their
-own. A pipe that nobody reads would otherwise stop every thread that logs, and
-with it the serving of callers; lines beyond a rate are counted and dropped.
+A serving host passes log lines through a bounded queue to a separate thread.
+Otherwise a pipe that nobody reads would block every thread that logs, and with
+them the serving of callers. Lines above a rate limit are counted and dropped.
 """
 
 import logging
@@ -15,29 +15,35 @@
 from godwitladder.clock import Clock
 
 QUEUED_LINES = 2_000
-"""Lines that wait to be written: ten seconds at the rate."""
+"""Maximum number of queued lines: ten seconds at `LINES_PER_S`."""
 LINES_PER_S = 200.0
-"""About eight lines for each call of the busiest host, 25 calls a second."""
+"""Rate limit: about eight lines for each of 25 calls per second on one host."""
 BURST_LINES = 400.0
+"""Capacity of the rate limiter's token bucket, in lines."""
 
 
 class ComponentLogger(logging.LoggerAdapter):
-    """A logger that puts the part's name before each short sentence."""
+    """Logger that prefixes each message with the name of its component."""
 
     def process(self, msg, kwargs):
-        """Add the prefix to ``msg`` and keep ``extra`` as JSON fields."""
+        """Prefix ``msg``; the call's ``extra`` becomes fields of the JSON line."""
         return f"{self.extra['part']}: {msg}", kwargs
 
 
 class BoundedHandler(logging.Handler):
-    """Hands lines to a thread that writes them; never blocks.
+    """Handler that passes records to a writer thread and never blocks.
 
     Parameters
     ----------
     target : logging.Handler
-        Writes the lines.
+        Handler that writes the records.
     clock : Clock
-        By which the rate is kept.
+        Clock for the rate limit.
+
+    Attributes
+    ----------
+    dropped : int
+        Number of lines dropped since the last one written.
     """
 
     def __init__(self, target: logging.Handler, clock: Clock) -> None:
@@ -50,18 +56,18 @@
         self.refilled = self.clock.monotonic()
 
     def start(self) -> None:
-        """Start the thread that writes."""
+        """Start the writer thread."""
         threading.Thread(target=self.run, name="logs", daemon=True).start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue one line, or count it as dropped."""
+        """Queue a record, or drop and count it above the rate or queue limit."""
         if not self.take() or self.lines.qsize() >= QUEUED_LINES:
             self.dropped += 1
             return
         self.lines.put(record)
 
     def take(self) -> bool:
-        """Return whether the rate allows one more line."""
+        """Take one token from the rate limiter; return False if none is left."""
         now = self.clock.monotonic()
         self.budget += (now - self.refilled) * LINES_PER_S
         self.budget = min(self.budget, BURST_LINES)
@@ -72,7 +78,7 @@
         return True
 
     def run(self) -> None:
-        """Write lines as they come."""
+        """Write queued records until the process ends."""
         while True:
             record = self.lines.get()
             if self.dropped:
@@ -80,23 +86,29 @@
             self.target.handle(record)
 
     def drain(self) -> None:
-        """Write what is queued: the process is about to end."""
+        """Write the queued records before the process ends."""
         while not self.lines.empty():
             self.target.handle(self.lines.get())
 
 
 def component_logger(part: str) -> ComponentLogger:
-    """Return the logger of ``part``."""
+    """Return the logger of the component named ``part``."""
     return ComponentLogger(logging.getLogger(f"godwitladder.{part}"), {"part": part})
 
 
 def configure_logs(level: str = "INFO") -> None:
-    """Send the package's logs to standard error as JSON lines."""
+    """Send the package's log records to standard error as JSON lines."""
     _set_handler(_json_handler(sys.stderr), level)
 
 
 def configure_bounded_logs(level: str = "INFO") -> BoundedHandler:
-    """Send the package's logs to standard output, bounded and never blocking."""
+    """Send the package's log records to standard output without ever blocking.
+
+    Returns
+    -------
+    handler : BoundedHandler
+        The started handler; call its ``drain`` before the process ends.
+    """
     handler = BoundedHandler(_json_handler(sys.stdout), Clock())
     handler.start()
     _set_handler(handler, level)
@@ -104,10 +116,11 @@
 
 
 def is_new(record: logging.LogRecord) -> bool:
-    """Return whether a record tells of an error that was not logged before.
+    """Return whether a record's error has not been logged before.
 
-    The server logs each answer that breaks, with all of its stack; where that
-    is how an answer is meant to end, a line has told so already.
+    The HTTP server logs every response that raises an error, with a traceback.
+    If the response was ended by an error on purpose, the code that raised it has
+    already logged the reason and marked the error as logged.
     """
     error = record.exc_info and record.exc_info[1]
     return not getattr(error, "logged", False)
--- a/godwitladder/metrics.py
+++ b/godwitladder/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of one host, rendered for ``/metrics``."""
+"""Counters, gauges and histograms of one host, rendered for ``/metrics``."""
 
 import threading
 
@@ -6,14 +6,15 @@
 
 from godwitladder.outcomes import Reason, RequestState
 
-# The collectors read a value, add to it and write it back, and are iterated
-# over while they are rendered. Without a lock two threads lose counts, and a
-# label set that is new during a scrape makes the scrape fail.
+# The collectors of aioprometheus are not thread-safe: they update a value by
+# reading and writing it, and iterate over label sets while rendering. Without a
+# lock, concurrent updates are lost, and a label set that is added during a
+# scrape makes the scrape fail.
 LOCK = threading.RLock()
 
 
 class LockedCounter(Counter):
-    """A counter that threads may share."""
+    """Thread-safe counter."""
 
     def add(self, labels: dict, value: float) -> None:
         """Add ``value``."""
@@ -22,7 +23,7 @@
 
 
 class LockedGauge(Gauge):
-    """A gauge that threads may share."""
+    """Thread-safe gauge."""
 
     def set(self, labels: dict, value: float) -> None:
         """Set the gauge to ``value``."""
@@ -31,7 +32,7 @@
 
 
 class LockedHistogram(Histogram):
-    """A histogram that threads may share."""
+    """Thread-safe histogram."""
 
     def add(self, labels: dict, value: float) -> None:
         """Add one observation."""
@@ -42,7 +43,7 @@
 
 
 class Metrics:
-    """All metrics of one host, each a public attribute."""
+    """All metrics of one host; each metric is a public attribute."""
 
     def __init__(self) -> None:
         self.registry = Registry()
@@ -86,16 +87,16 @@
         self.requests.inc({"rank": str(rank), "outcome": state.value})
 
     def count_refused_request(self, rank: int, reason: Reason) -> None:
-        """Count a request that was refused while it waited."""
+        """Count a request that was refused while it was queued."""
         self.count_request(rank, RequestState.NOT_RUN)
         if reason in (Reason.SHED, Reason.DEADLINE):
             self.sheds.inc({"rank": str(rank), "reason": reason.value})
 
     def count_refused_call(self, reason: Reason) -> None:
-        """Count a call that was turned away before it became a request."""
+        """Count a call that was refused before it was queued as a request."""
         self.refusals.inc({"reason": reason.value})
 
     def render(self) -> tuple[bytes, dict[str, str]]:
-        """Return the body and headers of the text exposition format."""
+        """Return the metrics in the Prometheus text format, and its HTTP headers."""
         with LOCK:
             return render(self.registry, ["text/plain"])
--- a/godwitladder/settings.py
+++ b/godwitladder/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry host, read from TOML and checked as a whole."""
+"""Settings of one entry host, read from TOML and validated."""
 
 import tomllib
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 
 def long_enough(value: str) -> str | None:
-    """Accept a secret that can't be guessed from one greeting."""
+    """Accept a secret too long to be guessed from one intercepted greeting."""
     if len(value) >= SECRET_CHARS:
         return None
     return f"must have at least {SECRET_CHARS} letters"
@@ -30,7 +30,17 @@
 
 @dataclass(frozen=True)
 class TlsSettings:
-    """Certificate and key of one listener, as paths of PEM files."""
+    """Certificate and private key of one listener, as paths of PEM files.
+
+    Attributes
+    ----------
+    certificate, key : str
+        The certificate chain and its private key.
+    authority : str, default=""
+        Authority that must have signed the certificate of the other side. If
+        empty, a listener requests no client certificates, and a client trusts
+        the authorities of the system.
+    """
 
     certificate: str
     key: str
@@ -39,7 +49,15 @@
 
 @dataclass(frozen=True)
 class ListenSettings:
-    """The three listeners of an entry host, each ``address:port``."""
+    """Addresses of an entry host's three listeners, each as ``address:port``.
+
+    Attributes
+    ----------
+    callers, operators, peers : str
+        Where callers, operators and other hosts connect.
+    callers_tls, operators_tls, peers_tls : TlsSettings or None
+        TLS settings of each listener; None for no TLS.
+    """
 
     callers: str = checked(ip_port)
     operators: str = checked(ip_port)
@@ -51,19 +69,20 @@
 
 @dataclass(frozen=True)
 class PlatformSettings:
-    """Where the platform's services are.
+    """Addresses and limits of the platform's services.
 
     Attributes
     ----------
     log, hosts, weights : str
-        URLs of the log, the host list and the weight store.
+        URLs of the log, the host list and the weight store; empty ``weights``
+        for no weight store.
     weight_reads_per_s : float
-        Reads of the weight store that all hosts together may make, a little
-        below its own limit; the same on every host.
+        Limit on reads of the weight store per second, for all hosts together.
+        Must be the same on every host and slightly below the store's own limit.
     log_retention_s : float
-        How long the log keeps records at least, in seconds.
+        Minimum time for which the log keeps records, in seconds.
     config_stream : str
-        Stream of the log that holds the tickets.
+        Name of the log stream that holds the tickets.
     """
 
     log: str = checked(http_url)
@@ -76,18 +95,20 @@
 
 @dataclass(frozen=True)
 class PeerSettings:
-    """How hosts of the system find and trust each other.
+    """How hosts discover and authenticate each other.
 
     Attributes
     ----------
     secret : str
-        Shared by all hosts; signs the peers' greeting and request ids.
+        Secret shared by all hosts; signs the greeting of peers and request ids.
     seeds : tuple of str
-        Peer addresses to try before the host list answers.
-    heartbeat_s, timeout_s : float
-        Period of heartbeats, and silence after which a peer counts as gone.
-        Heartbeats travel by way of other peers, which takes up to 4.6 periods
-        among 48 hosts; six periods leave a margin.
+        Addresses of peers to try before the host list is available.
+    heartbeat_s : float
+        Period of heartbeats, in seconds.
+    timeout_s : float
+        Time without a heartbeat after which a peer is considered gone, in
+        seconds. Other peers relay heartbeats, which takes up to 4.6 periods
+        among 48 hosts; the default of six periods leaves a margin.
     """
 
     secret: str = checked(long_enough)
@@ -98,7 +119,21 @@
 
 @dataclass(frozen=True)
 class LimitSettings:
-    """Bounds on what callers may send; sizes in bytes, times in seconds."""
+    """Limits of the HTTP listeners.
+
+    Attributes
+    ----------
+    threads : int
+        Number of threads that serve callers.
+    connections : int
+        Maximum number of open connections of a listener.
+    body_bytes, header_bytes : int
+        Maximum size of a request's body and of its headers, in bytes.
+    key_bytes : int
+        Maximum length of an idempotency key, in bytes.
+    idle_s : float
+        Time after which an idle connection is closed, in seconds.
+    """
 
     threads: int = checked(positive, default=256)
     connections: int = checked(positive, default=1000)
@@ -110,19 +145,19 @@
 
 @dataclass(frozen=True)
 class ClaimSettings:
-    """How claims of idempotency keys are batched and kept, in seconds.
+    """Timing of claims of idempotency keys, in seconds.
 
     Attributes
     ----------
     window_s : float
-        How long a key is known after its claim.
+        Time after its claim for which a key is remembered.
     retention_s : float
-        How long the platform keeps a record; claims are recorded again at
-        half of it.
+        Time for which the platform keeps a record. Claims are recorded again
+        after half of it.
     batch_s : float
-        How long claims gather for one append.
+        Time for which claims are collected into one append to the log.
     patience_s : float
-        Longest wait of a request for its claim.
+        Maximum time that a request waits for its claim.
     """
 
     window_s: float = checked(positive, default=86_400.0)
@@ -133,14 +168,20 @@
 
 @dataclass(frozen=True)
 class SchedulerSettings:
-    """Pace of the scheduler, in seconds."""
+    """Timing of the scheduler.
+
+    Attributes
+    ----------
+    idle_tick_s : float
+        Maximum time between two ticks of the scheduler, in seconds.
+    """
 
     idle_tick_s: float = checked(positive, default=0.25)
 
 
 @dataclass(frozen=True)
 class OperatorSettings:
-    """An operator's name, as in tickets, and the SHA-256 of the token."""
+    """Name of an operator, as used in tickets, and SHA-256 digest of the token."""
 
     name: str = checked(not_empty)
     digest: str = checked(sha256_digest)
@@ -148,18 +189,18 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """Everything one entry host is told at its start.
+    """All settings of one entry host.
 
     Attributes
     ----------
     operators : tuple of OperatorSettings
-        Who may submit tickets, each under the own name only.
+        Operators who may submit tickets, each only under their own name.
     zones : tuple of str
-        The availability zones there are, to find a misspelt one; optional.
+        All availability zones, used to detect a misspelt ``zone``; optional.
     operator_token_digests : tuple of str
-        SHA-256 of tokens without a name, which may sign for any operator.
-        What they submit stands in the audit trail under the name that the
-        ticket gives, unproved; meant for trials.
+        SHA-256 digests of tokens that are not tied to a name and may submit
+        tickets for any operator. The audit trail shows such a ticket under the
+        operator name in the ticket, which is not verified. Intended for trials.
     """
 
     host: HostId = checked(not_empty)
@@ -176,12 +217,22 @@
 
 
 def read_settings(path: Path) -> Settings:
-    """Return the settings in ``path``.
+    """Read and validate the settings in the TOML file ``path``.
+
+    Parameters
+    ----------
+    path : Path
+        The TOML file.
+
+    Returns
+    -------
+    settings : Settings
+        The validated settings.
 
     Raises
     ------
     InvalidInput
-        With every finding in the file.
+        If the file can't be read or has errors; lists all findings.
     """
     findings = Findings()
     settings = None
@@ -195,7 +246,7 @@
 
 
 def read_toml_file(path: Path, findings: Findings) -> dict | None:
-    """Return the TOML in a file, or None with a finding."""
+    """Return the parsed TOML file ``path``, or add a finding and return None."""
     try:
         data = path.read_bytes()
     except OSError as error:
@@ -205,7 +256,7 @@
 
 
 def _check_whole(settings: Settings, place: str, findings: Findings) -> None:
-    """Note what is sound by itself but not together with the rest."""
+    """Add findings for settings that are valid alone but not in combination."""
     if settings.zones and settings.zone not in settings.zones:
         findings.add_unknown(f"{place}zone", settings.zone, settings.zones)
     if not settings.operators and not settings.operator_token_digests:
@@ -252,12 +303,12 @@
 
 
 def parse_toml(data: bytes, name: str, findings: Findings) -> dict | None:
-    """Return ``data`` as TOML, or None with a finding."""
+    """Return ``data`` parsed as TOML, or add a finding and return None."""
     try:
         return tomllib.loads(data.decode())
-    # Deep nesting ends in RecursionError, and a number of thousands of digits
-    # in a plain ValueError. Unless both are caught here, one such record in
-    # the log would end the replay on every host at once, and for good.
+    # Deep nesting raises RecursionError, and a number with thousands of digits
+    # raises a plain ValueError. If either were not caught, one such record in
+    # the log would permanently stop the replay on every host.
     except (ValueError, RecursionError) as error:
         findings.add(name, f"is not TOML: {error}")
         return None
