--- a/godwitladder/base_host.py
+++ b/godwitladder/base_host.py
@@ -21,8 +21,8 @@
 
 log = component_logger("daemon")
 
-DRAIN_POLL_S = 0.1
-IDLE_LOOKS = 3
+IDLE_CHECK_INTERVAL_S = 0.1
+IDLE_CHECKS = 3
 
 
 class BaseHost:
@@ -55,16 +55,16 @@
         self.stopping = threading.Event()
         self.failed = False
 
-    def start_actor(self, kind: type[pykka.ThreadingActor], *parts: Any) -> Any:
+    def start_actor(self, kind: type[pykka.ThreadingActor], *args: Any) -> Any:
         """Start an actor, to be stopped with the host, and return its reference."""
-        actor = supervised(kind, self.fail).start(*parts)
+        actor = supervised(kind, self.fail).start(*args)
         self.stack.callback(actor.stop)
         return actor
 
-    def start_component(self, part: Any, *args: Any) -> None:
+    def start_component(self, component: Any, *args: Any) -> None:
         """Start a component with a thread of its own, to be stopped with the host."""
-        part.start(*args)
-        self.stack.callback(part.stop)
+        component.start(*args)
+        self.stack.callback(component.stop)
 
     def serve(
         self,
@@ -140,8 +140,8 @@
             Monotonic time, in seconds, at which the wait ends at the latest.
         """
         idle = 0
-        while idle < IDLE_LOOKS and not self.failed:
+        while idle < IDLE_CHECKS and not self.failed:
             if self.clock.monotonic() >= until:
                 return
-            self.clock.sleep(DRAIN_POLL_S)
+            self.clock.sleep(IDLE_CHECK_INTERVAL_S)
             idle = 0 if is_busy() else idle + 1
--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -312,7 +312,7 @@
         sent, received = self.mesh.traffic()
         self.metrics.control_bytes.set({"direction": "sent"}, sent)
         self.metrics.control_bytes.set({"direction": "received"}, received)
-        self.metrics.links.set({}, len(self.mesh.current()))
+        self.metrics.peer_links.set({}, len(self.mesh.current()))
         following = self.follower.replica.phase is Phase.FOLLOWING
         self.metrics.config_following.set({}, int(following))
         self.metrics.log_reachable.set({}, int(self.follower.reachable))
--- a/godwitladder/logs.py
+++ b/godwitladder/logs.py
@@ -14,7 +14,7 @@
 
 from godwitladder.clock import Clock
 
-QUEUED_LINES = 2_000
+MAX_QUEUED_LINES = 2_000
 """Maximum number of queued lines: ten seconds at `LINES_PER_S`."""
 LINES_PER_S = 200.0
 """Rate limit: about eight lines for each of 25 calls per second on one host."""
@@ -52,8 +52,8 @@
         self.target = target
         self.lines: queue.SimpleQueue[logging.LogRecord] = queue.SimpleQueue()
         self.dropped = 0
-        self.budget = BURST_LINES
-        self.refilled = self.clock.monotonic()
+        self.tokens = BURST_LINES
+        self.refilled_at = self.clock.monotonic()
 
     def start(self) -> None:
         """Start the writer thread."""
@@ -61,20 +61,20 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Queue a record, or drop and count it above the rate or queue limit."""
-        if not self.take() or self.lines.qsize() >= QUEUED_LINES:
+        if not self.take_token() or self.lines.qsize() >= MAX_QUEUED_LINES:
             self.dropped += 1
             return
         self.lines.put(record)
 
-    def take(self) -> bool:
+    def take_token(self) -> bool:
         """Take one token from the rate limiter; return False if none is left."""
         now = self.clock.monotonic()
-        self.budget += (now - self.refilled) * LINES_PER_S
-        self.budget = min(self.budget, BURST_LINES)
-        self.refilled = now
-        if self.budget < 1:
+        self.tokens += (now - self.refilled_at) * LINES_PER_S
+        self.tokens = min(self.tokens, BURST_LINES)
+        self.refilled_at = now
+        if self.tokens < 1:
             return False
-        self.budget -= 1
+        self.tokens -= 1
         return True
 
     def run(self) -> None:
@@ -91,9 +91,11 @@
             self.target.handle(self.lines.get())
 
 
-def component_logger(part: str) -> ComponentLogger:
-    """Return the logger of the component named ``part``."""
-    return ComponentLogger(logging.getLogger(f"godwitladder.{part}"), {"part": part})
+def component_logger(component: str) -> ComponentLogger:
+    """Return the logger of the component named ``component``."""
+    return ComponentLogger(
+        logging.getLogger(f"godwitladder.{component}"), {"part": component}
+    )
 
 
 def configure_logs(level: str = "INFO") -> None:
@@ -115,7 +117,7 @@
     return handler
 
 
-def is_new(record: logging.LogRecord) -> bool:
+def is_first_report(record: logging.LogRecord) -> bool:
     """Return whether a record's error has not been logged before.
 
     The HTTP server logs every response that raises an error, with a traceback.
@@ -129,7 +131,7 @@
 def _json_handler(stream) -> logging.Handler:
     handler = logging.StreamHandler(stream)
     handler.setFormatter(JsonFormatter("%(asctime)s %(levelname)s %(message)s"))
-    handler.addFilter(is_new)
+    handler.addFilter(is_first_report)
     return handler
 
 
--- a/godwitladder/metrics.py
+++ b/godwitladder/metrics.py
@@ -65,7 +65,7 @@
         self.control_bytes = self._gauge(
             "control_bytes", "Bytes of messages between hosts so far, by direction"
         )
-        self.links = self._gauge("peer_links", "Links to other hosts that are up")
+        self.peer_links = self._gauge("peer_links", "Links to other hosts that are up")
         self.waiting = self._gauge("requests_waiting", "Requests waiting")
         self.running = self._gauge("requests_running", "Requests running")
         self.queue_wait = self._histogram("queue_wait_seconds", "Wait for a target")
--- a/godwitladder/settings.py
+++ b/godwitladder/settings.py
@@ -18,14 +18,14 @@
     sha256_digests,
 )
 
-SECRET_CHARS = 16
+MIN_SECRET_CHARS = 16
 
 
-def long_enough(value: str) -> str | None:
+def strong_secret(value: str) -> str | None:
     """Accept a secret too long to be guessed from one intercepted greeting."""
-    if len(value) >= SECRET_CHARS:
+    if len(value) >= MIN_SECRET_CHARS:
         return None
-    return f"must have at least {SECRET_CHARS} letters"
+    return f"must have at least {MIN_SECRET_CHARS} letters"
 
 
 @dataclass(frozen=True)
@@ -111,7 +111,7 @@
         among 48 hosts; the default of six periods leaves a margin.
     """
 
-    secret: str = checked(long_enough)
+    secret: str = checked(strong_secret)
     seeds: tuple[str, ...] = checked(ip_ports, default=())
     heartbeat_s: float = checked(positive, default=0.5)
     timeout_s: float = checked(positive, default=3.0)
@@ -240,7 +240,7 @@
     if raw is not None:
         settings = read_table(raw, Settings, f"{path}: ", findings)
     if settings is not None:
-        _check_whole(settings, f"{path}: ", findings)
+        _check_consistency(settings, f"{path}: ", findings)
     findings.raise_if_any()
     return settings
 
@@ -255,7 +255,7 @@
     return parse_toml(data, str(path), findings)
 
 
-def _check_whole(settings: Settings, place: str, findings: Findings) -> None:
+def _check_consistency(settings: Settings, place: str, findings: Findings) -> None:
     """Add findings for settings that are valid alone but not in combination."""
     if settings.zones and settings.zone not in settings.zones:
         findings.add_unknown(f"{place}zone", settings.zone, settings.zones)
@@ -274,20 +274,20 @@
 def _check_operators(
     operators: tuple[OperatorSettings, ...], place: str, findings: Findings
 ) -> None:
-    held: dict[str, str] = {}
+    seen: dict[str, str] = {}
     for index, row in enumerate(operators):
-        other = held.setdefault(row.digest, row.name)
+        other = seen.setdefault(row.digest, row.name)
         if other != row.name:
             text = f"{row.name!r} and {other!r} have the same token"
             findings.add(f"{place}operators[{index}].digest", text)
 
 
 def _check_ports(listen: ListenSettings, place: str, findings: Findings) -> None:
-    held: dict[str, str] = {}
+    seen: dict[str, str] = {}
     for name in ("callers", "operators", "peers"):
         address = getattr(listen, name)
         port = address.rpartition(":")[2]
-        other = held.setdefault(port, name)
+        other = seen.setdefault(port, name)
         if other != name and int(port):
             text = f"port {port} is also that of listen.{other}"
             findings.add(f"{place}listen.{name}", text)
--- a/godwitladder/tables.py
+++ b/godwitladder/tables.py
@@ -19,7 +19,7 @@
 
 T = TypeVar("T")
 Check = Callable[[Any], str | None]
-DIGEST = re.compile("[0-9a-f]{64}")
+SHA256_PATTERN = re.compile("[0-9a-f]{64}")
 # The largest integer that every JSON parser represents exactly.
 MAX_JSON_INTEGER = 2**53 - 1
 
@@ -43,19 +43,19 @@
 
 def sha256_digest(value: str) -> str | None:
     """Accept a SHA-256 digest in lower-case hexadecimal."""
-    if DIGEST.fullmatch(value):
+    if SHA256_PATTERN.fullmatch(value):
         return None
     return f"{value!r} must be a SHA-256: 64 digits of lower-case hex"
 
 
 def sha256_digests(values: tuple[str, ...]) -> str | None:
     """Accept a list of SHA-256 digests in lower-case hexadecimal."""
-    return _first_text(sha256_digest, values)
+    return _first_error(sha256_digest, values)
 
 
-def _first_text(check: Check, values: tuple[str, ...]) -> str | None:
-    texts = [check(value) for value in values if value is not None]
-    return next((text for text in texts if text), None)
+def _first_error(check: Check, values: tuple[str, ...]) -> str | None:
+    errors = [check(value) for value in values if value is not None]
+    return next((text for text in errors if text), None)
 
 
 def http_url(value: str) -> str | None:
@@ -92,7 +92,7 @@
 
 def ip_ports(values: tuple[str, ...]) -> str | None:
     """Accept a list of IP addresses with ports."""
-    return _first_text(ip_port, values)
+    return _first_error(ip_port, values)
 
 
 def read_table(raw: Any, kind: type[T], place: str, findings: Findings) -> T | None:
@@ -122,15 +122,15 @@
     before = len(findings.items)
     for name in raw:
         if name not in fields:
-            findings.add_unknown(_join(place, name), name, fields)
+            findings.add_unknown(_join_place(place, name), name, fields)
     values = {}
     for name, field in fields.items():
-        where = _join(place, name)
+        field_place = _join_place(place, name)
         if name in raw:
-            values[name] = _read_value(raw[name], hints[name], where, findings)
-            _run_check(field, values[name], where, findings)
+            values[name] = _read_value(raw[name], hints[name], field_place, findings)
+            _run_check(field, values[name], field_place, findings)
         elif _required(field):
-            findings.add(where, "is missing")
+            findings.add(field_place, "is missing")
     if len(findings.items) > before:
         return None
     return kind(**values)
@@ -148,7 +148,7 @@
     return {field.name: field for field in dataclasses.fields(kind)}
 
 
-def _join(place: str, name: str) -> str:
+def _join_place(place: str, name: str) -> str:
     return f"{place}{name}" if place.endswith(" ") else f"{place}.{name}"
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -3,7 +3,7 @@
 import logging
 
 from godwitladder.clock import ManualClock
-from godwitladder.logs import BURST_LINES, LINES_PER_S, BoundedHandler, is_new
+from godwitladder.logs import BURST_LINES, LINES_PER_S, BoundedHandler, is_first_report
 from godwitladder.serving.upstream import StreamCut
 
 
@@ -39,6 +39,6 @@
 
 def test_an_answer_that_was_broken_on_purpose_is_not_logged_twice():
     error = StreamCut("cut")
-    assert not is_new(make_record((StreamCut, error, None)))
-    assert is_new(make_record((ValueError, ValueError("x"), None)))
-    assert is_new(make_record())
+    assert not is_first_report(make_record((StreamCut, error, None)))
+    assert is_first_report(make_record((ValueError, ValueError("x"), None)))
+    assert is_first_report(make_record())
