--- a/godwitladder/account.py
+++ b/godwitladder/account.py
@@ -1,10 +1,10 @@
-"""Adds up what a fleet's log lines say of its calls: who got what, and why not.
+"""Summarizes the outcomes of calls from the log lines of all hosts.
 
-Each call that a host read leaves a line at its end: it was refused, or its
-answer came to an end. One that was turned away for want of room before it waited
-counts as refused. The answer's line tells whether it was in time and, if not, the
-first cause; between the line of its last send and that one, the call held a place
-at its target.
+For each call that a host has read, it logs one line at the end: either the call
+was refused, or its response has ended. A call that was shed before it was queued
+counts as refused. The line of a response says whether it was in time and, if not,
+the first cause. A call occupies a slot of its target from the line of its last
+send to the line of its end.
 """
 
 from collections import defaultdict
@@ -40,22 +40,26 @@
 
 @dataclass
 class Tally:
-    """What the calls of one route, or of one span of time, came to.
+    """Outcomes of the calls of one route or one time span.
 
     Attributes
     ----------
-    ended : dict
-        Answers that came whole, by whether they were in time.
+    ended : dict of Lateness to int
+        Number of complete responses, by lateness.
     back : int
-        Of these, to callers that had been refused before.
+        Number of complete responses whose call had been refused before.
+    failed : int
+        Number of calls whose response ended without being complete.
+    refused : int
+        Number of refused calls.
     again : int
-        Refusals of callers that had been refused before.
+        Number of refused calls that had been refused before.
     ages_s : list of float
-        How long each refused call had waited.
-    held_s : dict
-        Seconds that answers held a place, by whether they were in time.
+        Time that each refused call had waited, in seconds.
+    held_s : dict of Lateness to float
+        Slot time of complete responses by lateness, in seconds.
     vain_s : float
-        Likewise of calls that failed.
+        Slot time of failed calls, in seconds.
     """
 
     ended: dict[Lateness, int] = field(default_factory=lambda: defaultdict(int))
@@ -68,13 +72,31 @@
     vain_s: float = 0.0
 
     def refuse(self, row: dict[str, Any], again: bool) -> None:
-        """Take in a refusal."""
+        """Add a refusal.
+
+        Parameters
+        ----------
+        row : dict
+            Log line of the refusal.
+        again : bool
+            Whether the call had been refused before.
+        """
         self.refused += 1
         self.again += again
         self.ages_s.append(float(row.get("waited_s", 0.0)))
 
     def end(self, row: dict[str, Any], held_s: float, back: bool) -> None:
-        """Take in the end of an answer."""
+        """Add the end of a response.
+
+        Parameters
+        ----------
+        row : dict
+            Log line of the end.
+        held_s : float
+            Time for which the call occupied a slot, in seconds.
+        back : bool
+            Whether the call had been refused before.
+        """
         if row.get("outcome") != RequestState.COMPLETED.value:
             self.failed += 1
             self.vain_s += held_s
@@ -85,7 +107,7 @@
         self.held_s[cause] += held_s
 
     def cells(self) -> tuple[str, ...]:
-        """Return the row under `HEAD`."""
+        """Return one table row, with a cell for each column of `HEAD`."""
         ages = sorted(self.ages_s)
         middle = f"{ages[len(ages) // 2]:.2f}" if ages else "-"
         late_s = sum(self.held_s[cause] for cause in LATE)
@@ -105,13 +127,17 @@
 
 @dataclass
 class Account:
-    """Tallies by route, and by span of time from the first line on.
+    """Outcomes of calls by route and by time span.
 
     Attributes
     ----------
-    places_s : dict
-        Seconds for which calls held places in each span: by the length of a span,
-        the mean number of places in use.
+    routes : dict of str to Tally
+        Outcomes by route.
+    spans : dict of int to Tally
+        Outcomes by time span; the first span starts at the first log line.
+    places_s : dict of int to float
+        Slot time of all calls in each span, in seconds. Divided by the length of
+        the span, it is the mean number of slots in use.
     """
 
     routes: dict[str, Tally] = field(default_factory=dict)
@@ -119,21 +145,35 @@
     places_s: dict[int, float] = field(default_factory=lambda: defaultdict(float))
 
     def hold(self, begin_s: float, end_s: float, span_s: float) -> None:
-        """Take in that a call held a place, in seconds from the first line on."""
+        """Add the slot time of one call to the spans that it overlaps.
+
+        Parameters
+        ----------
+        begin_s, end_s : float
+            When the call occupied the slot, in seconds since the first log line.
+        span_s : float
+            Length of a span, in seconds.
+        """
         for span in range(int(begin_s // span_s), int(end_s // span_s) + 1):
             within = min(end_s, (span + 1) * span_s) - max(begin_s, span * span_s)
             self.places_s[span] += max(0.0, within)
 
 
 def make_account(lines: Iterable[str], span_s: float = 2.0) -> Account:
-    """Return the account of a fleet's log lines.
+    """Return a summary of the calls in log lines.
 
     Parameters
     ----------
     lines : iterable of str
-        JSON lines of any number of hosts in any order; others are passed over.
-    span_s : float
-        Length of a span, in seconds.
+        JSON log lines of any number of hosts, in any order; other lines are
+        ignored.
+    span_s : float, default=2.0
+        Length of a time span, in seconds.
+
+    Returns
+    -------
+    account : Account
+        The outcomes by route and by time span.
     """
     rows = [row for row in map(read_line, lines) if _is_told(row)]
     rows.sort(key=_second)
@@ -166,7 +206,15 @@
 
 
 def show_account(account: Account, span_s: float = 2.0) -> list[str]:
-    """Return the account as lines of text."""
+    """Return the summary as lines of text: a table by route and one by span.
+
+    Parameters
+    ----------
+    account : Account
+        The summary.
+    span_s : float, default=2.0
+        Length of a time span with which the summary was made, in seconds.
+    """
     routes = [(name, *tally.cells()) for name, tally in sorted(account.routes.items())]
     spans = [
         (
--- a/godwitladder/client.py
+++ b/godwitladder/client.py
@@ -1,4 +1,4 @@
-"""Client of an entry host's interface for operators."""
+"""Client of the operators' API of an entry host."""
 
 import json
 import os
@@ -9,21 +9,21 @@
 
 TOKEN_VARIABLE = "GODWITLADDER_TOKEN"
 AUTHORITY_VARIABLE = "GODWITLADDER_AUTHORITY"
-# Above the longest wait for a verdict and the log's own timeout.
+# Longer than the maximum wait for a verdict and the timeout of the log.
 TIMEOUT_S = 20.0
 REFUSED = 1
 UNAVAILABLE = 3
 
 
 class AskFailed(GodwitladderError):
-    """A host refused or did not answer.
+    """Raised if a host refused an operator's request or did not answer.
 
     Parameters
     ----------
     text : str
-        What to tell the operator, a line for each finding.
+        Message for the operator, with one line per finding.
     exit_code : int
-        For the command line.
+        Exit code for the command line.
     """
 
     def __init__(self, text: str, exit_code: int) -> None:
@@ -32,16 +32,18 @@
 
 
 class OperatorClient:
-    """Asks one entry host.
+    """Sends operators' requests to one entry host.
 
     Parameters
     ----------
     host : str
-        Operators' address, as ``address:port`` or, for TLS, with ``https://``
-        before it.
-    token, authority : str or None
-        The operator's token, and the PEM file of the authority that signed
-        the host's certificate; None reads the environment.
+        The host's address for operators, as ``address:port`` or, for TLS, as
+        ``https://address:port``.
+    token : str or None, default=None
+        The operator's token; None reads it from ``GODWITLADDER_TOKEN``.
+    authority : str or None, default=None
+        PEM file of the authority that signed the host's certificate; None reads
+        it from ``GODWITLADDER_AUTHORITY``.
     """
 
     def __init__(
@@ -54,32 +56,46 @@
         self.pool = urllib3.PoolManager(retries=False, ca_certs=authority)
 
     def get(self, path: str) -> dict:
-        """Return the host's answer to a question.
+        """Return the JSON object that the host returns for ``path``.
 
         Raises
         ------
         AskFailed
-            The host refused, or did not answer.
+            If the host refused the request or did not answer.
         """
         return self._ask("GET", path, None)
 
     def submit(self, ticket: bytes, wait_s: float) -> dict:
-        """Submit a ticket; return its row of the trail once it is judged.
+        """Submit a ticket and return its audit entry.
+
+        Parameters
+        ----------
+        ticket : bytes
+            The ticket in TOML.
+        wait_s : float
+            Maximum wait for the verdict, in seconds.
 
         Raises
         ------
         AskFailed
-            It was rejected or refused, or its outcome is open.
+            If the ticket was rejected or refused, or its outcome is unknown.
         """
         return self._ask("POST", f"/v1/tickets?wait={wait_s}", ticket)
 
     def lift(self, digest: str, operator: str) -> dict:
-        """Lift a quarantine; lifting one twice changes nothing.
+        """Lift the quarantine of a request; lifting it again has no effect.
+
+        Parameters
+        ----------
+        digest : str
+            Digest of the quarantined request.
+        operator : str
+            Name of the operator, for the logs.
 
         Raises
         ------
         AskFailed
-            The host refused, or did not answer.
+            If the host refused the request or did not answer.
         """
         body = json.dumps({"digest": digest, "operator": operator}).encode()
         return self._ask("POST", "/v1/quarantine/lift", body)
@@ -106,7 +122,7 @@
 
 
 def refusal_text(value: dict) -> str:
-    """Return a refusal as lines for people."""
+    """Return the JSON body of a refusal as human-readable lines."""
     rows = [f"{row['place']}: {row['text']}" for row in value.get("findings", [])]
     head = value.get("detail", "The host refused.")
     outcome = f" (outcome: {value['outcome']})" if "outcome" in value else ""
--- a/godwitladder/explain.py
+++ b/godwitladder/explain.py
@@ -1,4 +1,4 @@
-"""Finds what a fleet's log lines say of one request, in order of time."""
+"""Finds the log lines of one request among those of all hosts, sorted by time."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -10,7 +10,17 @@
 
 @dataclass(frozen=True, order=True)
 class LogLine:
-    """One line about a request."""
+    """One log line of a request.
+
+    Attributes
+    ----------
+    time : str
+        Time as in the log.
+    text : str
+        The log message.
+    fields : str
+        The other fields, as ``key=value`` separated by spaces.
+    """
 
     time: str
     text: str
@@ -21,22 +31,27 @@
 
 
 def explain(lines: Iterable[str], request: str) -> list[LogLine]:
-    """Return the lines about ``request``, the oldest first.
+    """Return the log lines of ``request``, oldest first.
 
     Parameters
     ----------
     lines : iterable of str
-        JSON lines of any number of hosts; something else may stand before
-        the JSON, and lines without any are passed over.
+        JSON log lines of any number of hosts. Text before the JSON object, and
+        lines without one, are ignored.
     request : str
-        The id that the caller sent.
+        The request id that the caller sent.
+
+    Returns
+    -------
+    lines : list of LogLine
+        The lines of the request, without duplicates.
     """
     found = (row for row in map(read_line, lines) if row.get("request") == request)
     return sorted(set(_shown(found)))
 
 
 def read_line(line: str) -> dict[str, Any]:
-    """Return the JSON in a line; nothing if it has none."""
+    """Return the JSON object in a line, or an empty dict if there is none."""
     start = line.find("{")
     try:
         row = json.loads(line[start:]) if start >= 0 else {}
--- a/godwitladder/supervision.py
+++ b/godwitladder/supervision.py
@@ -1,9 +1,9 @@
-"""What happens when a part of a host fails by an error nobody foresaw.
+"""Ends the process of a host when one of its components fails unexpectedly.
 
-An actor that dies leaves its host half alive: a dead scheduler keeps callers
-waiting for ever, a dead membership makes the host believe that it is alone.
-The process ends instead, so that callers see their connections close and the
-host is replaced.
+If only the failed actor ended, its host would keep running in a broken state.
+Without the scheduler, callers would wait forever; without the membership, the
+host would act as if it had no peers. Ending the process closes the connections
+of the callers and lets the host be replaced.
 """
 
 import threading
@@ -19,7 +19,16 @@
 def supervised(
     kind: type[pykka.ThreadingActor], fail: Callable[[], None]
 ) -> type[pykka.ThreadingActor]:
-    """Return ``kind`` with ``fail`` called when one of its actors dies."""
+    """Return a subclass of ``kind`` that calls ``fail`` when an actor of it fails.
+
+    Parameters
+    ----------
+    kind : type
+        The class of the actor.
+    fail : callable
+        Called without arguments, in the thread of the actor, after an exception
+        that the actor did not handle.
+    """
 
     def on_failure(self, *args) -> None:
         log.critical("An actor failed", extra={"actor": kind.__name__})
@@ -29,10 +38,17 @@
 
 
 def watch_threads(names: Collection[str], fail: Callable[[], None]) -> None:
-    """Call ``fail`` when a thread with one of ``names`` dies by an error.
+    """Call ``fail`` when a thread with one of ``names`` ends with an exception.
+
+    Any other thread serves one caller or one peer, whose connection closes when
+    the thread ends. An exception in such a thread is only logged.
 
-    Other threads serve one caller or one peer, whose connection ends with
-    them; their errors are only logged.
+    Parameters
+    ----------
+    names : collection of str
+        Names of the threads without which the host can't work.
+    fail : callable
+        Called without arguments, in the failed thread.
     """
 
     def excepthook(args) -> None:
--- a/godwitladder/tls.py
+++ b/godwitladder/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts of the listeners and of the links between hosts."""
+"""TLS contexts for listeners and for links between hosts."""
 
 import ssl
 
@@ -6,17 +6,22 @@
 
 
 def server_context(tls: TlsSettings) -> ssl.SSLContext:
-    """Return the context of a listener; an authority asks for client ones."""
+    """Return the TLS context of a listener.
+
+    If the settings name an authority, clients must present a certificate that
+    it has signed.
+    """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.options |= ssl.OP_NO_RENEGOTIATION
     return _load(context, tls)
 
 
 def client_context(tls: TlsSettings) -> ssl.SSLContext:
-    """Return the context with which a host dials its peers.
+    """Return the TLS context with which a host connects to its peers.
 
-    The peer's certificate must name its IP number and be signed by the
-    authority of the settings, or by one of the system's if none is set.
+    The certificate of the peer must contain its IP address. It must be signed by
+    the authority in the settings or, if none is set, by one that the system
+    trusts.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     if not tls.authority:
