--- a/godwitladder/cli.py
+++ b/godwitladder/cli.py
@@ -22,11 +22,11 @@
 import defopt
 
 import godwitladder
-from godwitladder.account import make_account, show_account
-from godwitladder.client import AskFailed, OperatorClient
+from godwitladder.account import format_summary, summarize_calls
+from godwitladder.client import OperatorClient, OperatorRequestFailed
 from godwitladder.configuration.tickets import read_ticket
 from godwitladder.daemon import run_entry_host
-from godwitladder.explain import explain
+from godwitladder.explain import find_request_lines
 from godwitladder.findings import Finding, Findings, InvalidInput
 from godwitladder.logs import configure_logs
 from godwitladder.routing.settings import read_routed_settings
@@ -36,7 +36,7 @@
 from godwitladder.standins.platform import start_platform
 from godwitladder.standins.service import start_service
 
-INVALID = 2
+EXIT_INVALID = 2
 
 
 def serve(*, settings: Path) -> None:
@@ -92,7 +92,7 @@
         for path in logs
         for line in read_file(path).decode(errors="replace").splitlines()
     )
-    for row in explain(lines, request):
+    for row in find_request_lines(lines, request):
         print(row)
 
 
@@ -111,7 +111,7 @@
         for path in logs
         for line in read_file(path).decode(errors="replace").splitlines()
     ]
-    for row in show_account(make_account(lines, span), span):
+    for row in format_summary(summarize_calls(lines, span), span):
         print(row)
 
 
@@ -361,7 +361,7 @@
         )
     except InvalidInput as error:
         print(error, file=sys.stderr)
-        sys.exit(INVALID)
-    except AskFailed as error:
+        sys.exit(EXIT_INVALID)
+    except OperatorRequestFailed as error:
         print(error, file=sys.stderr)
         sys.exit(error.exit_code)
--- a/godwitladder/client.py
+++ b/godwitladder/client.py
@@ -11,11 +11,11 @@
 AUTHORITY_VARIABLE = "GODWITLADDER_AUTHORITY"
 # Longer than the maximum wait for a verdict and the timeout of the log.
 TIMEOUT_S = 20.0
-REFUSED = 1
-UNAVAILABLE = 3
+EXIT_REFUSED = 1
+EXIT_UNAVAILABLE = 3
 
 
-class AskFailed(GodwitladderError):
+class OperatorRequestFailed(GodwitladderError):
     """Raised if a host refused an operator's request or did not answer.
 
     Parameters
@@ -50,7 +50,7 @@
         self, host: str, token: str | None = None, authority: str | None = None
     ) -> None:
         self.host = host
-        self.root = host if "://" in host else f"http://{host}"
+        self.base_url = host if "://" in host else f"http://{host}"
         self.token = os.environ.get(TOKEN_VARIABLE, "") if token is None else token
         authority = authority or os.environ.get(AUTHORITY_VARIABLE)
         self.pool = urllib3.PoolManager(retries=False, ca_certs=authority)
@@ -60,10 +60,10 @@
 
         Raises
         ------
-        AskFailed
+        OperatorRequestFailed
             If the host refused the request or did not answer.
         """
-        return self._ask("GET", path, None)
+        return self._request("GET", path, None)
 
     def submit(self, ticket: bytes, wait_s: float) -> dict:
         """Submit a ticket and return its audit entry.
@@ -77,10 +77,10 @@
 
         Raises
         ------
-        AskFailed
+        OperatorRequestFailed
             If the ticket was rejected or refused, or its outcome is unknown.
         """
-        return self._ask("POST", f"/v1/tickets?wait={wait_s}", ticket)
+        return self._request("POST", f"/v1/tickets?wait={wait_s}", ticket)
 
     def lift(self, digest: str, operator: str) -> dict:
         """Lift the quarantine of a request; lifting it again has no effect.
@@ -94,17 +94,17 @@
 
         Raises
         ------
-        AskFailed
+        OperatorRequestFailed
             If the host refused the request or did not answer.
         """
         body = json.dumps({"digest": digest, "operator": operator}).encode()
-        return self._ask("POST", "/v1/quarantine/lift", body)
+        return self._request("POST", "/v1/quarantine/lift", body)
 
-    def _ask(self, method: str, path: str, body: bytes | None) -> dict:
+    def _request(self, method: str, path: str, body: bytes | None) -> dict:
         try:
             answer = self.pool.request(
                 method,
-                self.root + path,
+                self.base_url + path,
                 body=body,
                 headers={"Authorization": f"Bearer {self.token}"},
                 timeout=TIMEOUT_S,
@@ -114,14 +114,14 @@
             text = f"{self.host} gave no answer: {error}"
             if method == "POST":
                 text += "\nThe outcome is open; the same again does no harm."
-            raise AskFailed(text, UNAVAILABLE) from error
+            raise OperatorRequestFailed(text, EXIT_UNAVAILABLE) from error
         if answer.status >= 400:
-            code = UNAVAILABLE if answer.status >= 500 else REFUSED
-            raise AskFailed(refusal_text(value), code)
+            code = EXIT_UNAVAILABLE if answer.status >= 500 else EXIT_REFUSED
+            raise OperatorRequestFailed(format_refusal(value), code)
         return value
 
 
-def refusal_text(value: dict) -> str:
+def format_refusal(value: dict) -> str:
     """Return the JSON body of a refusal as human-readable lines."""
     rows = [f"{row['place']}: {row['text']}" for row in value.get("findings", [])]
     head = value.get("detail", "The host refused.")
--- a/godwitladder/explain.py
+++ b/godwitladder/explain.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-HEAD = ("asctime", "levelname", "message")
+HEADER_FIELDS = ("asctime", "levelname", "message")
 
 
 @dataclass(frozen=True, order=True)
@@ -30,7 +30,7 @@
         return f"{self.time} {self.text} {self.fields}"
 
 
-def explain(lines: Iterable[str], request: str) -> list[LogLine]:
+def find_request_lines(lines: Iterable[str], request: str) -> list[LogLine]:
     """Return the log lines of ``request``, oldest first.
 
     Parameters
@@ -46,11 +46,11 @@
     lines : list of LogLine
         The lines of the request, without duplicates.
     """
-    found = (row for row in map(read_line, lines) if row.get("request") == request)
-    return sorted(set(_shown(found)))
+    found = (row for row in map(parse_log_line, lines) if row.get("request") == request)
+    return sorted(set(_format_lines(found)))
 
 
-def read_line(line: str) -> dict[str, Any]:
+def parse_log_line(line: str) -> dict[str, Any]:
     """Return the JSON object in a line, or an empty dict if there is none."""
     start = line.find("{")
     try:
@@ -60,9 +60,9 @@
     return row if isinstance(row, dict) else {}
 
 
-def _shown(rows: Iterable[dict[str, Any]]) -> Iterator[LogLine]:
+def _format_lines(rows: Iterable[dict[str, Any]]) -> Iterator[LogLine]:
     for row in rows:
-        fields = {key: value for key, value in row.items() if key not in HEAD}
+        fields = {key: value for key, value in row.items() if key not in HEADER_FIELDS}
         yield LogLine(
             str(row.get("asctime", "")),
             str(row.get("message", "")),
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -2,7 +2,7 @@
 
 import json
 
-from godwitladder.account import make_account
+from godwitladder.account import summarize_calls
 from godwitladder.cli import main
 from godwitladder.serving.lateness import Lateness
 
@@ -38,36 +38,40 @@
 
 
 def test_answers_refusals_and_places_are_added_up_by_route():
-    account = make_account(LINES)
-    tally = account.routes["r"]
-    assert tally.ended == {Lateness.IN_TIME: 1, Lateness.PAUSE: 1}
-    assert (tally.refused, tally.again, tally.ages_s) == (3, 1, [0.2, 0.1, 0.3])
-    assert tally.back == 1
-    assert tally.held_s == {Lateness.IN_TIME: 3.0, Lateness.PAUSE: 4.0}
-    assert account.routes["s"].failed == 1
-    assert account.routes["s"].vain_s == 2.0
+    summary = summarize_calls(LINES)
+    stats = summary.routes["r"]
+    assert stats.completed == {Lateness.IN_TIME: 1, Lateness.PAUSE: 1}
+    assert (stats.refused, stats.refused_retries, stats.refused_wait_s) == (
+        3,
+        1,
+        [0.2, 0.1, 0.3],
+    )
+    assert stats.completed_retries == 1
+    assert stats.slot_s == {Lateness.IN_TIME: 3.0, Lateness.PAUSE: 4.0}
+    assert summary.routes["s"].failed == 1
+    assert summary.routes["s"].failed_slot_s == 2.0
 
 
 def test_spans_count_from_the_first_line():
-    account = make_account(LINES, span_s=2.0)
-    assert sorted(account.spans) == [0, 1, 2, 3]
-    assert account.spans[0].refused == 2
+    summary = summarize_calls(LINES, span_s=2.0)
+    assert sorted(summary.spans) == [0, 1, 2, 3]
+    assert summary.spans[0].refused == 2
 
 
 def test_places_in_use_are_the_seconds_that_calls_held_them():
     """Guards against empty places beside refused callers that nobody can see."""
-    account = make_account(LINES, span_s=2.0)
-    assert dict(account.places_s) == {0: 3.0, 1: 5.0, 2: 1.0}
+    summary = summarize_calls(LINES, span_s=2.0)
+    assert dict(summary.slot_s) == {0: 3.0, 1: 5.0, 2: 1.0}
 
 
 def test_a_call_turned_away_for_want_of_room_counts_as_refused():
     away = {"asctime": TIME.format(1), "message": "routing: A call was turned away"}
     lines = [json.dumps(away | {"reason": reason}) for reason in ("shed", "no_config")]
-    assert make_account(lines).spans[0].refused == 1
+    assert summarize_calls(lines).spans[0].refused == 1
 
 
 def test_no_lines_make_an_empty_account():
-    assert make_account(["nothing"]).routes == {}
+    assert summarize_calls(["nothing"]).routes == {}
 
 
 def test_the_command_prints_both_tables(tmp_path, capsys):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -7,7 +7,7 @@
 import trustme
 
 from godwitladder import cli
-from godwitladder.client import AskFailed, OperatorClient
+from godwitladder.client import OperatorClient, OperatorRequestFailed
 from godwitladder.findings import InvalidInput
 from godwitladder.settings import TlsSettings, read_settings
 from tests.fleet import OPERATOR_TOKEN, digest
@@ -75,7 +75,7 @@
     (tmp_path / "host.toml").write_text(text)
     with pytest.raises(SystemExit) as caught:
         cli.main(["serve", "--settings", str(tmp_path / "host.toml")])
-    assert caught.value.code == cli.INVALID
+    assert caught.value.code == cli.EXIT_INVALID
     error = capsys.readouterr().err
     assert "did you mean 'callers'" in error
     assert "did you mean 'secret'" in error
@@ -106,7 +106,7 @@
         served = TlsSettings(tls.certificate, tls.key)
         root = f"https://127.0.0.1:{serve(stack, app, served)}"
         assert OperatorClient(root, "t", tls.authority).get("/v1/status") == {}
-        with pytest.raises(AskFailed) as caught:
+        with pytest.raises(OperatorRequestFailed) as caught:
             OperatorClient(root, "t", foreign.authority).get("/v1/status")
         assert caught.value.exit_code == 3
 
@@ -115,7 +115,7 @@
     code, _, error = run(
         capsys, "standin", "engine", "--knobs", "frozn=true", "slots=x"
     )
-    assert code == cli.INVALID
+    assert code == cli.EXIT_INVALID
     assert "did you mean 'frozen'" in error
     assert "--knobs slots=x: must be name=value in JSON" in error
 
@@ -154,7 +154,7 @@
     assert (code, out) == (1, "")
     assert "4 is taken: hanna used it at offset 0 for other content" in error
     path.write_text("number = 0")
-    assert run(capsys, "ticket", "submit", path, *host)[0] == cli.INVALID
+    assert run(capsys, "ticket", "submit", path, *host)[0] == cli.EXIT_INVALID
     lines = run(capsys, "audit", "--json", *host)[1].splitlines()
     assert [json.loads(line)["cause"] for line in lines] == [None, "conflict"]
     assert "4 by hanna at offset 0" in run(capsys, "ticket", "list", *host)[1]
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,7 +1,7 @@
 """The lines of a fleet about one request."""
 
 from godwitladder.cli import main
-from godwitladder.explain import explain
+from godwitladder.explain import find_request_lines
 
 LINES = [
     'host-2 {"asctime": "09:02", "message": "passing: A call has ended",'
@@ -16,7 +16,7 @@
 
 
 def test_the_lines_of_all_hosts_come_in_order_of_time():
-    found = [str(line) for line in explain(LINES, "a1")]
+    found = [str(line) for line in find_request_lines(LINES, "a1")]
     assert found == [
         "09:01 passing: A call is sent request=a1 target=e1",
         "09:02 passing: A call has ended request=a1 outcome=failed",
