--- a/godwitladder/cli.py
+++ b/godwitladder/cli.py
@@ -1,15 +1,16 @@
-"""godwitladder: a request scheduler for unlike engines.
+"""godwitladder: a request scheduler for heterogeneous engines and services.
 
 Run an entry host with "serve", change its configuration with numbered
-tickets ("ticket"), read what became of them ("audit") and how a host is
-("status"). Commands that ask a host take the operators' address of any
-entry host and read the operator's token from GODWITLADDER_TOKEN. Where hosts
-speak TLS, put https:// before the address and the PEM file of the authority
-into GODWITLADDER_AUTHORITY.
-
-Exit codes: 0 done; 1 the host refused, or the ticket was rejected; 2 wrong
-usage, or settings or a ticket with findings; 3 the host did not answer, or
-says that the outcome is open or that it can't do it now.
+tickets ("ticket"), and show the verdicts on tickets ("audit") and the state of
+a host ("status"). Commands that send a request to a host take the address for
+operators of any entry host and read the operator's token from
+GODWITLADDER_TOKEN. If hosts use TLS, prefix the address with https:// and set
+GODWITLADDER_AUTHORITY to the PEM file of the certificate authority.
+
+Exit codes: 0 success; 1 the host refused the request, or the ticket was
+rejected; 2 wrong usage, or errors in the settings or the ticket; 3 the host did
+not answer, reported that the outcome is unknown, or is temporarily unable to
+serve the request.
 """
 
 import json
@@ -40,9 +41,9 @@
 
 
 def serve(*, settings: Path) -> None:
-    """Run one entry host until SIGTERM, then finish what is in flight.
+    """Run one entry host until SIGTERM, then finish the requests in flight.
 
-    Nothing is started if the settings have findings.
+    Nothing is started if the settings have errors.
 
     Parameters
     ----------
@@ -54,7 +55,7 @@
 
 
 def check_settings(*, settings: Path) -> None:
-    """Check a settings file and print every finding.
+    """Check a settings file and print all errors.
 
     Parameters
     ----------
@@ -66,7 +67,7 @@
 
 
 def check_routed_settings(*, settings: Path) -> None:
-    """Check the settings file of a host that serves routed calls.
+    """Check the settings file of a host that serves routed calls, and print all errors.
 
     Parameters
     ----------
@@ -78,14 +79,14 @@
 
 
 def explain_request(request: str, *logs: Path) -> None:
-    """Print what the log lines of hosts say of one request, in order of time.
+    """Print the log lines of one request on all hosts, sorted by time.
 
     Parameters
     ----------
     request : str
-        The id that the caller sent.
+        The request id that the caller sent.
     logs : Path
-        Files with the JSON lines of any number of hosts.
+        Files with the JSON log lines of any number of hosts.
     """
     lines = (
         line
@@ -97,14 +98,14 @@
 
 
 def account_for(*logs: Path, span: float = 2.0) -> None:
-    """Print what became of all calls in the log lines of hosts, and why.
+    """Print the outcomes of all calls in the log lines of hosts, with their causes.
 
     Parameters
     ----------
     logs : Path
-        Files with the JSON lines of any number of hosts.
+        Files with the JSON log lines of any number of hosts.
     span : float
-        Seconds for each row of the second table, which goes by time.
+        Length of the time span for each row of the second table, in seconds.
     """
     lines = [
         line
@@ -116,10 +117,10 @@
 
 
 def check_ticket(ticket: Path) -> None:
-    """Check a ticket by itself, without asking a host.
+    """Check a ticket without contacting a host.
 
-    Whether its number is high enough and whether what it refers to exists is
-    only known when it is submitted.
+    Whether its number is high enough and whether the objects that it refers to
+    exist is only checked when it is submitted.
 
     Parameters
     ----------
@@ -133,10 +134,10 @@
 def submit_ticket(
     ticket: Path, *, host: str, wait: float = 3.0, json: bool = False
 ) -> None:
-    """Submit a ticket through any entry host and print its verdict.
+    """Submit a ticket to any entry host and print its verdict.
 
-    Where the outcome is open, submit the same file again: a ticket that was
-    taken already changes nothing.
+    If the outcome is unknown, submit the same file again: a ticket that was
+    already accepted has no effect.
 
     Parameters
     ----------
@@ -145,9 +146,9 @@
     host : str
         Operators' address of an entry host, as address:port.
     wait : float
-        Longest wait for the verdict, in seconds; the host caps it at 10.
+        Maximum wait for the verdict, in seconds; the host limits it to 10.
     json : bool
-        Print the host's answer as it is.
+        Print the host's answer as JSON.
     """
     data = read_file(ticket)
     read_ticket(data, str(ticket))
@@ -156,14 +157,14 @@
 
 
 def list_tickets(*, host: str, json: bool = False) -> None:
-    """List the tickets that were accepted last.
+    """List the most recently accepted tickets.
 
     Parameters
     ----------
     host : str
         Operators' address of an entry host, as address:port.
     json : bool
-        Print a JSON object a line.
+        Print one JSON object per line.
     """
     rows = OperatorClient(host).get("/v1/tickets")["tickets"]
     show(
@@ -174,7 +175,7 @@
 
 
 def show_ticket(number: int, *, host: str) -> None:
-    """Print every verdict on a ticket's number, and what of it is in force.
+    """Print all verdicts on a ticket number, and which of its objects are in force.
 
     Parameters
     ----------
@@ -197,14 +198,14 @@
     start : int
         First offset to print.
     json : bool
-        Print a JSON object a line.
+        Print one JSON object per line.
     """
     rows = OperatorClient(host).get(f"/v1/audit?from={start}")["audit"]
     show(rows, json, audit_line)
 
 
 def show_status(*, host: str) -> None:
-    """Print what an entry host says of itself, in JSON.
+    """Print the status of an entry host as JSON.
 
     Parameters
     ----------
@@ -215,7 +216,7 @@
 
 
 def show_quarantine(*, host: str) -> None:
-    """Print the quarantined requests, a JSON object a line.
+    """Print the quarantined requests, one JSON object per line.
 
     Parameters
     ----------
@@ -227,14 +228,14 @@
 
 
 def lift_quarantine(digest: str, *, operator: str, host: str) -> None:
-    """Let a quarantined request run again, on every host.
+    """Allow a quarantined request to run again on all hosts.
 
     Parameters
     ----------
     digest : str
-        Digest of the request, as its refusal and the list tell it.
+        Digest of the request, as shown in its refusal and in the list.
     operator : str
-        Who lifts it, for the logs.
+        Name of the operator who lifts the quarantine, for the logs.
     host : str
         Operators' address of any entry host, as address:port.
     """
@@ -242,52 +243,65 @@
 
 
 def standin_platform(*, listen: str = "127.0.0.1:0", knobs: list[str] = ()) -> None:
-    """Run a stand-in of the platform.
+    """Run a stand-in for the platform.
 
     Parameters
     ----------
     listen : str
-        Where to listen, as address:port.
+        Address to listen on, as address:port.
     knobs : list[str]
-        Values to start with, each as name=value with the value in JSON.
+        Initial values, each as name=value with the value in JSON.
     """
     run_standin(start_platform(listen, **read_knobs(knobs, platform.KNOBS)))
 
 
 def standin_engine(*, listen: str = "127.0.0.1:0", knobs: list[str] = ()) -> None:
-    """Run a stand-in of a language engine.
+    """Run a stand-in for a language model engine.
 
     Parameters
     ----------
     listen : str
-        Where to listen, as address:port.
+        Address to listen on, as address:port.
     knobs : list[str]
-        Values to start with, each as name=value with the value in JSON.
+        Initial values, each as name=value with the value in JSON.
     """
     run_standin(start_engine(listen, **read_knobs(knobs, engine.KNOBS)))
 
 
 def standin_service(*, listen: str = "127.0.0.1:0", knobs: list[str] = ()) -> None:
-    """Run a stand-in of a plain service.
+    """Run a stand-in for a plain service.
 
     Parameters
     ----------
     listen : str
-        Where to listen, as address:port.
+        Address to listen on, as address:port.
     knobs : list[str]
-        Values to start with, each as name=value with the value in JSON.
+        Initial values, each as name=value with the value in JSON.
     """
     run_standin(start_service(listen, **read_knobs(knobs, service.KNOBS)))
 
 
 def run_standin(server) -> None:
-    """Print where the stand-in listens and run until interrupted."""
+    """Print the address of the stand-in and run until interrupted."""
     print(server.address, flush=True)
     threading.Event().wait()
 
 
 def read_knobs(texts: list[str], known: dict) -> dict:
-    """Return knobs given as ``name=value``."""
+    """Parse knobs given as ``name=value`` with the value in JSON.
+
+    Parameters
+    ----------
+    texts : list of str
+        The knobs.
+    known : dict
+        The knobs of the stand-in by name.
+
+    Raises
+    ------
+    InvalidInput
+        If a name is unknown or a value is not JSON; lists all findings.
+    """
     knobs = {}
     findings = Findings()
     for text in texts:
@@ -303,7 +317,7 @@
 
 
 def read_file(path: Path) -> bytes:
-    """Return a file's bytes, or raise `InvalidInput`."""
+    """Return the content of a file, or raise `InvalidInput` if it can't be read."""
     try:
         return path.read_bytes()
     except OSError as error:
@@ -312,7 +326,7 @@
 
 
 def audit_line(row: dict) -> str:
-    """Return an audit entry as a line for people."""
+    """Return an audit entry as human-readable text, with findings on extra lines."""
     head = f"{row['offset']}: ticket {row['number']} by {row['operator'] or 'nobody'}"
     cause = f" ({row['cause']})" if row["cause"] else ""
     findings = "".join(f"\n    {text}" for text in row["findings"])
@@ -320,7 +334,7 @@
 
 
 def show(rows: list[dict], as_json: bool, line: Callable[[dict], str]) -> None:
-    """Print rows, each on a line."""
+    """Print rows, either as JSON or formatted by ``line``."""
     for row in rows:
         print(json.dumps(row) if as_json else line(row))
 
@@ -348,7 +362,7 @@
 
 
 def main(argv: list[str] | None = None) -> None:
-    """Run the command line."""
+    """Run the command line; exit with a non-zero code if the command fails."""
     try:
         defopt.run(
             COMMANDS,
--- a/godwitladder/client.py
+++ b/godwitladder/client.py
@@ -111,9 +111,9 @@
             )
             value = json.loads(answer.data)
         except (urllib3.exceptions.HTTPError, ValueError, OSError) as error:
-            text = f"{self.host} gave no answer: {error}"
+            text = f"{self.host} did not answer: {error}"
             if method == "POST":
-                text += "\nThe outcome is open; the same again does no harm."
+                text += "\nThe outcome is unknown; it is safe to repeat the request."
             raise OperatorRequestFailed(text, EXIT_UNAVAILABLE) from error
         if answer.status >= 400:
             code = EXIT_UNAVAILABLE if answer.status >= 500 else EXIT_REFUSED
--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -1,4 +1,4 @@
-"""One entry host: wires the parts together and runs until told to stop."""
+"""The entry host: creates its components, connects them and runs until stopped."""
 
 import os
 import signal
@@ -55,9 +55,9 @@
 
 HOST_LIST_PERIOD_S = 1.0
 PEER_DISCOVERY_TIMEOUT_S = 3.0
-"""A host that found none of its seeds in this time serves alone."""
+"""Time after which a host that has reached none of its seeds serves alone."""
 LEAVE_S = 1.0
-"""Time for balancers and peers to see that this host is leaving."""
+"""Time for load balancers and peers to notice that this host is leaving."""
 OPERATOR_THREADS = 8
 CRITICAL_THREADS = frozenset(
     {"config", "hosts", "ticker", "http", "claim-read", "claim-write"}
@@ -66,14 +66,14 @@
 
 
 class EntryHost(BaseHost):
-    """All parts of one host, owned by one exit stack.
+    """An entry host with all its components.
 
     Parameters
     ----------
     settings : Settings
-        What the host was told.
+        Settings of the host.
     clock : Clock
-        Handed to every part that needs the time.
+        Clock of all components.
     """
 
     def __init__(self, settings: Settings, clock: Clock) -> None:
@@ -139,7 +139,7 @@
         self.caller_server: TcpWSGIServer | None = None
 
     def make_orders(self) -> OrderIssuer:
-        """Return the part that brings targets to the state in force."""
+        """Return the component that orders targets into their configured state."""
         settings = self.settings
         platform = settings.platform
         holder = f"{settings.host}/{self.incarnation}"
@@ -157,12 +157,12 @@
         )
 
     def make_tables(self) -> Tables:
-        """Return the scheduler's tables, as they are at the start."""
+        """Return the initial tables of the scheduler."""
         host, zone = self.settings.host, self.settings.zone
         return Tables(host, zone, self.incarnation, hosts=(host,))
 
     def make_keys(self) -> KeyParts:
-        """Return what serves calls with idempotency keys."""
+        """Return the components that serve calls with idempotency keys."""
         keys = KeyParts(
             self.settings,
             self.incarnation,
@@ -179,7 +179,7 @@
         return keys
 
     def start(self) -> None:
-        """Start every part."""
+        """Start all components."""
         self.mesh.start()
         self.stack.callback(self.mesh.close)
         idle_tick_s = self.settings.scheduler.idle_tick_s
@@ -203,12 +203,12 @@
         log.info("The host serves", extra={"host": self.settings.host})
 
     def drain(self) -> None:
-        """Take nothing new and wait for everything in flight.
+        """Accept no more requests and wait for those in flight.
 
-        Requests that still arrive are answered that this host is stopping.
-        The listener closes only when the balancer has had time to look at
-        ``/readyz``: a connection that it would send into a closed listener,
-        or into its queue, would be dropped without an answer.
+        Requests that still arrive are refused because this host is stopping.
+        The listener closes only after load balancers have had time to poll
+        ``/readyz``. A connection that they sent to a closed listener, or into its
+        backlog, would be dropped without a response.
         """
         self.membership.ask(Leave())
         self.scheduler.ask(Stop())
@@ -221,19 +221,21 @@
         self.keys.flush()
 
     def has_open_calls(self) -> bool:
-        """Return whether any request is waiting, running or being answered."""
+        """Return whether a request is queued or running or its response is unsent."""
         return self.callers.open_calls > 0 or count_unfinished(self.caller_server) > 0
 
     def ready(self) -> bool:
-        """Return whether callers should be sent here."""
+        """Return whether load balancers should send callers to this host."""
         caught_up = self.follower.caught_up.is_set()
         return caught_up and self.peer_discovery_done() and not self.stopping.is_set()
 
     def peer_discovery_done(self) -> bool:
-        """Return whether a peer was found, or none can be.
+        """Return whether a peer was found or the search for one has ended.
 
-        A host that knows no peer takes itself for the allocator of its zone;
-        with callers sent to it, targets would get twice their slots.
+        The search ends after `PEER_DISCOVERY_TIMEOUT_S`, or at once without
+        seeds. A host that knows no peer acts as the allocator of its zone. If it
+        served callers while its peers do too, the slots of targets would be
+        allocated twice.
         """
         waited_s = self.clock.monotonic() - self.started
         return (
@@ -243,7 +245,7 @@
         )
 
     def status(self) -> HostStatus:
-        """Return what operators are told of this host."""
+        """Return the status of this host for operators."""
         targets = self.callers.config.targets
         return HostStatus(
             host=self.settings.host,
@@ -260,14 +262,17 @@
         )
 
     def scheduler_count(self, gauge: Gauge) -> int:
-        """Return a gauge that the scheduler sets at each tick."""
+        """Return the value of a gauge that the scheduler sets at each tick.
+
+        Return 0 before the first tick.
+        """
         try:
             return int(gauge.get({}))
         except KeyError:
             return 0
 
     def make_heartbeat(self) -> Heartbeat:
-        """Return this host's first heartbeat."""
+        """Return the first heartbeat of this host."""
         settings = self.settings
         return Heartbeat(
             settings.host,
@@ -279,7 +284,7 @@
         )
 
     def publish_config(self, ledger: Ledger) -> None:
-        """Put a new configuration in force on this host."""
+        """Apply a new configuration on this host."""
         state = make_state(ledger)
         self.callers.config = state
         self.scheduler.tell(NewConfig(state))
@@ -289,26 +294,33 @@
         self.metrics.config_offset.set({}, state.offset)
 
     def publish_members(self, message: HostsChanged | TargetsLeaving) -> None:
-        """Tell those that hand out and use targets about hosts that changed."""
+        """Notify the scheduler, the allocator and the order issuer of a change.
+
+        The order issuer is only notified of changed hosts, not of leaving targets.
+        """
         self.scheduler.tell(message)
         self.allocator.tell(message)
         if isinstance(message, HostsChanged):
             self.orders.hosts = message.hosts
 
     def poll_host_list(self) -> None:
-        """Read the platform's host list from time to time, as a hint."""
+        """Read the platform's host list periodically until the host stops.
+
+        The list is only a hint for finding peers. If it can't be read, the host
+        continues without it.
+        """
         client = HostListClient(self.settings.platform.hosts, self.settings.zone)
         while not self.stopping.is_set():
             try:
                 self.membership.tell(Listed(client.read()))
             except HostListUnavailable as error:
-                log.info("No host list", extra={"error": str(error)})
+                log.info("The host list is unavailable", extra={"error": str(error)})
             self.count_traffic()
             self.clock.wait(self.stopping, HOST_LIST_PERIOD_S)
         client.close()
 
     def count_traffic(self) -> None:
-        """Show the traffic between hosts, and the way to the log, in the metrics."""
+        """Update the metrics of links between hosts and of access to the log."""
         sent, received = self.mesh.traffic()
         self.metrics.control_bytes.set({"direction": "sent"}, sent)
         self.metrics.control_bytes.set({"direction": "received"}, received)
@@ -319,13 +331,16 @@
 
 
 def run_entry_host(settings: Settings) -> None:
-    """Run one entry host until SIGTERM or SIGINT, then stop as planned."""
+    """Run one entry host until SIGTERM or SIGINT, then stop it gracefully.
+
+    If a component fails, the process exits with `FAILURE_EXIT_CODE`.
+    """
     host = EntryHost(settings, Clock())
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: host.stop())
     watch_threads(CRITICAL_THREADS, host.fail)
     host.run()
     if host.failed:
-        # Threads of callers may still run; a planned stop waits for them, but
-        # what they wait for will never come.
+        # Exit without joining the threads of callers: they may wait for a
+        # component that has failed and would never end.
         os._exit(FAILURE_EXIT_CODE)
--- a/godwitladder/loadtool.py
+++ b/godwitladder/loadtool.py
@@ -1,8 +1,8 @@
-"""A load tool: calls at a steady rate, and what came of them by tier.
+"""Open-loop load generator that reports the outcomes of calls for each caller.
 
 ``python -m godwitladder.loadtool --hosts 127.0.0.1:8000 --callers urgent=KEY``
-sends chat completions in an open loop: the next call goes out when it is due,
-whatever became of the ones before, as callers in a burst do.
+sends chat completions at a constant rate. The load is open-loop: each call is sent
+when it is due, even if earlier calls have not ended, as in a burst of callers.
 """
 
 import json
@@ -24,7 +24,17 @@
 
 @dataclass(frozen=True)
 class LoadCaller:
-    """One kind of caller: the name to show, its bearer key, its part of the mix."""
+    """A caller of the load mix.
+
+    Attributes
+    ----------
+    name : str
+        Name in the report.
+    key : str
+        Bearer key of the caller.
+    weight : float, default=1.0
+        Relative share of the calls.
+    """
 
     name: str
     key: str
@@ -33,35 +43,50 @@
 
 @dataclass
 class Result:
-    """What came of one caller's calls; ``seconds`` of those completed in time."""
+    """Outcomes of one caller's calls.
+
+    Attributes
+    ----------
+    sent : int
+        Number of calls sent.
+    outcomes : Counter
+        Number of calls for each outcome.
+    seconds : list of float
+        Latencies of the calls that completed in time, in seconds.
+    """
 
     sent: int = 0
     outcomes: Counter = field(default_factory=Counter)
     seconds: list[float] = field(default_factory=list)
 
     def quantile(self, part: float) -> float:
-        """Return a quantile of the seconds, or 0 without any."""
+        """Return the ``part`` quantile of the latencies in seconds, or 0 if none."""
         ordered = sorted(self.seconds)
         return ordered[int(part * (len(ordered) - 1))] if ordered else 0.0
 
 
 class Load:
-    """Sends calls and counts what comes of them.
+    """Sends calls and counts their outcomes.
 
     Parameters
     ----------
     hosts : sequence of str
-        Callers' addresses, used in turn.
+        Addresses for callers, used in round-robin order.
     callers : sequence of LoadCaller
-        Whose calls to mix.
+        Callers that send the calls.
     service : str
-        The model service to ask.
+        Model service to call.
     max_tokens : sequence of int
-        Declared outputs to draw from.
+        Values of ``max_tokens``, one of which is drawn for each call.
     timeout_s : float
-        Each call's deadline, in seconds.
+        Deadline of each call, in seconds.
     clock : Clock
-        Paces the calls.
+        Clock by which calls are sent and timed.
+
+    Attributes
+    ----------
+    results : dict of str to Result
+        Outcomes by name of the caller.
     """
 
     def __init__(
@@ -83,7 +108,17 @@
         self.results = {caller.name: Result() for caller in callers}
 
     def run(self, rate: float, duration_s: float, seed: int = 0) -> None:
-        """Send ``rate`` calls a second for ``duration_s`` and await them all."""
+        """Send calls and wait until all of them have ended.
+
+        Parameters
+        ----------
+        rate : float
+            Number of calls per second.
+        duration_s : float
+            Time for which calls are sent, in seconds.
+        seed : int, default=0
+            Seed of the random mix of callers and outputs.
+        """
         draw = random.Random(seed)
         weights = [caller.weight for caller in self.callers]
         start = self.clock.monotonic()
@@ -127,7 +162,10 @@
 
 
 def read_outcome(answer: urllib3.BaseHTTPResponse) -> str:
-    """Return ``completed``, or outcome and reason of a refusal."""
+    """Return ``completed``, or the outcome and reason of a refusal.
+
+    Return the status code if the body does not describe a refusal.
+    """
     if answer.status == 200:
         return "completed"
     try:
@@ -138,13 +176,13 @@
 
 
 def read_caller(text: str) -> LoadCaller:
-    """Return the caller in ``name=key`` or ``name=key=weight``."""
+    """Parse a caller given as ``name=key`` or ``name=key=weight``."""
     name, key, *weight = text.split("=")
     return LoadCaller(name, key, float(weight[0]) if weight else 1.0)
 
 
 def format_results(results: dict[str, Result], duration_s: float) -> list[str]:
-    """Return a line for each caller: goodput, times and outcomes."""
+    """Return one line per caller with its goodput, latencies and outcomes."""
     lines = []
     for name, result in results.items():
         done = len(result.seconds)
@@ -168,26 +206,26 @@
     timeout: float = 20.0,
     seed: int = 0,
 ) -> None:
-    """Send calls at a steady rate and print goodput and outcomes by caller.
+    """Send calls at a constant rate and print goodput and outcomes by caller.
 
     Parameters
     ----------
     hosts : list[str]
-        Callers' addresses of entry hosts, as address:port.
+        Addresses of entry hosts for callers, as address:port.
     callers : list[str]
-        Who calls: name=key, or name=key=weight.
+        The callers, each as name=key or name=key=weight.
     service : str
-        The model service to ask.
+        Model service to call.
     rate : float
-        Calls a second.
+        Number of calls per second.
     duration : float
-        Seconds for which calls are sent.
+        Time for which calls are sent, in seconds.
     max_tokens : list[int]
-        Declared outputs to draw from.
+        Values of max_tokens, one of which is drawn for each call.
     timeout : float
         Deadline of each call, in seconds.
     seed : int
-        Seed of the mix.
+        Seed of the random mix of callers and outputs.
     """
     mix = [read_caller(text) for text in callers]
     tool = Load(hosts, mix, service, max_tokens, timeout, Clock())
