--- a/bench/policies.py
+++ b/bench/policies.py
@@ -7,11 +7,11 @@
 from bench.traces import SERVICE, Arrival, Engine
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import allocate
-from godwitladder.decisions.easing import TargetEasing
-from godwitladder.decisions.prediction import OutputPredictor, grow
+from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
 from godwitladder.decisions.repeats import RefusedRequests
 from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
+from godwitladder.decisions.throttling import TargetThrottles
 from godwitladder.decisions.types import (
     Allocation,
     Placement,
@@ -153,7 +153,7 @@
         self.loads = LoadReports()
         self.predictor = OutputPredictor()
         self.speeds = TargetSpeeds()
-        self.easing = TargetEasing()
+        self.easing = TargetThrottles()
         self.hints = PrefixHints()
         self.refused = RefusedRequests()
         self.pool = PoolView()
@@ -166,7 +166,7 @@
     def add_target(self, engine: Engine) -> None:
         """Add a target with the speeds that an operator would configure."""
         name = TargetName(engine.name)
-        self.speeds.expect(name, 6000.0, 40.0)
+        self.speeds.set_configured(name, 6000.0, 40.0)
         self.pool.targets[name] = TargetView(
             name,
             frozenset({SERVICE}),
@@ -195,7 +195,7 @@
             time_to_deadline_s=arrival.deadline - now,
             waited_s=0.0,
             prefix=arrival.prefix,
-            likely_tokens=self.predictor.likely(
+            likely_tokens=self.predictor.predict_median(
                 arrival.workspace, SERVICE, arrival.declared
             ),
             prior_refusals=self.refused.count(arrival.workspace, body, now),
@@ -258,7 +258,7 @@
         )
         decode_s = now - stream.first_token
         expected_s = arrival.output / self.speeds.learned[target].decode_tps
-        if self.speeds.known(target):
+        if self.speeds.is_calibrated(target):
             taken_s = max(decode_s, expected_s / 10)
             self.easing.observe(target, expected_s, taken_s, now)
         self.speeds.observe(
@@ -315,13 +315,15 @@
         request = stream.arrival.request
         before = self.progress.get(request, 0.0)
         self.progress[request] = stream.produced
-        if before and self.speeds.known(target):
+        if before and self.speeds.is_calibrated(target):
             tokens = max(stream.produced - before, 1.0)
             expected_s = tokens / self.speeds.learned[target].decode_tps
             self.easing.observe(target, expected_s, 1.0, now)
         row, placement = self.running[request]
         reserved = placement.reserved_tokens - row.demand.prompt_tokens
-        grown = grow(reserved, int(stream.produced), stream.arrival.declared)
+        grown = grow_reservation(
+            reserved, int(stream.produced), stream.arrival.declared
+        )
         if grown > reserved:
             self.predictor.observe(
                 row.demand.workspace,
--- a/bench/region.py
+++ b/bench/region.py
@@ -335,7 +335,9 @@
         row.body = call.body
         predictor = self.tables.predictor
         row.predicted_tokens = predictor.predict(row.workspace, SERVICE, call.declared)
-        row.likely_tokens = predictor.likely(row.workspace, SERVICE, call.declared)
+        row.likely_tokens = predictor.predict_median(
+            row.workspace, SERVICE, call.declared
+        )
         call.tries += 1
         self.live[name], self.rows[name] = call, row
         add_request(self.tables, row)
--- a/godwitladder/decisions/cancel.py
+++ b/godwitladder/decisions/cancel.py
@@ -16,7 +16,7 @@
 NEARLY_DONE = 0.25
 
 
-class CallerGone(enum.Enum):
+class DisconnectAction(enum.Enum):
     """What to do with work whose caller is gone."""
 
     DROP = "drop"
@@ -24,9 +24,9 @@
     FINISH = "finish"
 
 
-def on_caller_gone(
+def disconnect_action(
     running: bool, idempotent: bool, keyed: bool, produced: int, predicted: int
-) -> CallerGone:
+) -> DisconnectAction:
     """Return what to do.
 
     A non-idempotent request that runs is always finished: cancelling a charge
@@ -39,10 +39,10 @@
         Output tokens so far and at its end.
     """
     if not running:
-        return CallerGone.DROP
+        return DisconnectAction.DROP
     if not idempotent:
-        return CallerGone.FINISH
+        return DisconnectAction.FINISH
     left = max(0, predicted - produced) / max(1, predicted)
     if keyed and produced and left <= NEARLY_DONE:
-        return CallerGone.FINISH
-    return CallerGone.CANCEL
+        return DisconnectAction.FINISH
+    return DisconnectAction.CANCEL
--- a/godwitladder/decisions/forecast.py
+++ b/godwitladder/decisions/forecast.py
@@ -48,14 +48,14 @@
 
 
 @dataclass(frozen=True)
-class Unread:
+class PendingPrefill:
     """Prompt tokens that a target has still to read, and of how many requests."""
 
     tokens: int
     requests: int
 
 
-class ReadingForecast:
+class PrefillForecast:
     """The prompts that were granted lately, by target, in the order of reading."""
 
     def __init__(self) -> None:
@@ -71,7 +71,9 @@
             begin = max(begin, rows[-1].end)
         rows.append(Reading(tokens, begin, begin + seconds))
 
-    def unread(self, target: TargetName, told: Unread, now: float) -> Unread:
+    def pending(
+        self, target: TargetName, told: PendingPrefill, now: float
+    ) -> PendingPrefill:
         """Return what ``target`` has still to read.
 
         Parameters
@@ -85,7 +87,7 @@
         if told.requests >= MOST_UNHEARD:
             return told
         tokens = sum(row.left(now) for row in rows)
-        return Unread(min(told.tokens, tokens), min(told.requests, len(rows)))
+        return PendingPrefill(min(told.tokens, tokens), min(told.requests, len(rows)))
 
     def forget(self, target: TargetName) -> None:
         """Drop a target that is gone or was restarted."""
--- a/godwitladder/decisions/prediction.py
+++ b/godwitladder/decisions/prediction.py
@@ -109,7 +109,7 @@
             return max(1, int(declared * PRIOR_RATIO))
         return max(1, min(declared, math.ceil(math.exp(blend.reserve))))
 
-    def likely(
+    def predict_median(
         self, workspace: WorkspaceName, service: ServiceName, declared: int
     ) -> int:
         """Return the tokens that half of the answers don't exceed.
@@ -144,7 +144,7 @@
             estimate.move(level)
 
 
-def grow(predicted: int, produced: int, declared: int) -> int:
+def grow_reservation(predicted: int, produced: int, declared: int) -> int:
     """Return the reservation of a stream that has ``produced`` tokens so far."""
     if produced < predicted:
         return predicted
--- a/godwitladder/decisions/reading.py
+++ b/godwitladder/decisions/prefill_fit.py
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class ReadingFit:
+class PrefillFit:
     """Decayed sums over answers: lengths in tokens, times in seconds."""
 
     count: float = 0.0
@@ -43,7 +43,7 @@
         self.squares = self.squares * KEEP + tokens * tokens
         self.products = self.products * KEEP + tokens * first_s
 
-    def line(self) -> tuple[float, float] | None:
+    def coefficients(self) -> tuple[float, float] | None:
         """Return seconds for any prompt and for each token; None if unknown."""
         if self.count < LEAST:
             return None
--- a/godwitladder/decisions/quarantine.py
+++ b/godwitladder/decisions/quarantine.py
@@ -26,7 +26,7 @@
 MAX_SUSPECTS = 10_000
 
 
-class Standing(enum.Enum):
+class QuarantineStatus(enum.Enum):
     """What may be done with a request."""
 
     CLEAR = "clear"
@@ -63,7 +63,7 @@
     suspects: dict[BodyDigest, CrashRow] = field(default_factory=dict)
     quarantined: dict[BodyDigest, float] = field(default_factory=dict)
 
-    def crash(
+    def record_crash(
         self, target: TargetName, digest: BodyDigest, trial: bool, now: float
     ) -> None:
         """Take in that ``target`` crashed while it ran ``digest``."""
@@ -92,14 +92,14 @@
         self.clear(digest)
         self.quarantined.pop(digest, None)
 
-    def standing(self, digest: BodyDigest, now: float) -> Standing:
+    def status(self, digest: BodyDigest, now: float) -> QuarantineStatus:
         """Return what may be done with ``digest``."""
         if self.quarantined.get(digest, now) > now:
-            return Standing.QUARANTINED
+            return QuarantineStatus.QUARANTINED
         row = self.suspects.get(digest)
         if row and now - row.at < self.hold_s:
-            return Standing.SUSPECT
-        return Standing.CLEAR
+            return QuarantineStatus.SUSPECT
+        return QuarantineStatus.CLEAR
 
     def _crash_row(self, target: TargetName, now: float) -> CrashRow:
         row = self.crashes.get(target)
--- a/godwitladder/decisions/speeds.py
+++ b/godwitladder/decisions/speeds.py
@@ -8,7 +8,7 @@
 ----------
 GAIN : the estimate is an average over the last ten or so requests; a lasting
     change is half taken in after seven. Sudden slow-downs are
-    `godwitladder.decisions.easing`'s matter, in seconds. The first ten count
+    `godwitladder.decisions.throttling`'s matter, in seconds. The first ten count
     alike, and the configured speed, a guess, counts as PRIOR of them: a new
     allocator gave slow targets a full part for as long as it took to learn.
 FLOOR : a target that stood still is not taken to be slower than a hundredth
@@ -18,13 +18,13 @@
 
 from dataclasses import dataclass
 
-from godwitladder.decisions.reading import ReadingFit
+from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.ids import TargetName
 
 GAIN = 0.1
 PRIOR = 2
 FLOOR = 0.01
-KNOWN = 20
+MIN_OBSERVATIONS = 20
 
 
 @dataclass
@@ -46,20 +46,22 @@
     """Speeds of each target."""
 
     def __init__(self) -> None:
-        self.expected: dict[TargetName, Speed] = {}
+        self.configured: dict[TargetName, Speed] = {}
         self.learned: dict[TargetName, Speed] = {}
-        self.fits: dict[TargetName, ReadingFit] = {}
+        self.fits: dict[TargetName, PrefillFit] = {}
 
-    def expect(self, target: TargetName, prefill_tps: float, decode_tps: float) -> None:
+    def set_configured(
+        self, target: TargetName, prefill_tps: float, decode_tps: float
+    ) -> None:
         """Set the configured speeds; what was learned is kept if they stand."""
         speed = Speed(prefill_tps, decode_tps)
-        if self.expected.get(target) != speed:
-            self.expected[target] = speed
+        if self.configured.get(target) != speed:
+            self.configured[target] = speed
             self.learned[target] = Speed(prefill_tps, decode_tps)
 
     def forget(self, target: TargetName) -> None:
         """Drop a target that is gone."""
-        self.expected.pop(target, None)
+        self.configured.pop(target, None)
         self.learned.pop(target, None)
         self.fits.pop(target, None)
 
@@ -84,9 +86,9 @@
             return
         speed.count += 1
         gain = max(GAIN, 1.0 / (speed.count + PRIOR))
-        floor = self.expected[target]
+        floor = self.configured[target]
         if prompt > 0 and first_token_s > 0:
-            self.fits.setdefault(target, ReadingFit()).observe(prompt, first_token_s)
+            self.fits.setdefault(target, PrefillFit()).observe(prompt, first_token_s)
             seen = max(prompt / first_token_s, floor.prefill_tps * FLOOR)
             speed.prefill_tps += gain * (seen - speed.prefill_tps)
         if output > 1 and total_s > first_token_s:
@@ -94,20 +96,20 @@
             seen = max(seen, floor.decode_tps * FLOOR)
             speed.decode_tps += gain * (seen - speed.decode_tps)
 
-    def reading(self, target: TargetName) -> tuple[float, float]:
+    def prefill_cost(self, target: TargetName) -> tuple[float, float]:
         """Return a prompt's seconds to its first output: fixed, and a token."""
         fit = self.fits.get(target)
-        line = fit.line() if fit else None
+        line = fit.coefficients() if fit else None
         return line or (0.0, 1.0 / max(self.learned[target].prefill_tps, 1e-9))
 
-    def known(self, target: TargetName) -> bool:
+    def is_calibrated(self, target: TargetName) -> bool:
         """Return whether enough was seen of ``target`` to call it slow.
 
         Configured speeds are guesses: measured against one that is too high,
         a target that does its best would be eased off from the start.
         """
         speed = self.learned.get(target)
-        return speed is not None and speed.count >= KNOWN
+        return speed is not None and speed.count >= MIN_OBSERVATIONS
 
     def expected_s(self, target: TargetName, prompt: int, output: int) -> float:
         """Return the seconds that a request will hold a slot of ``target``.
--- a/godwitladder/decisions/easing.py
+++ b/godwitladder/decisions/throttling.py
@@ -53,7 +53,7 @@
     changed: float = float("-inf")
 
 
-class TargetEasing:
+class TargetThrottles:
     """The limits of all targets."""
 
     def __init__(self) -> None:
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -122,7 +122,7 @@
         request that the target serves may use.
     tier_rank : int
         Rank of the request it was given for.
-    lapse_s : float
+    valid_for_s : float
         Seconds it may be used after the sending of the report that it answers.
     """
 
@@ -132,7 +132,7 @@
     request: RequestId
     tier_rank: int
     reserved_tokens: int
-    lapse_s: float
+    valid_for_s: float
 
 
 class ShedReason(enum.Enum):
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -16,7 +16,7 @@
 from godwitladder.clock import Clock
 from godwitladder.configuration.model import ServiceKind
 from godwitladder.configuration.state import ConfigState
-from godwitladder.decisions.quarantine import HOLD_S, Quarantine, Standing
+from godwitladder.decisions.quarantine import HOLD_S, Quarantine, QuarantineStatus
 from godwitladder.engines.engine import resume_stream
 from godwitladder.engines.wire import MayHaveRun, NotSent, TargetRefused, connect
 from godwitladder.ids import BodyDigest
@@ -99,11 +99,11 @@
         """
         digest = crash_digest(call)
         standing = self.standing(digest)
-        if standing is Standing.QUARANTINED:
+        if standing is QuarantineStatus.QUARANTINED:
             call.on_end(RequestState.NOT_RUN)
             raise CallRefused(quarantined(digest))
         trial = Trial()
-        if standing is Standing.SUSPECT and not self._begin_trial(trial):
+        if standing is QuarantineStatus.SUSPECT and not self._begin_trial(trial):
             call.on_end(RequestState.NOT_RUN)
             raise CallRefused(suspected())
         inner = call.on_end
@@ -122,10 +122,10 @@
         watched = dataclasses.replace(call, on_end=on_end, before_dispatch=before)
         return self.run(watched, environ, start_response)
 
-    def standing(self, digest: BodyDigest) -> Standing:
+    def standing(self, digest: BodyDigest) -> QuarantineStatus:
         """Return what may be done with ``digest``."""
         with self.lock:
-            return self.table.standing(digest, self.clock.monotonic())
+            return self.table.status(digest, self.clock.monotonic())
 
     def take(self, link: Link, message: CrashNote) -> None:
         """Take in a peer's note, and pass it on once."""
@@ -150,7 +150,7 @@
 
     def _apply(self, note: CrashNote, at: float) -> None:
         if isinstance(note, Crash):
-            self.table.crash(note.target, note.digest, note.trial, at)
+            self.table.record_crash(note.target, note.digest, note.trial, at)
         elif isinstance(note, Cleared):
             self.table.clear(note.digest)
         else:
@@ -194,9 +194,9 @@
         if it had come after the news, and the others are refused.
         """
         standing = self.standing(digest)
-        if standing is Standing.QUARANTINED:
+        if standing is QuarantineStatus.QUARANTINED:
             return quarantined(digest)
-        if standing is Standing.SUSPECT and not trial.release:
+        if standing is QuarantineStatus.SUSPECT and not trial.release:
             return None if self._begin_trial(trial) else suspected()
         return None
 
@@ -222,7 +222,7 @@
     ) -> None:
         report = secrets.token_hex(8)
         if state is RequestState.COMPLETED:
-            if self.standing(digest) is Standing.SUSPECT:
+            if self.standing(digest) is QuarantineStatus.SUSPECT:
                 self.publish(Cleared(report, digest))
         elif state is RequestState.MAY_HAVE_RUN and self._is_gone(call):
             self.publish_crash(Crash(report, call.row.target, digest, trial))
--- a/godwitladder/scheduler/actor.py
+++ b/godwitladder/scheduler/actor.py
@@ -137,7 +137,7 @@
         row.predicted_tokens = self.tables.predictor.predict(
             row.workspace, row.service, row.declared_tokens
         )
-        row.likely_tokens = self.tables.predictor.likely(
+        row.likely_tokens = self.tables.predictor.predict_median(
             row.workspace, row.service, row.declared_tokens
         )
         add_request(self.tables, row)
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -13,14 +13,14 @@
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import LONGEST_LOOK_S, allocate
-from godwitladder.decisions.easing import TargetEasing
-from godwitladder.decisions.forecast import ReadingForecast
+from godwitladder.decisions.forecast import PrefillForecast
 from godwitladder.decisions.memory import AllocatorMemory
 from godwitladder.decisions.policy import ASKED, STRICT
 from godwitladder.decisions.quotas import QuotaBook
 from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import standing_grants
+from godwitladder.decisions.throttling import TargetThrottles
 from godwitladder.decisions.types import (
     Allocation,
     Grant,
@@ -145,9 +145,9 @@
         self.first_number = 1
         self.floors: dict[PoolName, Floor] = {}
         self.speeds = TargetSpeeds()
-        self.easing = TargetEasing()
+        self.easing = TargetThrottles()
         self.hints = PrefixHints()
-        self.forecast = ReadingForecast()
+        self.forecast = PrefillForecast()
         self.memory = AllocatorMemory()
         self.quotas = QuotaBook()
         self.rows: dict[RequestId, WaitingRequest] = {}
@@ -173,7 +173,7 @@
         self.quotas.rates = token_rates(config)
         for name in pool.targets:
             target = config.targets[name]
-            self.speeds.expect(name, target.prefill_tps, target.decode_tps)
+            self.speeds.set_configured(name, target.prefill_tps, target.decode_tps)
 
     def take_report(self, report: PoolReport, now: float) -> bool:
         """Take in a host's report; return whether it calls for a run at once."""
@@ -212,7 +212,7 @@
 
     def observe_throughput(self, row: ThroughputSample, now: float) -> None:
         """Take in how fast a target works while requests run."""
-        if not self.speeds.known(row.target):
+        if not self.speeds.is_calibrated(row.target):
             return
         expected_s = self.speeds.expected_s(
             row.target, row.prompt_tokens, row.output_tokens
@@ -328,7 +328,7 @@
                 request=row.request,
                 tier_rank=waiting.demand.tier_rank,
                 reserved_tokens=row.reserved_tokens,
-                lapse_s=OFFER_LIFETIME_S,
+                valid_for_s=OFFER_LIFETIME_S,
             )
             self.hints.note_dispatch(row.target, waiting.demand.prefix, now)
             self.note_reading(row.target, waiting.demand.prompt_tokens, now)
@@ -352,7 +352,7 @@
 
     def note_reading(self, target: TargetName, tokens: int, now: float) -> None:
         """Foretell when a prompt is read that has just been granted."""
-        _, read_s = self.speeds.reading(target)
+        _, read_s = self.speeds.prefill_cost(target)
         self.forecast.note(target, tokens, tokens * read_s, now)
 
     def note_shed(self, rank: int, now: float) -> None:
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -8,7 +8,7 @@
 from operator import attrgetter
 
 from godwitladder.configuration.model import TargetState
-from godwitladder.decisions.prediction import grow
+from godwitladder.decisions.prediction import grow_reservation
 from godwitladder.decisions.standing import fixed_share
 from godwitladder.decisions.types import TargetView
 from godwitladder.ids import HostId
@@ -363,7 +363,7 @@
     """Take in the output so far, and hold more memory if it needs more."""
     row.produced_tokens = tokens
     expected = row.predicted_tokens or row.declared_tokens
-    row.predicted_tokens = grow(expected, tokens, row.declared_tokens)
+    row.predicted_tokens = grow_reservation(expected, tokens, row.declared_tokens)
     if row.predicted_tokens > expected:
         learn_length(tables, row, cut=True)
     target = tables.targets.get(row.target)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from godwitladder.configuration.model import TargetState
-from godwitladder.decisions.forecast import Unread
+from godwitladder.decisions.forecast import PendingPrefill
 from godwitladder.decisions.types import (
     PoolView,
     RequestDemand,
@@ -72,7 +72,7 @@
     known = role.memory.callers.first_asked(line.body, now)
     asked = arrived if known is None else min(known, arrived)
     if before is not None:
-        entitled = before.entitled
+        entitled = before.within_quota
     else:
         # One that has come back was counted when it first came.
         entitled = known is not None or role.memory.entitlements.take(
@@ -108,9 +108,9 @@
         count = counted.get(name, NOTHING)
         role.loads.note_ours(name, running.get(name, NOTHING).running, now)
         speed = role.speeds.learned[name]
-        told = Unread(count.unread, count.unread_requests)
-        unread = role.forecast.unread(name, told, now)
-        first_s, read_s = role.speeds.reading(name)
+        told = PendingPrefill(count.unread, count.unread_requests)
+        unread = role.forecast.pending(name, told, now)
+        first_s, read_s = role.speeds.prefill_cost(name)
         views[name] = TargetView(
             name=name,
             services=frozenset(target.services),
--- a/godwitladder/serving/dispatching.py
+++ b/godwitladder/serving/dispatching.py
@@ -7,7 +7,7 @@
 
 from godwitladder.clock import Clock
 from godwitladder.configuration.model import ServiceKind
-from godwitladder.decisions.cancel import CallerGone, on_caller_gone
+from godwitladder.decisions.cancel import DisconnectAction, disconnect_action
 from godwitladder.engines.engine import cancel_stream
 from godwitladder.engines.service import call_service
 from godwitladder.engines.wire import MayHaveRun, NotSent, TargetRefused
@@ -228,8 +228,10 @@
         row = self.call.row
         if row.key is not None:
             return False
-        fate = on_caller_gone(True, row.idempotent, False, tokens, row.predicted_tokens)
-        return fate is CallerGone.CANCEL
+        fate = disconnect_action(
+            True, row.idempotent, False, tokens, row.predicted_tokens
+        )
+        return fate is DisconnectAction.CANCEL
 
     def _note_cut(self, error: AnswerCut) -> None:
         """Log a cut answer, and spare the engine the rest of a useless one."""
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -7,15 +7,15 @@
 
 from godwitladder.decisions.affinity import HINT_S, PrefixHints
 from godwitladder.decisions.backoff import retry_after_s
-from godwitladder.decisions.cancel import CallerGone, on_caller_gone
-from godwitladder.decisions.easing import TargetEasing
-from godwitladder.decisions.prediction import OutputPredictor, grow
+from godwitladder.decisions.cancel import DisconnectAction, disconnect_action
+from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.decisions.repeats import RefusedRequests
 from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.returns import KEPT, KEPT_S, RefusedCallers
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import fixed_share, standing_grants
+from godwitladder.decisions.throttling import TargetThrottles
 from tests.decisions.pools import add, make_pool, make_target
 
 HOSTS = [f"host-{n}" for n in range(14)]
@@ -34,17 +34,17 @@
     reserved = predictor.predict("w", "s", 4096)
     covered = sum(output <= reserved for output in lengths(100, 1000, seed=2))
     assert 800 <= covered <= 980
-    assert 60 <= predictor.likely("w", "s", 4096) <= 170
+    assert 60 <= predictor.predict_median("w", "s", 4096) <= 170
     for output in lengths(1000, 60):
         predictor.observe("w", "s", 4096, output)
-    assert predictor.likely("w", "s", 4096) > 500
+    assert predictor.predict_median("w", "s", 4096) > 500
 
 
 def test_a_new_workspace_starts_from_its_service():
     predictor = OutputPredictor()
     for output in lengths(100, 100):
         predictor.observe("old", "s", 4096, output)
-    assert predictor.likely("new", "s", 4096) < 300
+    assert predictor.predict_median("new", "s", 4096) < 300
 
 
 def test_cut_answers_count_as_long_ones():
@@ -63,7 +63,7 @@
 def test_a_reservation_grows_a_few_times_up_to_the_declared_limit():
     reserved, grown = 100, 0
     for produced in range(1, 4097):
-        after = grow(reserved, produced, 4096)
+        after = grow_reservation(reserved, produced, 4096)
         grown += after != reserved
         reserved = after
         assert produced <= reserved <= 4096
@@ -72,12 +72,12 @@
 
 def test_speeds_are_learned_from_completions():
     speeds = TargetSpeeds()
-    speeds.expect("t", 4000.0, 40.0)
-    assert not speeds.known("t")
+    speeds.set_configured("t", 4000.0, 40.0)
+    assert not speeds.is_calibrated("t")
     for _ in range(60):
         speeds.observe("t", 1000, 101, first_token_s=0.5, total_s=5.5)
     assert speeds.expected_s("t", 1000, 100) == pytest.approx(5.5, rel=0.05)
-    assert speeds.known("t")
+    assert speeds.is_calibrated("t")
 
 
 def observe_seconds(easing, ratio, start, count, streams=4):
@@ -96,7 +96,7 @@
     three seconds, keep one as a probe, and get them back one by one, since a
     herd on its first good second would slow it down again.
     """
-    easing = TargetEasing()
+    easing = TargetThrottles()
     assert observe_seconds(easing, 1.0, 0, 10) == [8] * 10
     slow = observe_seconds(easing, 6.0, 10, 20)
     assert slow[2] <= 2 and min(slow) >= 1 and slow[-1] <= 2
@@ -107,7 +107,7 @@
 
 
 def test_one_late_stretch_changes_nothing():
-    easing = TargetEasing()
+    easing = TargetThrottles()
     easing.observe("t", 1.0, 2.9, 0.0)
     assert easing.limit("t", 8, 0.0) == 8
 
@@ -133,15 +133,15 @@
 @pytest.mark.parametrize(
     ("running", "idempotent", "keyed", "produced", "outcome"),
     [
-        (False, False, True, 0, CallerGone.DROP),
-        (True, False, False, 5, CallerGone.FINISH),
-        (True, True, False, 95, CallerGone.CANCEL),
-        (True, True, True, 95, CallerGone.FINISH),
-        (True, True, True, 20, CallerGone.CANCEL),
+        (False, False, True, 0, DisconnectAction.DROP),
+        (True, False, False, 5, DisconnectAction.FINISH),
+        (True, True, False, 95, DisconnectAction.CANCEL),
+        (True, True, True, 95, DisconnectAction.FINISH),
+        (True, True, True, 20, DisconnectAction.CANCEL),
     ],
 )
 def test_work_of_a_caller_that_is_gone(running, idempotent, keyed, produced, outcome):
-    assert on_caller_gone(running, idempotent, keyed, produced, 100) is outcome
+    assert disconnect_action(running, idempotent, keyed, produced, 100) is outcome
 
 
 def test_cache_hints_follow_events_and_fade():
@@ -211,7 +211,7 @@
     way there and the engine's own step. Taken for slowness, the first two
     questions of the day left each target one slot of four.
     """
-    easing = TargetEasing()
+    easing = TargetThrottles()
     for second in range(10):
         easing.observe("t", 0.001, 0.02, float(second))
     assert easing.limit("t", 4, 10.0) == 4
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -6,8 +6,8 @@
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.entitlement import Entitlements
 from godwitladder.decisions.policy import ASKED
+from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.decisions.quotas import LOWERED_AFTER_S, QuotaBook, TokenRate
-from godwitladder.decisions.reading import ReadingFit
 from godwitladder.decisions.repeat_budget import KEEP, RepeatBounds, RepeatBudget
 from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
 from godwitladder.decisions.sizes import CallSizes
@@ -356,20 +356,20 @@
 
 
 def test_reading_is_learned_as_a_fixed_time_and_one_for_each_token():
-    fit = ReadingFit()
-    assert fit.line() is None
+    fit = PrefillFit()
+    assert fit.coefficients() is None
     for tokens in (100, 5000, 300, 9000, 1000, 40):
         fit.observe(tokens, 0.04 + tokens * 0.00002)
-    fixed_s, token_s = fit.line()
+    fixed_s, token_s = fit.coefficients()
     assert abs(fixed_s - 0.04) < 1e-6
     assert abs(token_s - 0.00002) < 1e-9
 
 
 def test_prompts_of_one_length_tell_no_line():
-    fit = ReadingFit()
+    fit = PrefillFit()
     for _ in range(20):
         fit.observe(500, 0.1)
-    assert fit.line() is None
+    assert fit.coefficients() is None
 
 
 def test_a_call_beyond_its_quota_yields_to_late_ones_within_theirs():
--- a/tests/quarantine/test_table.py
+++ b/tests/quarantine/test_table.py
@@ -3,7 +3,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from godwitladder.decisions.quarantine import HOLD_S, MERGE_S, Quarantine, Standing
+from godwitladder.decisions.quarantine import (
+    HOLD_S,
+    MERGE_S,
+    Quarantine,
+    QuarantineStatus,
+)
 
 
 def test_second_crash_on_trial_quarantines_and_clears_bystanders():
@@ -14,36 +19,36 @@
     """
     table = Quarantine()
     for digest in ("poison", "letter", "question"):
-        table.crash("t1", digest, False, 1.0)
-    assert table.standing("letter", 1.0) is Standing.SUSPECT
-    table.crash("t2", "poison", True, 20.0)
-    table.crash("t2", "fresh", False, 21.0)
+        table.record_crash("t1", digest, False, 1.0)
+    assert table.status("letter", 1.0) is QuarantineStatus.SUSPECT
+    table.record_crash("t2", "poison", True, 20.0)
+    table.record_crash("t2", "fresh", False, 21.0)
     standings = {
-        digest: table.standing(digest, 22.0)
+        digest: table.status(digest, 22.0)
         for digest in ("poison", "letter", "question", "fresh")
     }
-    assert standings.pop("poison") is Standing.QUARANTINED
-    assert set(standings.values()) == {Standing.CLEAR}
+    assert standings.pop("poison") is QuarantineStatus.QUARANTINED
+    assert set(standings.values()) == {QuarantineStatus.CLEAR}
 
 
 def test_bystander_that_is_reported_first_is_cleared_as_well():
     """Hosts tell of one crash in any order; the verdict is the same."""
     table = Quarantine()
-    table.crash("t1", "poison", False, 1.0)
-    table.crash("t2", "fresh", False, 20.0)
-    table.crash("t2", "poison", True, 20.0 + MERGE_S / 2)
-    assert table.standing("fresh", 26.0) is Standing.CLEAR
-    assert table.standing("poison", 26.0) is Standing.QUARANTINED
+    table.record_crash("t1", "poison", False, 1.0)
+    table.record_crash("t2", "fresh", False, 20.0)
+    table.record_crash("t2", "poison", True, 20.0 + MERGE_S / 2)
+    assert table.status("fresh", 26.0) is QuarantineStatus.CLEAR
+    assert table.status("poison", 26.0) is QuarantineStatus.QUARANTINED
 
 
 def test_quarantine_ends_and_can_be_lifted():
     """A quarantined request is refused until its time is over, or lifted."""
     table = Quarantine()
-    table.crash("t1", "poison", True, 1.0)
-    assert table.standing("poison", HOLD_S) is Standing.QUARANTINED
-    assert table.standing("poison", HOLD_S + 2) is Standing.CLEAR
+    table.record_crash("t1", "poison", True, 1.0)
+    assert table.status("poison", HOLD_S) is QuarantineStatus.QUARANTINED
+    assert table.status("poison", HOLD_S + 2) is QuarantineStatus.CLEAR
     table.lift("poison")
-    assert table.standing("poison", 2.0) is Standing.CLEAR
+    assert table.status("poison", 2.0) is QuarantineStatus.CLEAR
 
 
 @given(
@@ -61,17 +66,17 @@
     table, crashes, now = Quarantine(), 0, 0.0
     for digest in order:
         now += MERGE_S + 1
-        standing = table.standing(digest, now)
-        if standing is Standing.QUARANTINED:
+        standing = table.status(digest, now)
+        if standing is QuarantineStatus.QUARANTINED:
             assert digest == "poison"
             continue
-        trial = standing is Standing.SUSPECT
+        trial = standing is QuarantineStatus.SUSPECT
         if digest != "poison":
             table.clear(digest)
             continue
         crashes += 1
         target = f"t{crashes}"
-        table.crash(target, digest, trial, now)
+        table.record_crash(target, digest, trial, now)
         for other in beside:
-            table.crash(target, other, False, now + 1)
+            table.record_crash(target, other, False, now + 1)
     assert crashes == min(2, order.count("poison"))
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -12,7 +12,7 @@
 from godwitladder.clock import ManualClock
 from godwitladder.configuration.model import Service, ServiceKind, Target
 from godwitladder.configuration.state import ConfigState
-from godwitladder.decisions.quarantine import HOLD_S, Standing
+from godwitladder.decisions.quarantine import HOLD_S, QuarantineStatus
 from godwitladder.outcomes import Reason, RequestState
 from godwitladder.quarantine.records import Cleared, Crash
 from godwitladder.quarantine.watch import ECHO_S, CrashWatch, crash_digest
@@ -121,10 +121,10 @@
     watch = make_watch(end(RequestState.MAY_HAVE_RUN))
     call = make_call("letter")
     watch.serve(call, {}, None)
-    assert watch.standing(crash_digest(call)) is Standing.SUSPECT
+    assert watch.standing(crash_digest(call)) is QuarantineStatus.SUSPECT
     watch.run = end(RequestState.COMPLETED)
     assert watch.serve(call, {}, None) == [None]
-    assert watch.standing(crash_digest(call)) is Standing.CLEAR
+    assert watch.standing(crash_digest(call)) is QuarantineStatus.CLEAR
     assert watch.claims.kinds() == [Note, Want, Note, GiveUp]
     assert isinstance(watch.mesh.sent[-1], Cleared)
 
@@ -167,7 +167,7 @@
     watch.take(FakeLink("peer"), Cleared("second", "d"))
     watch.replay(note, watch.clock.wall())
     watch.replay(Crash("third", "t2", "d", False), watch.clock.wall() - HOLD_S - 1)
-    assert watch.standing("d") is Standing.CLEAR
+    assert watch.standing("d") is QuarantineStatus.CLEAR
 
 
 def test_digest_is_of_the_messages_alone():
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -313,7 +313,7 @@
     desk.deliver_report("h1", "h0", now)
     assert desk.roles["h0"].running().get("e0", NOTHING).running == 0
     speeds = desk.roles["h0"].speeds
-    assert speeds.learned["e0"] != speeds.expected["e0"]
+    assert speeds.learned["e0"] != speeds.configured["e0"]
 
 
 def test_a_host_that_was_forgotten_is_answered_as_before():
--- a/tests/scheduler/test_changes.py
+++ b/tests/scheduler/test_changes.py
@@ -8,7 +8,7 @@
 from godwitladder.scheduler.reports import HEARTBEAT_S, due_reports, take_offer
 from godwitladder.scheduler.systems import run_systems
 from tests.scheduler.desk import START, make_request, submit
-from tests.scheduler.test_returns import make_asked
+from tests.scheduler.test_returns import make_host_and_role
 
 ROUND_S = 0.05
 SMALL_BYTES = 600
@@ -19,7 +19,7 @@
     """A host and its allocator, with a way between them that may lose messages."""
 
     def __init__(self) -> None:
-        self.tables, self.role = make_asked()
+        self.tables, self.role = make_host_and_role()
         self.now = START + 1.0
         self.count = 0
         self.offers: list = []
--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -14,7 +14,7 @@
 BODY = "b0d1" * 6
 
 
-def make_asked():
+def make_host_and_role():
     """Return a host and an allocator that is asked for each dispatch."""
     config = make_config({"e0": 1})
     tables = make_tables("h0", ("h0",), config)
@@ -41,7 +41,7 @@
     Counted anew with each report, the letter's rank looked as if it got a tenth
     of what it asks for, and went before all others.
     """
-    tables, role = make_asked()
+    tables, role = make_host_and_role()
     now = START + 1.0
     for name in ("first", "second"):
         submit(tables, make_request(name, now))
@@ -57,7 +57,7 @@
     Its caller has waited since the first try: measured from the second, the
     letter would be put before others that can still be in time.
     """
-    tables, role = make_asked()
+    tables, role = make_host_and_role()
     now = START + 1.0
     submit(tables, make_request("runs", now))
     exchange(tables, role, now)
@@ -76,7 +76,7 @@
 
 
 def test_a_request_that_goes_on_waiting_has_not_come_back():
-    tables, role = make_asked()
+    tables, role = make_host_and_role()
     now = START + 1.0
     submit(tables, make_request("runs", now))
     submit(tables, make_request("waits", now, body=BODY, aim=now + 9.0))
@@ -93,7 +93,7 @@
     Where kinds are owed a part each, a host that refused its least important
     call in the letter's place would refuse one that can still be in time.
     """
-    tables, role = make_asked()
+    tables, role = make_host_and_role()
     now = START + 1.0
     submit(tables, make_request("runs", now))
     exchange(tables, role, now)
--- a/tests/scheduler/test_silence.py
+++ b/tests/scheduler/test_silence.py
@@ -7,7 +7,7 @@
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.scheduler.systems import run_systems
 from tests.scheduler.desk import START, make_config, make_request, make_tables, submit
-from tests.scheduler.test_returns import exchange, make_asked
+from tests.scheduler.test_returns import exchange, make_host_and_role
 
 
 def make_cut_off():
@@ -56,7 +56,7 @@
 
 def test_an_allocator_answers_a_host_whose_calls_go_on_waiting():
     """All places are taken for seconds; the host still knows it is in touch."""
-    tables, role = make_asked()
+    tables, role = make_host_and_role()
     now = START + 1.0
     for number in range(3):
         submit(tables, make_request(f"r{number}", now))
@@ -69,7 +69,7 @@
 
 
 def test_an_answer_ends_the_silence():
-    tables, role = make_asked()
+    tables, role = make_host_and_role()
     now = START + 1.0
     for number in range(2):
         submit(tables, make_request(f"r{number}", now))
@@ -86,7 +86,7 @@
 
 def test_a_silence_of_the_allocator_is_told_of_once_and_so_is_its_end(caplog):
     """On-call engineers see from when to when a host went without its allocator."""
-    tables, role = make_asked()
+    tables, role = make_host_and_role()
     caplog.set_level("INFO")
     now = START + 1.0
     for number in range(2):
@@ -109,7 +109,7 @@
 
     The last report that asked is on its way when the offer comes that settles it.
     """
-    tables, role = make_asked()
+    tables, role = make_host_and_role()
     now = START + 1.0
     row = submit(tables, make_request("r", now))
     (access,) = tables.pools.values()
--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from godwitladder.decisions.speeds import KNOWN
+from godwitladder.decisions.speeds import MIN_OBSERVATIONS
 from godwitladder.ids import RequestId
 from godwitladder.outcomes import RequestState
 from godwitladder.scheduler.exchange import Completion, ThroughputSample
@@ -74,7 +74,7 @@
     run_systems(desk.hosts["h1"], now)
     assert row.state is RequestState.DISPATCHED
     progress(desk, row, 1, now + 0.02)
-    role.speeds.learned["e0"].count = KNOWN
+    role.speeds.learned["e0"].count = MIN_OBSERVATIONS
 
     def work(now):
         if speed:
@@ -99,7 +99,7 @@
     """
     desk, now = settled({"e0": 8})
     role, tps = desk.roles["h0"], desk.config.targets["e0"].decode_tps
-    role.speeds.learned["e0"].count = KNOWN
+    role.speeds.learned["e0"].count = MIN_OBSERVATIONS
     lengths = {"declared_tokens": 9000, "predicted_tokens": 900, "likely_tokens": 90}
     rows = [make_request(f"r{n}", now, **lengths) for n in range(3)]
     for row in rows:
@@ -126,7 +126,7 @@
     """
     desk, now = settled({"e0": 8})
     role = desk.roles["h0"]
-    for _ in range(KNOWN - 1):
+    for _ in range(MIN_OBSERVATIONS - 1):
         role.observe_completion(Completion("e0", "w", "chat", 10, 10, 5.0, 50.0))
         role.observe_throughput(ThroughputSample("e0", 0, 64, 60.0), now)
     assert role.easing.limit("e0", 8, now) == 8
