--- a/godwitladder/loadtool.py
+++ b/godwitladder/loadtool.py
@@ -65,7 +65,7 @@
         return ordered[int(part * (len(ordered) - 1))] if ordered else 0.0
 
 
-class Load:
+class LoadGenerator:
     """Sends calls and counts their outcomes.
 
     Parameters
@@ -228,7 +228,7 @@
         Seed of the random mix of callers and outputs.
     """
     mix = [read_caller(text) for text in callers]
-    tool = Load(hosts, mix, service, max_tokens, timeout, Clock())
+    tool = LoadGenerator(hosts, mix, service, max_tokens, timeout, Clock())
     tool.run(rate, duration, seed)
     for line in format_results(tool.results, duration):
         print(line)
--- a/tests/serving/test_loadtool.py
+++ b/tests/serving/test_loadtool.py
@@ -4,7 +4,7 @@
 import threading
 
 from godwitladder.clock import Clock
-from godwitladder.loadtool import Load, format_results, read_caller
+from godwitladder.loadtool import LoadGenerator, format_results, read_caller
 from godwitladder.serving.listener import make_listener
 from godwitladder.standins.engine import start_engine
 from godwitladder.standins.ports import free_ports
@@ -25,7 +25,7 @@
         stack.callback(server.task_dispatcher.shutdown)
         threading.Thread(target=server.run, daemon=True).start()
         callers = [read_caller(f"urgent={CALLER_KEY}"), read_caller("nobody=x=0.5")]
-        tool = Load([address], callers, "letters", [80], 20.0, Clock())
+        tool = LoadGenerator([address], callers, "letters", [80], 20.0, Clock())
         tool.run(rate=100, duration_s=0.3)
     urgent, nobody = tool.results["urgent"], tool.results["nobody"]
     assert urgent.sent + nobody.sent == 30
