--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -32,7 +32,7 @@
     give_up_below,
     offer_elsewhere,
     refuse_early,
-    was_possible,
+    was_feasible,
 )
 from godwitladder.decisions.types import (
     Allocation,
@@ -249,7 +249,7 @@
                 self.drop([entry], ShedReason.QUOTA)
                 continue
             self.drop([entry], ShedReason.DEADLINE)
-            if was_possible(entry) and self.capacity.of(line.service).slots:
+            if was_feasible(entry) and self.capacity.of(line.service).slots:
                 lost.setdefault(line.tier_rank, set()).add(line.service)
         if not self.pool.policy.is_strict:
             return
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -53,7 +53,7 @@
 SPILL_MOST = 64
 
 
-def was_possible(entry: QueueEntry) -> bool:
+def was_feasible(entry: QueueEntry) -> bool:
     """Return whether an idle pool could have served it in time."""
     return entry.waiting.arrived <= entry.latest_start
 
