--- a/godwitladder/cli.py
+++ b/godwitladder/cli.py
@@ -97,7 +97,7 @@
         print(row)
 
 
-def account_for(*logs: Path, span: float = 2.0) -> None:
+def summarize_logs(*logs: Path, span: float = 2.0) -> None:
     """Print the outcomes of all calls in the log lines of hosts, with their causes.
 
     Parameters
@@ -343,7 +343,7 @@
     "serve": serve,
     "settings": {"check": check_settings, "check-routed": check_routed_settings},
     "explain": explain_request,
-    "account": account_for,
+    "account": summarize_logs,
     "ticket": {
         "check": check_ticket,
         "submit": submit_ticket,
--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -56,7 +56,7 @@
 HOST_LIST_PERIOD_S = 1.0
 PEER_DISCOVERY_TIMEOUT_S = 3.0
 """Time after which a host that has reached none of its seeds serves alone."""
-LEAVE_S = 1.0
+LEAVE_DELAY_S = 1.0
 """Time for load balancers and peers to notice that this host is leaving."""
 OPERATOR_THREADS = 8
 CRITICAL_THREADS = frozenset(
@@ -124,7 +124,7 @@
         )
         self.follower.send = self.mesh.send
         self.exchange = self.start_actor(ConfigExchange, self.follower)
-        self.orders = self.make_orders()
+        self.orders = self.make_order_issuer()
         self.membership = self.start_actor(
             Membership,
             self.make_heartbeat(),
@@ -138,7 +138,7 @@
         self.keys = self.make_keys()
         self.caller_server: TcpWSGIServer | None = None
 
-    def make_orders(self) -> OrderIssuer:
+    def make_order_issuer(self) -> OrderIssuer:
         """Return the component that orders targets into their configured state."""
         settings = self.settings
         platform = settings.platform
@@ -214,7 +214,7 @@
         self.scheduler.ask(Stop())
         self.keys.keyed.stopping = True
         log.info("The host is leaving", extra={"host": self.settings.host})
-        self.clock.sleep(LEAVE_S)
+        self.clock.sleep(LEAVE_DELAY_S)
         self.wait_until_idle(self.has_open_calls)
         stop_accepting(self.caller_server)
         self.wait_until_idle(self.has_open_calls)
@@ -257,11 +257,11 @@
             log_reachable=self.follower.reachable,
             peers=tuple(sorted(link.peer for link in self.mesh.current())),
             targets={name: row.state.value for name, row in targets.items()},
-            waiting=self.scheduler_count(self.metrics.waiting),
-            running=self.scheduler_count(self.metrics.running),
+            waiting=self.gauge_value(self.metrics.waiting),
+            running=self.gauge_value(self.metrics.running),
         )
 
-    def scheduler_count(self, gauge: Gauge) -> int:
+    def gauge_value(self, gauge: Gauge) -> int:
         """Return the value of a gauge that the scheduler sets at each tick.
 
         Return 0 before the first tick.
@@ -315,11 +315,11 @@
                 self.membership.tell(Listed(client.read()))
             except HostListUnavailable as error:
                 log.info("The host list is unavailable", extra={"error": str(error)})
-            self.count_traffic()
+            self.update_metrics()
             self.clock.wait(self.stopping, HOST_LIST_PERIOD_S)
         client.close()
 
-    def count_traffic(self) -> None:
+    def update_metrics(self) -> None:
         """Update the metrics of links between hosts and of access to the log."""
         sent, received = self.mesh.traffic()
         self.metrics.control_bytes.set({"direction": "sent"}, sent)
--- a/godwitladder/loadtool.py
+++ b/godwitladder/loadtool.py
@@ -18,8 +18,8 @@
 
 from godwitladder.clock import Clock
 
-MOST_OPEN = 500
-TIMED_OUT_S = 5.0
+MAX_OPEN_CALLS = 500
+RESPONSE_MARGIN_S = 5.0
 
 
 @dataclass(frozen=True)
@@ -59,10 +59,10 @@
     outcomes: Counter = field(default_factory=Counter)
     seconds: list[float] = field(default_factory=list)
 
-    def latency_quantile(self, part: float) -> float:
-        """Return the ``part`` quantile of the latencies in seconds, or 0 if none."""
+    def latency_quantile(self, fraction: float) -> float:
+        """Return the ``fraction`` quantile of the latencies in seconds, or 0."""
         ordered = sorted(self.seconds)
-        return ordered[int(part * (len(ordered) - 1))] if ordered else 0.0
+        return ordered[int(fraction * (len(ordered) - 1))] if ordered else 0.0
 
 
 class LoadGenerator:
@@ -104,7 +104,7 @@
         self.max_tokens = max_tokens
         self.timeout_s = timeout_s
         self.clock = clock
-        self.http = urllib3.PoolManager(retries=False, maxsize=MOST_OPEN)
+        self.http = urllib3.PoolManager(retries=False, maxsize=MAX_OPEN_CALLS)
         self.results = {caller.name: Result() for caller in callers}
 
     def run(self, rate: float, duration_s: float, seed: int = 0) -> None:
@@ -119,15 +119,15 @@
         seed : int, default=0
             Seed of the random mix of callers and outputs.
         """
-        draw = random.Random(seed)
+        rng = random.Random(seed)
         weights = [caller.weight for caller in self.callers]
         start = self.clock.monotonic()
-        with ThreadPoolExecutor(MOST_OPEN) as pool:
+        with ThreadPoolExecutor(MAX_OPEN_CALLS) as pool:
             for number in range(int(rate * duration_s)):
                 due = start + number / rate
                 self.clock.sleep(max(0.0, due - self.clock.monotonic()))
-                caller = draw.choices(self.callers, weights)[0]
-                tokens = draw.choice(self.max_tokens)
+                caller = rng.choices(self.callers, weights)[0]
+                tokens = rng.choice(self.max_tokens)
                 self.results[caller.name].sent += 1
                 pool.submit(self.send, number, caller, tokens)
 
@@ -147,7 +147,7 @@
                 f"http://{host}/v1/chat/completions",
                 body=json.dumps(body),
                 headers=headers,
-                timeout=self.timeout_s + TIMED_OUT_S,
+                timeout=self.timeout_s + RESPONSE_MARGIN_S,
             )
             outcome = read_outcome(answer)
         except urllib3.exceptions.HTTPError:
