--- a/godwitladder/decisions/admission.py
+++ b/godwitladder/decisions/admission.py
@@ -58,7 +58,7 @@
 
 
 @dataclass
-class Admission:
+class AdmissionController:
     """Works the parts out from what an allocator saw, served and shed.
 
     Attributes
@@ -69,13 +69,13 @@
         Parts that are less than the whole.
     """
 
-    asked: Counter[Flow] = field(default_factory=Counter)
+    requested: Counter[Flow] = field(default_factory=Counter)
     served: Counter[Flow] = field(default_factory=Counter)
     shed: Counter[Flow] = field(default_factory=Counter)
     shares: dict[Flow, float] = field(default_factory=dict)
     looked: float = float("-inf")
 
-    def look(self, now: float, behind_s: float) -> None:
+    def update(self, now: float, behind_s: float) -> None:
         """Work the parts out anew if it is time to.
 
         Parameters
@@ -92,7 +92,7 @@
                 self.shares[flow] = share
             else:
                 self.shares.pop(flow, None)
-        for counts in (self.asked, self.served, self.shed):
+        for counts in (self.requested, self.served, self.shed):
             counts.clear()
 
     def next_share(self, flow: Flow, behind: bool) -> float:
@@ -100,8 +100,8 @@
         before = self.shares.get(flow, 1.0)
         if not behind or not self.shed[flow]:
             return before * STEP
-        if self.asked[flow] < FEW:
+        if self.requested[flow] < FEW:
             return before
-        factor = CANDIDATES * self.served[flow] / self.asked[flow]
+        factor = CANDIDATES * self.served[flow] / self.requested[flow]
         factor = min(max(factor, 1.0 / STEP), STEP)
         return max(before * factor, LEAST_SHARE)
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -28,10 +28,10 @@
 from godwitladder.decisions.fairness import TierQueue
 from godwitladder.decisions.shares import Precedence, Timeliness, serving_order
 from godwitladder.decisions.shedding import (
-    give_up,
-    give_up_below,
-    offer_elsewhere,
+    make_shed_decision,
     refuse_early,
+    select_spill,
+    shed_below_rank,
     was_feasible,
 )
 from godwitladder.decisions.types import (
@@ -64,7 +64,7 @@
     refuse = refuse_early if pool.policy.is_strict else refuse_untimely
     run.drop(refuse(run.backlog, pool, now), ShedReason.OVERLOAD)
     run.summarize()
-    pool.memory.admission.look(now, pool.staleness_s)
+    pool.memory.admission.update(now, pool.staleness_s)
     return run.allocation
 
 
@@ -85,7 +85,7 @@
         self.backlog = Backlog(self.capacity, sizes)
         pool.memory.fade(now)
         for entry in self.backlog.sort(list(pool.waiting.values()), now):
-            pool.memory.admission.asked[flow_of(entry)] += 1
+            pool.memory.admission.requested[flow_of(entry)] += 1
             if not entry.waiting.is_retry:
                 self.count_offered(entry, 1.0)
         self.placed_s = 0.0
@@ -255,7 +255,7 @@
             return
         for rank, services in sorted(lost.items()):
             self.note_shed(rank)
-            below = give_up_below(self.backlog, rank, services)
+            below = shed_below_rank(self.backlog, rank, services)
             self.drop(below, ShedReason.OVERLOAD)
 
     def follow_others(self) -> None:
@@ -263,7 +263,7 @@
         if not self.pool.shed_ranks or not self.pool.policy.is_strict:
             return
         rank = min(self.pool.shed_ranks.values())
-        below = give_up_below(self.backlog, rank, self.capacity.services)
+        below = shed_below_rank(self.backlog, rank, self.capacity.services)
         self.drop(below, ShedReason.OVERLOAD)
 
     def drop(self, entries: Iterable[QueueEntry], reason: ShedReason) -> None:
@@ -284,7 +284,7 @@
             self.pool.memory.callers.note(
                 line.body, entry.waiting.first_arrived, self.now
             )
-            self.allocation.sheds.append(give_up(entry, reason, waits[key]))
+            self.allocation.sheds.append(make_shed_decision(entry, reason, waits[key]))
 
     def note_shed(self, rank: int) -> None:
         """Remember the most important tier that was shed."""
@@ -297,7 +297,7 @@
         ranks = [precedence.rank for precedence in waiting]
         self.allocation.floor = max(ranks, default=None)
         if self.pool.floors:
-            self.allocation.spill = offer_elsewhere(self.backlog)
+            self.allocation.spill = select_spill(self.backlog)
         if waiting:
             self.allocation.backlog_s = max(
                 self.backlog.wait_s(group.service, waiting[-1])
--- a/godwitladder/decisions/memory.py
+++ b/godwitladder/decisions/memory.py
@@ -24,7 +24,7 @@
 import math
 from dataclasses import dataclass, field
 
-from godwitladder.decisions.admission import Admission
+from godwitladder.decisions.admission import AdmissionController
 from godwitladder.decisions.entitlement import Entitlements
 from godwitladder.decisions.returns import RefusedCallers
 from godwitladder.decisions.shares import Precedence
@@ -92,7 +92,7 @@
     sizes: CallSizes = field(default_factory=CallSizes)
     callers: RefusedCallers = field(default_factory=RefusedCallers)
     entitlements: Entitlements = field(default_factory=Entitlements)
-    admission: Admission = field(default_factory=Admission)
+    admission: AdmissionController = field(default_factory=AdmissionController)
 
     def fade(self, now: float) -> None:
         """Let everything fade up to ``now``."""
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -58,7 +58,7 @@
     return entry.waiting.arrived <= entry.latest_start
 
 
-def is_time_to_refuse(pool: PoolView, now: float) -> bool:
+def is_refusal_scan_due(pool: PoolView, now: float) -> bool:
     """Return whether the queue is to be looked through again, and note it."""
     if now - pool.memory.refused_at < REFUSE_EVERY_S:
         return False
@@ -71,7 +71,7 @@
 
     When all of that tier is gone the next one is looked at, and so on up.
     """
-    if not is_time_to_refuse(pool, now):
+    if not is_refusal_scan_due(pool, now):
         return []
     refused: list[QueueEntry] = []
     lowest_elsewhere = max(pool.floors.values(), default=-1)
@@ -144,7 +144,7 @@
     return kept, late
 
 
-def give_up_below(
+def shed_below_rank(
     backlog: Backlog, rank: int, services: Iterable[ServiceName]
 ) -> list[QueueEntry]:
     """Take out and return what waits below ``rank`` for targets of ``services``."""
@@ -168,7 +168,7 @@
     }
 
 
-def offer_elsewhere(backlog: Backlog) -> list[RequestId]:
+def select_spill(backlog: Backlog) -> list[RequestId]:
     """Return the requests that another zone should be asked for."""
     offered: list[RequestId] = []
     for precedence in backlog.precedences():
@@ -182,7 +182,9 @@
     return offered
 
 
-def give_up(entry: QueueEntry, reason: ShedReason, backlog_s: float) -> ShedDecision:
+def make_shed_decision(
+    entry: QueueEntry, reason: ShedReason, backlog_s: float
+) -> ShedDecision:
     """Return the refusal of ``entry``."""
     line = entry.waiting.demand
     wait = retry_after_s(backlog_s, line.request, line.prior_refusals)
--- a/godwitladder/decisions/untimely.py
+++ b/godwitladder/decisions/untimely.py
@@ -21,7 +21,7 @@
 from godwitladder.decisions.backlog import Backlog, Group
 from godwitladder.decisions.fairness import TierQueue
 from godwitladder.decisions.shares import Timeliness
-from godwitladder.decisions.shedding import is_time_to_refuse
+from godwitladder.decisions.shedding import is_refusal_scan_due
 from godwitladder.decisions.types import PoolView, QueueEntry
 
 LATE_AIMS = 2.0
@@ -30,7 +30,7 @@
 
 def refuse_untimely(backlog: Backlog, pool: PoolView, now: float) -> list[QueueEntry]:
     """Take out and return what will not start in time, at any precedence."""
-    if not is_time_to_refuse(pool, now):
+    if not is_refusal_scan_due(pool, now):
         return []
     refused: list[QueueEntry] = []
     for group in backlog.groups.values():
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -145,7 +145,7 @@
         self.first_number = 1
         self.floors: dict[PoolName, Floor] = {}
         self.speeds = TargetSpeeds()
-        self.easing = TargetThrottles()
+        self.throttles = TargetThrottles()
         self.hints = PrefixHints()
         self.forecast = PrefillForecast()
         self.memory = AllocatorMemory()
@@ -163,7 +163,7 @@
         for name in self.pool.targets - pool.targets:
             for learned in (
                 self.speeds,
-                self.easing,
+                self.throttles,
                 self.loads,
                 self.hints,
                 self.forecast,
@@ -218,7 +218,7 @@
             row.target, row.prompt_tokens, row.output_tokens
         )
         if not row.in_progress or row.taken_s > expected_s:
-            self.easing.observe(row.target, expected_s, row.taken_s, now)
+            self.throttles.observe(row.target, expected_s, row.taken_s, now)
 
     def observe_completion(self, row: Completion) -> None:
         """Take in the speed at which a request was completed."""
@@ -262,7 +262,7 @@
             return []
         if self.is_quiet(now):
             # With nothing left to decide, a flood's shares would stay as they are.
-            self.memory.admission.look(now, 0.0)
+            self.memory.admission.update(now, 0.0)
             return []
         self.quotas.hosts = len(expected)
         view = pool_view(self, now)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -134,7 +134,7 @@
 
 def limit_of(role: "PoolRole", name: TargetName, slots: int, now: float) -> int:
     """Return how many requests a target may run at once."""
-    return role.easing.limit(name, slots, now) if role.policy.eases_off else slots
+    return role.throttles.limit(name, slots, now) if role.policy.eases_off else slots
 
 
 def unreachable_targets(role: "PoolRole", now: float) -> set[TargetName]:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -6,7 +6,7 @@
     BEHIND_S,
     LEAST_SHARE,
     LOOK_S,
-    Admission,
+    AdmissionController,
 )
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.policy import ASKED
@@ -17,7 +17,7 @@
 
 
 def play(
-    admission: Admission,
+    admission: AdmissionController,
     seconds: float,
     came: dict,
     places: int,
@@ -36,17 +36,17 @@
             if dice.random() < admission.shares.get(flow, 1.0)
         ]
         dice.shuffle(calls)
-        admission.asked.update(calls)
+        admission.requested.update(calls)
         admission.served.update(calls[:places])
         admission.shed.update(calls[places:])
         asked.append(len(calls))
-        admission.look(now, behind_s)
+        admission.update(now, behind_s)
     return asked
 
 
 def test_an_allocator_is_asked_for_some_more_than_it_can_serve():
     """Guards against an allocator that is buried in calls that it will refuse."""
-    asked = play(Admission(), 5.0, {FLOOD: 100}, places=10)
+    asked = play(AdmissionController(), 5.0, {FLOOD: 100}, places=10)
     assert asked[0] == 100
     assert max(asked[8:]) <= 40
     assert min(asked[8:]) >= 10
@@ -54,19 +54,19 @@
 
 def test_a_workspace_that_floods_closes_nothing_for_others():
     """Guards against others refused unseen for what one workspace asks."""
-    admission = Admission()
+    admission = AdmissionController()
     for step in range(20):
-        admission.asked.update({FLOOD: 80, QUIET: 5})
+        admission.requested.update({FLOOD: 80, QUIET: 5})
         admission.served.update({FLOOD: 10, QUIET: 5})
         admission.shed.update({FLOOD: 70})
-        admission.look(step * LOOK_S, BEHIND)
+        admission.update(step * LOOK_S, BEHIND)
     assert admission.shares[FLOOD] < 1.0
     assert QUIET not in admission.shares
 
 
 def test_all_is_asked_for_again_as_soon_as_nothing_is_shed():
     """Guards against callers refused beside free places when a flood has gone."""
-    admission = Admission()
+    admission = AdmissionController()
     play(admission, 5.0, {FLOOD: 100}, places=10)
     assert admission.shares[FLOOD] <= 0.5
     play(admission, 1.0, {FLOOD: 10}, places=100)
@@ -75,13 +75,13 @@
 
 def test_an_allocator_that_keeps_up_is_asked_for_all():
     """Guards against callers refused unseen who would have been served first."""
-    asked = play(Admission(), 3.0, {FLOOD: 100}, places=10, behind_s=0.02)
+    asked = play(AdmissionController(), 3.0, {FLOOD: 100}, places=10, behind_s=0.02)
     assert min(asked) == 100
 
 
 def test_some_calls_are_seen_also_while_none_can_be_served():
     """Guards against a service that nobody asks for when its targets are back."""
-    admission = Admission()
+    admission = AdmissionController()
     play(admission, 5.0, {FLOOD: 100}, places=0)
     assert admission.shares[FLOOD] == LEAST_SHARE
 
--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -81,13 +81,13 @@
             progress(desk, row, row.produced_tokens + int(tps * speed / 2), now)
 
     now = run_for(desk, now, 8.0, work)
-    assert role.easing.limit("e0", 8, now) <= 4
+    assert role.throttles.limit("e0", 8, now) <= 4
 
     def work_well(now):
         progress(desk, row, row.produced_tokens + int(tps / 2), now)
 
     now = run_for(desk, now, 30.0, work_well)
-    assert role.easing.limit("e0", 8, now) == 8
+    assert role.throttles.limit("e0", 8, now) == 8
 
 
 @pytest.mark.parametrize("factor", [0.0, 0.1], ids=["silent", "slow"])
@@ -116,7 +116,7 @@
                 progress(desk, row, row.produced_tokens + made, now)
 
     now = run_for(desk, now, 12.0, work)
-    assert role.easing.limit("e0", 8, now) == 8
+    assert role.throttles.limit("e0", 8, now) == 8
 
 
 def test_a_target_of_unknown_speed_is_not_called_slow():
@@ -129,7 +129,7 @@
     for _ in range(MIN_OBSERVATIONS - 1):
         role.observe_completion(Completion("e0", "w", "chat", 10, 10, 5.0, 50.0))
         role.observe_throughput(ThroughputSample("e0", 0, 64, 60.0), now)
-    assert role.easing.limit("e0", 8, now) == 8
+    assert role.throttles.limit("e0", 8, now) == 8
 
 
 def test_grants_follow_the_prefix_that_a_target_was_sent():
