--- a/godwitladder/loadtool.py
+++ b/godwitladder/loadtool.py
@@ -59,7 +59,7 @@
     outcomes: Counter = field(default_factory=Counter)
     seconds: list[float] = field(default_factory=list)
 
-    def latency_quantile(self, fraction: float) -> float:
+    def quantile(self, fraction: float) -> float:
         """Return the ``fraction`` quantile of the latencies in seconds, or 0."""
         ordered = sorted(self.seconds)
         return ordered[int(fraction * (len(ordered) - 1))] if ordered else 0.0
@@ -189,7 +189,7 @@
         counts = ", ".join(f"{key} {n}" for key, n in sorted(result.outcomes.items()))
         lines.append(
             f"{name}: sent {result.sent}, goodput {done / duration_s:.2f}/s, "
-            f"p50 {result.latency_quantile(0.5):.2f} s, p99 {result.latency_quantile(0.99):.2f} s; "
+            f"p50 {result.quantile(0.5):.2f} s, p99 {result.quantile(0.99):.2f} s; "
             f"{counts}"
         )
     return lines
