--- a/bench/ticks.py
+++ b/bench/ticks.py
@@ -106,7 +106,8 @@
         now += RENEWAL_INTERVAL_S
         for host in hosts:
             rows = tuple(
-                replace(line, request=f"{host}-{line.request}") for line in report.lines
+                replace(line, request=f"{host}-{line.request}")
+                for line in report.demands
             )
             news = replace(
                 report,
@@ -115,7 +116,7 @@
                 sent_s=now,
                 term=role.term,
                 acked_offer=number - 1,
-                lines=rows,
+                demands=rows,
             )
             role.take_report(news, now)
         times.append(timed(partial(role.run, hosts, now)))
--- a/godwitladder/decisions/admission.py
+++ b/godwitladder/decisions/admission.py
@@ -21,7 +21,7 @@
 BEHIND_S : news of an allocator that keeps up are some hundredths of a second old.
 CANDIDATES : calls to choose from for each that is served.
 LOOK_S : long enough to see some calls of a busy workspace.
-LEAST_SHARE : what is refused unseen stays bounded, however low the service is.
+MIN_SHARE : what is refused unseen stays bounded, however low the service is.
 STEP : a share at most halves or doubles in one look.
 FEW : with fewer calls nothing can be told.
 """
@@ -34,7 +34,7 @@
 BEHIND_S = 0.1
 CANDIDATES = 2.0
 LOOK_S = 0.25
-LEAST_SHARE = 0.2
+MIN_SHARE = 0.2
 STEP = 2.0
 FEW = 4
 
@@ -104,4 +104,4 @@
             return before
         factor = CANDIDATES * self.served[flow] / self.requested[flow]
         factor = min(max(factor, 1.0 / STEP), STEP)
-        return max(before * factor, LEAST_SHARE)
+        return max(before * factor, MIN_SHARE)
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -147,7 +147,7 @@
             if line.service not in free:
                 continue
             if self.at_quota(line.workspace):
-                queue.drop(line.workspace)
+                queue.remove_workspace(line.workspace)
             elif (wait_s := self.quota_wait_s(line)) > 0:
                 # Waiting for its quota or refused, it is no part of the pool's load.
                 placed.add(line.request)
--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -114,7 +114,7 @@
             return math.inf
         return line.gap_s - line.event_tokens * self.decode_s
 
-    def keeps_pace(self, line: RequestDemand, aim_s: float) -> bool:
+    def meets_latency(self, line: RequestDemand, aim_s: float) -> bool:
         """Return whether ``line`` is in time here and delays no stream too much."""
         first_s = self.first_s(line)
         if first_s > aim_s:
@@ -207,7 +207,7 @@
         for room in self.rooms:
             if room.view.name in avoided or not room.fits(tokens):
                 continue
-            if paced and not room.keeps_pace(line, aim_s):
+            if paced and not room.meets_latency(line, aim_s):
                 continue
             seconds = room.seconds(line)
             if seconds > budget_s:
--- a/godwitladder/decisions/entitlement.py
+++ b/godwitladder/decisions/entitlement.py
@@ -13,7 +13,7 @@
 
 from dataclasses import dataclass, field
 
-from godwitladder.decisions.quotas import Bucket, TokenRate
+from godwitladder.decisions.quotas import TokenBucket, TokenRate
 from godwitladder.ids import WorkspaceName
 
 
@@ -21,7 +21,7 @@
 class Entitlements:
     """The tokens that each workspace with a quota has left as calls come."""
 
-    buckets: dict[WorkspaceName, Bucket] = field(default_factory=dict)
+    buckets: dict[WorkspaceName, TokenBucket] = field(default_factory=dict)
 
     def take(
         self,
@@ -33,7 +33,7 @@
         """Return whether a call that has just come is within its quota."""
         if rate is None or rate.rate <= 0:
             return True
-        bucket = self.buckets.setdefault(workspace, Bucket(rate.burst, now))
+        bucket = self.buckets.setdefault(workspace, TokenBucket(rate.burst, now))
         gained = max(0.0, now - bucket.at) * rate.rate
         bucket.left = min(rate.burst, bucket.left + gained)
         bucket.at = now
--- a/godwitladder/decisions/fairness.py
+++ b/godwitladder/decisions/fairness.py
@@ -80,7 +80,7 @@
             heapq.heappop(self.turns)
         return entry
 
-    def drop(self, name: WorkspaceName) -> None:
+    def remove_workspace(self, name: WorkspaceName) -> None:
         """Take all requests of one workspace out: it is at its quota."""
         self.turns = [turn for turn in self.turns if turn[1] != name]
         heapq.heapify(self.turns)
--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -61,7 +61,7 @@
 
 
 @dataclass
-class Bucket:
+class TokenBucket:
     """What is left of one workspace's tokens, and when that was worked out."""
 
     left: float
@@ -69,7 +69,7 @@
 
 
 @dataclass(frozen=True)
-class Spent:
+class WorkspaceSpending:
     """Tokens of one workspace that a host spent.
 
     Attributes
@@ -103,7 +103,7 @@
         for old in [at for at in rows if at <= second - HISTORY_S]:
             del rows[old]
 
-    def rows(self, now: float) -> tuple[Spent, ...]:
+    def recent_spending(self, now: float) -> tuple[WorkspaceSpending, ...]:
         """Return what was spent, of the workspaces that spent anything."""
         newest = int(now)
         seconds = range(newest, newest - HISTORY_S, -1)
@@ -111,7 +111,7 @@
         for name, spent in sorted(self.seconds.items()):
             tokens = tuple(spent.get(second, 0) for second in seconds)
             if any(tokens):
-                rows.append(Spent(name, tokens))
+                rows.append(WorkspaceSpending(name, tokens))
         return tuple(rows)
 
     def known_s(self, now: float) -> float:
@@ -122,7 +122,7 @@
 
 
 @dataclass
-class QuotaBook:
+class TokenQuotas:
     """The buckets of all workspaces with a bound.
 
     Attributes
@@ -149,15 +149,15 @@
     slack: float = 0.0
     share: float = 1.0
     rates: Mapping[WorkspaceName, TokenRate] = field(default_factory=dict)
-    buckets: dict[WorkspaceName, Bucket] = field(default_factory=dict)
-    hosts: int = 1
+    buckets: dict[WorkspaceName, TokenBucket] = field(default_factory=dict)
+    expected_hosts: int = 1
     began: float | None = None
     told: dict[HostId, float] = field(default_factory=dict)
     past: dict[WorkspaceName, list[int]] = field(default_factory=dict)
     former: dict[WorkspaceName, FormerRate] = field(default_factory=dict)
     settled: Mapping[WorkspaceName, TokenRate] = field(default_factory=dict)
 
-    def settle(self, now: float) -> None:
+    def apply_rates(self, now: float) -> None:
         """Take in quotas that were set since the last call."""
         if self.settled is self.rates:
             return
@@ -187,8 +187,12 @@
             return former.rate
         return (self.rates if rates is None else rates).get(workspace)
 
-    def recall(
-        self, host: HostId, spent: Iterable[Spent], known_s: float, now: float
+    def add_history(
+        self,
+        host: HostId,
+        spent: Iterable[WorkspaceSpending],
+        known_s: float,
+        now: float,
     ) -> None:
         """Take in what a host spent before this book was begun."""
         if host in self.told:
@@ -209,7 +213,7 @@
         here knows: if those on the other side of a cut spent most of a quota,
         their book gives out the rest of it, and this one its part on top.
         """
-        known = sum(self.told.values()) / max(1, self.hosts, len(self.told))
+        known = sum(self.told.values()) / max(1, self.expected_hosts, len(self.told))
         known *= self.share
         full = self.size(rate) * (FRESH_SHARE + (1.0 - FRESH_SHARE) * known)
         gained = rate.rate * RATE_FACTOR * self.share
@@ -243,7 +247,9 @@
         if rate is not None and rate.rate > 0:
             self.fill(workspace, rate, now).left -= charge
 
-    def begin_anew(self, workspace: WorkspaceName, told_at: float) -> None:
+    def discard_stale_bucket(
+        self, workspace: WorkspaceName, answered_at: float
+    ) -> None:
         """Forget a bucket that was not in use when another book was.
 
         A host without an allocator keeps a book only while it has none. What the
@@ -252,25 +258,27 @@
 
         Parameters
         ----------
-        told_at : float
+        answered_at : float
             When an allocator was last heard of.
         """
         bucket = self.buckets.get(workspace)
-        if bucket is not None and told_at - bucket.at > HISTORY_S:
+        if bucket is not None and answered_at - bucket.at > HISTORY_S:
             del self.buckets[workspace]
 
     def size(self, rate: TokenRate) -> float:
         """Return the tokens that a full bucket holds."""
         return (rate.burst + self.slack * SLACK_SHARE) * self.share
 
-    def fill(self, workspace: WorkspaceName, rate: TokenRate, now: float) -> Bucket:
+    def fill(
+        self, workspace: WorkspaceName, rate: TokenRate, now: float
+    ) -> TokenBucket:
         """Return the bucket as it stands now."""
         size = self.size(rate)
         bucket = self.buckets.get(workspace)
         if bucket is None:
             left = self.opening(workspace, rate)
             at = now if self.began is None else self.began
-            bucket = self.buckets[workspace] = Bucket(left, at)
+            bucket = self.buckets[workspace] = TokenBucket(left, at)
         gained = (now - bucket.at) * rate.rate * RATE_FACTOR * self.share
         bucket.left = min(size, bucket.left + max(0.0, gained))
         bucket.at = now
--- a/godwitladder/decisions/repeat_budget.py
+++ b/godwitladder/decisions/repeat_budget.py
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class Spent:
+class WorkspaceSpending:
     """Times of the requests and repeats of one service, oldest first."""
 
     requests: deque[float] = field(default_factory=deque)
@@ -58,17 +58,17 @@
 
     def __init__(self, bounds: RepeatBounds) -> None:
         self.bounds = bounds
-        self.services: dict[str, Spent] = {}
+        self.services: dict[str, WorkspaceSpending] = {}
 
     def note_request(self, service: str, now: float) -> None:
         """Count a caller's request."""
-        spent = self.services.setdefault(service, Spent())
+        spent = self.services.setdefault(service, WorkspaceSpending())
         spent.requests.append(now)
         self.forget(spent, now)
 
     def take(self, service: str, hosts: int, now: float) -> bool:
         """Return whether one more repeat is within the budget, and count it."""
-        spent = self.services.setdefault(service, Spent())
+        spent = self.services.setdefault(service, WorkspaceSpending())
         self.forget(spent, now)
         bounds = self.bounds
         share = bounds.ratio * len(spent.requests) + bounds.slack / max(1, hosts)
@@ -77,7 +77,7 @@
         spent.repeats.append(now)
         return True
 
-    def forget(self, spent: Spent, now: float) -> None:
+    def forget(self, spent: WorkspaceSpending, now: float) -> None:
         """Drop what lies before the window."""
         begin = now - self.bounds.window_s
         for times in (spent.requests, spent.repeats):
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -11,7 +11,7 @@
 
 from godwitladder.decisions.memory import AllocatorMemory
 from godwitladder.decisions.policy import Policy
-from godwitladder.decisions.quotas import QuotaBook
+from godwitladder.decisions.quotas import TokenQuotas
 from godwitladder.decisions.shares import Precedence
 from godwitladder.ids import (
     BodyDigest,
@@ -311,7 +311,7 @@
         allocator within reach has lately shed under overload.
     memory : AllocatorMemory
         What `allocate` remembers from run to run: hand the same one in.
-    quotas : QuotaBook
+    quotas : TokenQuotas
         What workspaces may have run, in tokens: likewise.
     behind_s : float
         Age of what is known here of the hosts' requests and targets.
@@ -323,7 +323,7 @@
     floors: dict[PoolName, int] = field(default_factory=dict)
     shed_ranks: dict[PoolName, int] = field(default_factory=dict)
     memory: AllocatorMemory = field(default_factory=AllocatorMemory)
-    quotas: QuotaBook = field(default_factory=QuotaBook)
+    quotas: TokenQuotas = field(default_factory=TokenQuotas)
     policy: Policy = Policy()
     staleness_s: float = 0.0
 
--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -108,7 +108,7 @@
     next_number: int = 1
     uses: dict[TargetName, TargetUse] = field(default_factory=dict)
     workspaces: dict[WorkspaceName, int] = field(default_factory=dict)
-    lines: dict[RequestId, RequestDemand] = field(default_factory=dict)
+    demands: dict[RequestId, RequestDemand] = field(default_factory=dict)
     more_waiting: int = 0
     avoided: frozenset[TargetName] = frozenset()
     allowances: deque[SentAllowances] = field(default_factory=deque)
@@ -150,14 +150,14 @@
 
     def _take_lines(self, report: PoolReport) -> None:
         if not report.incremental:
-            self.lines = {}
+            self.demands = {}
         for request in report.removed:
-            self.lines.pop(request, None)
-        for line in report.lines:
+            self.demands.pop(request, None)
+        for line in report.demands:
             # A line whose grant is still on its way must not be granted again:
             # the host would have two targets held for one request until both lapse.
             if line.request not in self.grants:
-                self.lines[line.request] = line
+                self.demands[line.request] = line
 
     def _acknowledge(self, seen: int) -> None:
         while len(self.allowances) > 1 and self.allowances[1].number <= seen:
--- a/godwitladder/scheduler/delays.py
+++ b/godwitladder/scheduler/delays.py
@@ -92,7 +92,7 @@
         self.least[key] = least_s
         self.worst_s = max(self.worst_s, passed_s - least_s)
         self.reports += 1
-        self.lines += len(report.lines)
+        self.lines += len(report.demands)
         delay_s = passed_s - least_s
         if delay_s >= self.lately_s(now):
             self.peak_s, self.peak_at = delay_s, now
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass
 
 from godwitladder.decisions.admission import AdmissionShare
-from godwitladder.decisions.quotas import Spent
+from godwitladder.decisions.quotas import WorkspaceSpending
 from godwitladder.decisions.types import Grant, PoolName, RequestDemand, Shed, TargetUse
 from godwitladder.ids import (
     HostId,
@@ -157,12 +157,12 @@
     acked_offer: int
     uses: tuple[TargetUse, ...] = ()
     workspaces: tuple[WorkspaceUse, ...] = ()
-    lines: tuple[RequestDemand, ...] = ()
+    demands: tuple[RequestDemand, ...] = ()
     unlisted: tuple[TierCount, ...] = ()
     avoided: tuple[TargetName, ...] = ()
     completions: tuple[Completion, ...] = ()
     throughput_samples: tuple[ThroughputSample, ...] = ()
-    spent: tuple[Spent, ...] = ()
+    spent: tuple[WorkspaceSpending, ...] = ()
     known_s: float = 0.0
     via: HostId = HostId("")
     incremental: bool = False
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -16,7 +16,7 @@
 from godwitladder.decisions.forecast import PrefillForecast
 from godwitladder.decisions.memory import AllocatorMemory
 from godwitladder.decisions.policy import ASKED, STRICT
-from godwitladder.decisions.quotas import QuotaBook
+from godwitladder.decisions.quotas import TokenQuotas
 from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import standing_grants
@@ -82,7 +82,7 @@
 soon as they see the change, and heartbeats bring it to all within two periods;
 everything stands still meanwhile."""
 
-UNREAD_S = 0.06
+MAX_PENDING_PREFILL_S = 0.06
 """Where each dispatch is asked for, a target gets no further prompt while it has
 more than this to read of those it was sent. It admits in order of arrival and
 reads in chunks between the output of all that it runs: what is sent early
@@ -131,7 +131,7 @@
         self, pool: Pool, me: HostId, term: int, now: float, standing: bool = True
     ) -> None:
         self.has_standing = standing
-        self.unread_s = math.inf if standing else UNREAD_S
+        self.unread_s = math.inf if standing else MAX_PENDING_PREFILL_S
         self.policy = STRICT if standing else ASKED
         self.pool = pool
         self.me = me
@@ -149,7 +149,7 @@
         self.hints = PrefixHints()
         self.forecast = PrefillForecast()
         self.memory = AllocatorMemory()
-        self.quotas = QuotaBook()
+        self.quotas = TokenQuotas()
         self.rows: dict[RequestId, WaitingRequest] = {}
         self.loads = LoadReports()
         self.delays = ReportDelays()
@@ -188,12 +188,12 @@
         if not account.take(report, seen, now):
             return False
         self.take_lines(account, report, now - delay_s)
-        self.quotas.recall(report.host, report.spent, report.known_s, now)
+        self.quotas.add_history(report.host, report.spent, report.known_s, now)
         for row in report.completions:
             self.observe_completion(row)
         for stretch in report.throughput_samples:
             self.observe_throughput(stretch, now)
-        wanted = any(row.lines or row.more_waiting for row in self.accounts.values())
+        wanted = any(row.demands or row.more_waiting for row in self.accounts.values())
         return wanted or account.offered == float("-inf")
 
     def take_lines(
@@ -204,8 +204,8 @@
         Counted from the moment in which a report is taken in, what a caller has
         left would grow by the delay, and places would go to calls that have left.
         """
-        for line in report.lines:
-            if account.lines.get(line.request) is line:
+        for line in report.demands:
+            if account.demands.get(line.request) is line:
                 before = self.rows.get(line.request)
                 row = take_line(self, account.host, line, told_at, before)
                 self.rows[line.request] = row
@@ -257,26 +257,26 @@
             The live hosts of the zone.
         """
         self.forget(now)
-        self.quotas.settle(now)
+        self.quotas.apply_rates(now)
         if not self.warm(expected, now):
             return []
         if self.is_quiet(now):
             # With nothing left to decide, a flood's shares would stay as they are.
             self.memory.admission.update(now, 0.0)
             return []
-        self.quotas.hosts = len(expected)
+        self.quotas.expected_hosts = len(expected)
         view = pool_view(self, now)
         allocation = allocate(view, now)
         offerings = self.collect(allocation, view, now)
         for host, offering in offerings.items():
             self.count_grants(self.account(host, now), offering)
-        contended = any(row.lines or row.more_waiting for row in self.current(now))
+        contended = any(row.demands or row.more_waiting for row in self.current(now))
         return self.make_offers(offerings, contended, expected, now)
 
     def is_quiet(self, now: float) -> bool:
         """Return whether nothing waits and no host is due for an offer."""
         return not any(
-            row.lines or row.more_waiting or self.is_due(row, False, now)
+            row.demands or row.more_waiting or self.is_due(row, False, now)
             for row in self.current(now)
         )
 
@@ -365,7 +365,7 @@
         """Count grants against a host before any allowance is worked out."""
         expires_s = account.sent_s + OFFER_LIFETIME_S
         for grant in offering.grants:
-            line = account.lines.pop(grant.request)
+            line = account.demands.pop(grant.request)
             account.note_grant(
                 SentGrant(
                     account.next_number,
@@ -376,7 +376,7 @@
                 )
             )
         for shed in offering.sheds:
-            account.lines.pop(shed.request, None)
+            account.demands.pop(shed.request, None)
 
     def make_offers(
         self,
@@ -408,7 +408,7 @@
         if not self.has_standing and account.echoed == account.received:
             return False
         taken_back = contended and account.holds_allowances()
-        longest_s = ANSWER_INTERVAL_S if account.lines else RENEWAL_INTERVAL_S
+        longest_s = ANSWER_INTERVAL_S if account.demands else RENEWAL_INTERVAL_S
         return taken_back or now - account.offered >= longest_s
 
     def standing(
@@ -503,7 +503,7 @@
     def floor_report(self, to: PoolName, now: float) -> FloorReport:
         """Return what to tell the allocator of pool ``to``."""
         ranks = [
-            line.tier_rank for row in self.current(now) for line in row.lines.values()
+            line.tier_rank for row in self.current(now) for line in row.demands.values()
         ]
         shed = self.shed_rank if now - self.shed_at <= FLOOR_S else NO_RANK
         return FloorReport(self.pool.name, to, max(ranks, default=NO_RANK), shed)
--- a/godwitladder/scheduler/rows.py
+++ b/godwitladder/scheduler/rows.py
@@ -9,7 +9,7 @@
 from godwitladder.configuration.model import Target
 from godwitladder.configuration.state import ConfigState
 from godwitladder.decisions.prediction import OutputPredictor
-from godwitladder.decisions.quotas import QuotaBook
+from godwitladder.decisions.quotas import TokenQuotas
 from godwitladder.decisions.types import PoolName
 from godwitladder.findings import GodwitladderError
 from godwitladder.ids import (
@@ -201,7 +201,7 @@
         Requests that began to wait since the last reports were made.
     place : str
         The availability zone of this host, where that is a part of ``zone``.
-    quotas : QuotaBook
+    quotas : TokenQuotas
         What workspaces may have run by this host while it has no allocator.
     seen : SeenHosts
         The hosts that such a book shares the quotas with.
@@ -233,7 +233,7 @@
     predictor: OutputPredictor = field(default_factory=OutputPredictor)
     stopping: bool = False
     place: Zone = Zone("")
-    quotas: QuotaBook = field(default_factory=QuotaBook)
+    quotas: TokenQuotas = field(default_factory=TokenQuotas)
     seen: SeenHosts = field(default_factory=SeenHosts)
     gate: AdmissionGate = field(default_factory=AdmissionGate)
     standing: bool = True
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -34,7 +34,7 @@
         staleness_s=role.delays.lately_s(now),
     )
     for account in role.current(now):
-        for line in account.lines.values():
+        for line in account.demands.values():
             # Kept from run to run: a row that is new is weighed anew, and its
             # deadline would move on with each run between two reports.
             row = role.rows.get(line.request)
@@ -145,7 +145,7 @@
     """
     current = role.current(now)
     avoiding = Counter(name for row in current for name in row.avoided)
-    hosts = max(len(current), role.quotas.hosts)
+    hosts = max(len(current), role.quotas.expected_hosts)
     return {name for name, count in avoiding.items() if count * 2 >= hosts}
 
 
@@ -154,7 +154,7 @@
     names = {
         line.workspace
         for account in role.current(now)
-        for line in account.lines.values()
+        for line in account.demands.values()
     }
     views = {}
     for name in names & set(role.config.workspaces):
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -4,8 +4,8 @@
 
 from godwitladder.decisions.admission import (
     BEHIND_S,
-    LEAST_SHARE,
     LOOK_S,
+    MIN_SHARE,
     AdmissionController,
 )
 from godwitladder.decisions.allocation import allocate
@@ -83,7 +83,7 @@
     """Guards against a service that nobody asks for when its targets are back."""
     admission = AdmissionController()
     play(admission, 5.0, {FLOOD: 100}, places=0)
-    assert admission.shares[FLOOD] == LEAST_SHARE
+    assert admission.shares[FLOOD] == MIN_SHARE
 
 
 def test_a_pool_closes_for_the_workspace_whose_calls_it_sheds():
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -7,7 +7,7 @@
 from godwitladder.decisions.entitlement import Entitlements
 from godwitladder.decisions.policy import ASKED
 from godwitladder.decisions.prefill_fit import PrefillFit
-from godwitladder.decisions.quotas import LOWERED_AFTER_S, QuotaBook, TokenRate
+from godwitladder.decisions.quotas import LOWERED_AFTER_S, TokenQuotas, TokenRate
 from godwitladder.decisions.repeat_budget import KEEP, RepeatBounds, RepeatBudget
 from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
 from godwitladder.decisions.sizes import CallSizes
@@ -155,7 +155,7 @@
 
 def test_tokens_beyond_a_quota_are_refused_with_the_time_to_come_back():
     pool = make_pool(make_target(limit=9))
-    pool.quotas = QuotaBook(rates=RATE)
+    pool.quotas = TokenQuotas(rates=RATE)
     for number in range(3):
         add(pool, f"r{number}", charge=400)
     allocation = allocate(pool, 0.0)
@@ -168,7 +168,7 @@
 def test_a_call_waits_for_a_quota_that_fills_within_its_aim():
     """Guards against callers sent away for seconds for want of a moment's tokens."""
     pool = make_pool(make_target(limit=9))
-    pool.quotas = QuotaBook(rates=RATE)
+    pool.quotas = TokenQuotas(rates=RATE)
     aimed(pool, "now", 0, aim=0.8, charge=500)
     aimed(pool, "soon", 0, aim=0.8, charge=600)
     aimed(pool, "too late", 0, aim=0.8, charge=600)
@@ -184,7 +184,7 @@
     """Guards against others refused for places that such calls do not take."""
     pool = make_pool(make_target(limit=9))
     pool.policy = ASKED
-    pool.quotas = QuotaBook(rates=RATE)
+    pool.quotas = TokenQuotas(rates=RATE)
     aimed(pool, "now", 0, aim=0.8, charge=500)
     aimed(pool, "soon", 0, aim=0.8, charge=400)
     allocate(pool, 0.0)
@@ -194,8 +194,8 @@
 def test_a_lowered_quota_binds_when_most_of_a_window_has_passed():
     """Guards against refusals by a lower quota before it is promised to anyone."""
     high, low = {"w0": TokenRate(1000.0, 2000.0)}, {"w0": TokenRate(100.0, 200.0)}
-    book = QuotaBook(rates=high)
-    book.recall("host", (), 8.0, 0.0)
+    book = TokenQuotas(rates=high)
+    book.add_history("host", (), 8.0, 0.0)
     book.settle(0.0)
     book.rates = low
     book.settle(1.0)
@@ -209,7 +209,7 @@
 def test_a_quota_lowered_twice_goes_by_the_first_one_no_longer():
     """Guards against a quota that is never lowered since it is lowered often."""
     rates = [{"w0": TokenRate(rate, 2000.0)} for rate in (1000.0, 500.0, 100.0)]
-    book = QuotaBook(rates=rates[0])
+    book = TokenQuotas(rates=rates[0])
     book.settle(0.0)
     for now, row in ((1.0, rates[1]), (4.0, rates[2])):
         book.rates = row
@@ -219,7 +219,7 @@
 
 def test_a_window_holds_no_more_than_the_quota_allows():
     """A workspace asks for ten times its quota, without a pause."""
-    book = QuotaBook(slack=500.0, rates=RATE)
+    book = TokenQuotas(slack=500.0, rates=RATE)
     used = []
     for step in range(2000):
         now = step / 100
@@ -232,13 +232,13 @@
 
 
 def test_a_book_that_sees_half_of_the_hosts_gives_out_half():
-    book = QuotaBook(share=0.5, rates=RATE)
+    book = TokenQuotas(share=0.5, rates=RATE)
     book.take("w0", 500, 0.0)
     assert book.wait_s("w0", 500, 0.0) > 0.9
 
 
 def test_a_request_larger_than_the_bucket_runs_when_it_is_full():
-    book = QuotaBook(rates=RATE)
+    book = TokenQuotas(rates=RATE)
     book.take("w0", 0, 0.0)
     assert book.wait_s("w0", 50_000, 0.0) > 0
     assert book.wait_s("w0", 50_000, 10.0) == 0
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -133,7 +133,7 @@
     config = make_config({"e0": 4})
     line = RequestDemand("r", "advisers", "letters", 0, 10, 10, 60.0, 0.0)
     role = make_role("h0", config, START)
-    report = PoolReport("h0", 1, role.pool.name, 1, 0.0, 0, 0, lines=(line,))
+    report = PoolReport("h0", 1, role.pool.name, 1, 0.0, 0, 0, demands=(line,))
     role.take_report(report, START)
     assert role.run(("h0", "h1"), START) == []
     used = PoolReport(
@@ -262,7 +262,7 @@
     ((to, report),) = [
         (to, report) for to, report in due_reports(tables, now) if to == "k0"
     ]
-    assert [line.request for line in report.lines] == ["r"]
+    assert [line.request for line in report.demands] == ["r"]
     shed(tables, "r", now, 2)
     assert row.state is RequestState.WAITING
     answer = GrantOffer(
@@ -295,8 +295,8 @@
         submit(tables, make_request(f"r{index}", now, 0, 50.0 + index))
     submit(tables, make_request("least", now, 1))
     ((_, report),) = due_reports(tables, now)
-    assert len(report.lines) == 32
-    assert report.lines[-1].request == "least"
+    assert len(report.demands) == 32
+    assert report.demands[-1].request == "least"
     assert sum(row.count for row in report.unlisted) == 969
 
 
--- a/tests/scheduler/test_allocator.py
+++ b/tests/scheduler/test_allocator.py
@@ -45,7 +45,7 @@
 
 
 def report(actor, host, **fields):
-    return PoolReport(host, 1, pool_of(actor), 1, 5.0, 0, 0, lines=(LINE,), **fields)
+    return PoolReport(host, 1, pool_of(actor), 1, 5.0, 0, 0, demands=(LINE,), **fields)
 
 
 def test_one_host_holds_the_role_and_gives_it_up_when_it_leaves():
@@ -156,7 +156,7 @@
     for number in range(1, 40):
         clock.advance(0.05)
         row = PoolReport(
-            "h0", 1, pool_of(actor), number, clock.monotonic(), 0, 0, lines=(LINE,)
+            "h0", 1, pool_of(actor), number, clock.monotonic(), 0, 0, demands=(LINE,)
         )
         actor.on_receive(row)
     granted = [row for _, row in sent if isinstance(row, GrantOffer) and row.grants]
--- a/tests/scheduler/test_changes.py
+++ b/tests/scheduler/test_changes.py
@@ -46,7 +46,7 @@
 
     def lines(self) -> set:
         (account,) = self.role.current(self.now)
-        return set(account.lines)
+        return set(account.demands)
 
     def play(self, event: str) -> None:
         self.now += ROUND_S
@@ -64,11 +64,11 @@
     for _ in range(30):
         pair.submit()
     (whole,) = pair.report()
-    assert len(whole.lines) == 30
+    assert len(whole.demands) == 30
     pair.now += ROUND_S
     pair.submit()
     (change,) = pair.report()
-    assert [line.request for line in change.lines] == ["r31"]
+    assert [line.request for line in change.demands] == ["r31"]
     assert len(encode(change)) <= SMALL_BYTES
     assert len(pair.lines()) == 31
 
--- a/tests/scheduler/test_idle.py
+++ b/tests/scheduler/test_idle.py
@@ -60,7 +60,7 @@
     access = next(iter(tables.pools.values()))
     ((host, report),) = due_reports(tables, START + 90)
     assert host == access.allocator
-    assert [line.request for line in report.lines] == ["r"]
+    assert [line.request for line in report.demands] == ["r"]
     assert not access.is_alone(START + 90)
 
 
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -14,9 +14,9 @@
 from godwitladder.decisions.quotas import (
     FRESH_SHARE,
     HISTORY_S,
-    QuotaBook,
-    Spent,
+    TokenQuotas,
     TokenRate,
+    WorkspaceSpending,
 )
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, Refusal
@@ -152,9 +152,9 @@
     Nobody can tell. The new allocator gives out a quarter of it, not the burst
     anew.
     """
-    book = QuotaBook(rates=token_rates(CONFIG), hosts=2)
+    book = TokenQuotas(rates=token_rates(CONFIG), expected_hosts=2)
     for host in PAIR:
-        book.recall(host, (), 0.5, now=10.0)
+        book.add_history(host, (), 0.5, now=10.0)
     spent = spend_all(book, 10.0)
     least = 1000.0 * FRESH_SHARE
     assert least <= spent <= least + 1000.0 * 0.5 / HISTORY_S
@@ -177,24 +177,28 @@
     promise allows, and not the other third on top.
     """
     rates = token_rates(SLOW)
-    old = QuotaBook(rates=rates)
-    old.recall("h0", (), float(HISTORY_S), now=10.0)
+    old = TokenQuotas(rates=rates)
+    old.add_history("h0", (), float(HISTORY_S), now=10.0)
     for _ in range(50):
         old.take("w", 10, 10.0)
     old.share = 2 / 3
-    new = QuotaBook(rates=rates, share=1 / 3)
-    new.recall("h1", (), float(HISTORY_S), now=10.0)
+    new = TokenQuotas(rates=rates, share=1 / 3)
+    new.add_history("h1", (), float(HISTORY_S), now=10.0)
     total = 500 + spend_all(old, 10.0) + spend_all(new, 10.0)
     assert 1000 <= total <= 1000 * 7 / 6 + 10
 
 
 def test_what_was_spent_long_ago_has_come_in_again():
     """A host tells of spending of seconds ago, which the rate has made up for."""
-    book = QuotaBook(rates=token_rates(CONFIG))
-    book.recall("h0", [Spent("w", (0, 0, 0, 900))], float(HISTORY_S), now=10.0)
+    book = TokenQuotas(rates=token_rates(CONFIG))
+    book.add_history(
+        "h0", [WorkspaceSpending("w", (0, 0, 0, 900))], float(HISTORY_S), now=10.0
+    )
     assert book.wait_s("w", 1000, 10.0) == 0
-    book = QuotaBook(rates=token_rates(CONFIG))
-    book.recall("h0", [Spent("w", (4000, 0, 0, 0))], float(HISTORY_S), now=10.0)
+    book = TokenQuotas(rates=token_rates(CONFIG))
+    book.add_history(
+        "h0", [WorkspaceSpending("w", (4000, 0, 0, 0))], float(HISTORY_S), now=10.0
+    )
     assert book.wait_s("w", 100, 10.0) > 1.0
 
 
@@ -204,17 +208,17 @@
     In the minute the allocator let the workspace run all of its quota. A book that
     had filled up since the first silence would give the burst out once more.
     """
-    book = QuotaBook(rates={"w0": TokenRate(1000.0, 8000.0)})
+    book = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
     assert book.wait_s("w0", 2000, 0.0) == 0.0
     book.take("w0", 2000, 0.0)
-    book.begin_anew("w0", told_at=59.0)
+    book.discard_stale_bucket("w0", answered_at=59.0)
     assert book.wait_s("w0", 2000, 60.0) == 0.0
     book.take("w0", 2000, 60.0)
     assert book.wait_s("w0", 2000, 60.1) > 1.0
 
 
 def test_a_book_in_use_is_not_begun_anew():
-    book = QuotaBook(rates={"w0": TokenRate(1000.0, 8000.0)})
+    book = TokenQuotas(rates={"w0": TokenRate(1000.0, 8000.0)})
     book.take("w0", 2000, 10.0)
-    book.begin_anew("w0", told_at=9.5)
+    book.discard_stale_bucket("w0", answered_at=9.5)
     assert "w0" in book.buckets
