--- a/tests/claims/test_hosts.py
+++ b/tests/claims/test_hosts.py
@@ -51,8 +51,10 @@
             f"{host.name} to claim",
         )
     yield
-    fleet.knobs(fleet.platform, outage=False, cut_zones=[], delay_s=0.0, lose_answers=0)
-    fleet.knobs(fleet.services["app-a1"], delay_s=0.01)
+    fleet.set_knobs(
+        fleet.platform, outage=False, cut_zones=[], delay_s=0.0, lose_answers=0
+    )
+    fleet.set_knobs(fleet.services["app-a1"], delay_s=0.01)
 
 
 def linked(fleet: Fleet) -> bool:
@@ -114,7 +116,7 @@
     One of them wins the key, or issued it; the others pass the call on to it.
     """
     key = new_key() if make == "opaque" else issue(fleet, fleet.hosts[0])
-    fleet.knobs(fleet.services["app-a1"], delay_s=0.3)
+    fleet.set_knobs(fleet.services["app-a1"], delay_s=0.3)
     with ThreadPoolExecutor(9) as pool:
         answers = list(pool.map(lambda host: charge(fleet, host, key), fleet.hosts * 3))
     assert {answer.status for answer in answers} == {200}
@@ -129,7 +131,7 @@
     reading, dispatches once, and holds the key against a repeat.
     """
     key = new_key()
-    fleet.knobs(fleet.platform, lose_answers=1)
+    fleet.set_knobs(fleet.platform, lose_answers=1)
     assert charge(fleet, fleet.hosts[0], key).status == 200
     assert charge(fleet, fleet.hosts[1], key).status == 200
     assert runs(fleet, key) == 1
@@ -144,7 +146,7 @@
     needs no log and runs meanwhile.
     """
     key = new_key()
-    fleet.knobs(fleet.platform, **fault)
+    fleet.set_knobs(fleet.platform, **fault)
     refused = charge(fleet, fleet.hosts[0], key)
     assert problem(refused) == ("log_unavailable", "not_run")
     assert refused.headers["Retry-After"] == "1"
@@ -152,7 +154,7 @@
     issued = issue(fleet, fleet.hosts[0])
     assert charge(fleet, fleet.hosts[1], issued).status == 200
     assert runs(fleet, issued) == 1
-    fleet.knobs(fleet.platform, outage=False, cut_zones=[])
+    fleet.set_knobs(fleet.platform, outage=False, cut_zones=[])
     wait_until(
         lambda: charge(fleet, fleet.hosts[1], key).status == 200, "the key to run"
     )
@@ -166,10 +168,10 @@
     claim all the same. The host releases it behind.
     """
     key = new_key()
-    fleet.knobs(fleet.platform, delay_s=2.5)
+    fleet.set_knobs(fleet.platform, delay_s=2.5)
     refused = charge(fleet, fleet.hosts[0], key)
     assert problem(refused) == ("log_unavailable", "not_run")
-    fleet.knobs(fleet.platform, delay_s=0.0)
+    fleet.set_knobs(fleet.platform, delay_s=0.0)
     wait_until(
         lambda: charge(fleet, fleet.hosts[2], key).status == 200, "the key to run"
     )
@@ -183,7 +185,7 @@
     refused as not run. Its claim is released, so the next host runs it.
     """
     key = new_key()
-    fleet.knobs(fleet.services["app-a1"], delay_s=1.0)
+    fleet.set_knobs(fleet.services["app-a1"], delay_s=1.0)
     with ThreadPoolExecutor(SLOTS) as pool:
         busy = take_slots(fleet, pool, fleet.hosts[0])
         refused = charge(fleet, fleet.hosts[0], key, timeout="0.2")
@@ -201,7 +203,7 @@
     The caller is told that it may have run, and each repeat is told the same.
     """
     key = new_key()
-    fleet.knobs(fleet.services["app-a1"], lose_answers=1)
+    fleet.set_knobs(fleet.services["app-a1"], lose_answers=1)
     for host in fleet.hosts:
         lost = charge(fleet, host, key)
         assert problem(lost) == ("target_lost", "may_have_run")
@@ -234,7 +236,7 @@
     host = add_host(fleet, f"host-{next(NUMBERS)}")
     fleet.wait_ready()
     key = new_key() if make == "opaque" else issue(fleet, host)
-    fleet.knobs(fleet.services["app-a1"], delay_s=1.0)
+    fleet.set_knobs(fleet.services["app-a1"], delay_s=1.0)
     with ThreadPoolExecutor(1) as pool:
         lost = pool.submit(charge, fleet, host, key)
         wait_until(lambda: runs(fleet, key) == 1, "the charge to run")
@@ -256,14 +258,14 @@
     host = add_host(fleet, f"host-{next(NUMBERS)}")
     fleet.wait_ready()
     key = new_key()
-    fleet.knobs(fleet.platform, delay_s=0.6)
+    fleet.set_knobs(fleet.platform, delay_s=0.6)
     with ThreadPoolExecutor(1) as pool:
         lost = pool.submit(charge, fleet, host, key)
         time.sleep(0.3)
         host.send(signal.SIGKILL)
         assert lost.exception() is not None
     fleet.hosts.remove(host)
-    fleet.knobs(fleet.platform, delay_s=0.0)
+    fleet.set_knobs(fleet.platform, delay_s=0.0)
     answers = [charge(fleet, other, key) for other in fleet.hosts]
     for answer in answers:
         held = answer.status == 409 and problem(answer)[1] == "may_have_run"
@@ -309,7 +311,7 @@
     host = add_host(fleet, f"host-{next(NUMBERS)}")
     fleet.wait_ready()
     key = new_key()
-    fleet.knobs(fleet.services["app-a1"], delay_s=3.0)
+    fleet.set_knobs(fleet.services["app-a1"], delay_s=3.0)
     with ThreadPoolExecutor(SLOTS + 1) as pool:
         busy = take_slots(fleet, pool, host)
         frozen = pool.submit(charge, fleet, host, key)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -135,7 +135,7 @@
             )
         self.stack.callback(end_process, host.process)
 
-    def knobs(self, server: Server, **knobs) -> None:
+    def set_knobs(self, server: Server, **knobs) -> None:
         """Set knobs of a stand-in."""
         answer = self.http.request(
             "POST", f"http://{server.address}/knobs", body=json.dumps(knobs)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -161,7 +161,7 @@
     shown = json.loads(run(capsys, "ticket", "show", 4, *host)[1])
     assert "tiers.urgent" in shown["in_force"]
 
-    fleet.knobs(fleet.platform, cut_zones=["b"])
+    fleet.set_knobs(fleet.platform, cut_zones=["b"])
     second = fleet.add_host("host-b1", "b")
     fleet.wait_ready()
     status = json.loads(run(capsys, "status", "--host", second.operators)[1])
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -17,7 +17,7 @@
     host = fleet.add_host("host-a1", "a")
     fleet.wait_ready()
     fleet.configure()
-    fleet.knobs(engine, scramble=True)
+    fleet.set_knobs(engine, scramble=True)
     answer = fleet.chat(host, "A letter", stream=True)
     numbers = [line for line in answer.data.split(b"\n") if line.startswith(b"id: ")]
     assert numbers == [b"id: %d" % index for index in range(11)]
--- a/tests/test_truth.py
+++ b/tests/test_truth.py
@@ -48,9 +48,9 @@
 
 
 def set_faults(fleet: Fleet, platform: dict, engine: dict, service: dict) -> None:
-    fleet.knobs(fleet.platform, **{**PLATFORM, **platform})
-    fleet.knobs(fleet.engines["engine-a1"], **{**ENGINE, **engine})
-    fleet.knobs(fleet.services["app-a1"], **{**SERVICE, **service})
+    fleet.set_knobs(fleet.platform, **{**PLATFORM, **platform})
+    fleet.set_knobs(fleet.engines["engine-a1"], **{**ENGINE, **engine})
+    fleet.set_knobs(fleet.services["app-a1"], **{**SERVICE, **service})
 
 
 def send(fleet: Fleet, host, service: str, text: str, headers: dict) -> str:
