--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -63,7 +63,7 @@
     "late calls last": without_late_last,
     "callers known again": without_returns,
     "refusal by the aim": without_untimely,
-    "keeping pace": lambda: without_policy(keeps_pace=False),
+    "keeping pace": lambda: without_policy(enforces_latency=False),
     "bound on unread prompts": lambda: patch.object(role, "UNREAD_S", float("inf")),
     "flow": lambda: without_policy(measures_flow=False),
     "no easing off": lambda: without_policy(eases_off=True),
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -180,7 +180,7 @@
     def arrive(self, arrival: Arrival, now: float) -> Refused | None:
         """Queue the request, unless it comes back too early."""
         body = body_of(arrival)
-        early_s = self.refused.early_s(arrival.workspace, body, now)
+        early_s = self.refused.retry_wait_s(arrival.workspace, body, now)
         if early_s:
             return Refused(arrival.request, early_s, shed=False)
         line = RequestDemand(
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -191,7 +191,7 @@
 
     def aim_s(self, entry: QueueEntry) -> float | None:
         """Return the seconds left for the first output; None if any will do."""
-        if not self.pool.policy.keeps_pace:
+        if not self.pool.policy.enforces_latency:
             return None
         in_time = entry.precedence_at(self.now).timeliness is Timeliness.IN_TIME
         return entry.waiting.ttft_deadline - self.now if in_time else math.inf
--- a/godwitladder/decisions/policy.py
+++ b/godwitladder/decisions/policy.py
@@ -31,7 +31,7 @@
     least_share: float = 0.0
     measures_flow: bool = False
     eases_off: bool = True
-    keeps_pace: bool = False
+    enforces_latency: bool = False
     is_strict: bool = True
 
 
@@ -42,7 +42,7 @@
     least_share=0.6,
     measures_flow=True,
     eases_off=False,
-    keeps_pace=True,
+    enforces_latency=True,
     is_strict=False,
 )
 """Where each dispatch is asked for, tiers are not strict: each rank is served at
--- a/godwitladder/decisions/repeats.py
+++ b/godwitladder/decisions/repeats.py
@@ -61,7 +61,9 @@
             return 0
         return row.count
 
-    def early_s(self, workspace: WorkspaceName, body: BodyDigest, now: float) -> float:
+    def retry_wait_s(
+        self, workspace: WorkspaceName, body: BodyDigest, now: float
+    ) -> float:
         """Return how many seconds too early this request comes, else 0."""
         row = self.rows.get((workspace, body))
         return max(0.0, row.not_before - now) if row else 0.0
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -121,11 +121,11 @@
 
 def test_a_repeat_that_comes_too_early_is_known():
     refused = RefusedRequests()
-    assert refused.early_s("w", "body", 0.0) == 0.0
+    assert refused.retry_wait_s("w", "body", 0.0) == 0.0
     refused.note("w", "body", 10.0, now=0.0)
-    assert refused.early_s("w", "body", 4.0) == 6.0
-    assert refused.early_s("other", "body", 4.0) == 0.0
-    assert refused.early_s("w", "body", 11.0) == 0.0
+    assert refused.retry_wait_s("w", "body", 4.0) == 6.0
+    assert refused.retry_wait_s("other", "body", 4.0) == 0.0
+    assert refused.retry_wait_s("w", "body", 11.0) == 0.0
     assert refused.count("w", "body", 11.0) == 1
     assert refused.count("w", "body", 1000.0) == 0
 
