--- a/tests/claims/test_hosts.py
+++ b/tests/claims/test_hosts.py
@@ -90,7 +90,9 @@
 
 def runs(fleet: Fleet, key: str) -> int:
     body = digest(f"charge for {key}")
-    return sum(row["digest"] == body for row in fleet.ran(fleet.services["app-a1"]))
+    return sum(
+        row["digest"] == body for row in fleet.run_records(fleet.services["app-a1"])
+    )
 
 
 def problem(answer) -> tuple[str, str]:
@@ -286,7 +288,9 @@
     engine = fleet.engines["engine-a1"]
     with ThreadPoolExecutor(1) as pool:
         lost = pool.submit(fleet.chat, host, "for Mari", headers=headers, **ask)
-        wait_until(lambda: len(fleet.ran(engine)) == 1, "the certificate to run")
+        wait_until(
+            lambda: len(fleet.run_records(engine)) == 1, "the certificate to run"
+        )
         host.send(signal.SIGKILL)
         assert lost.exception() is not None
     fleet.hosts.remove(host)
@@ -298,7 +302,7 @@
         headers={"Authorization": f"Bearer {CALLER_KEY}"},
     )
     assert answer.data.rstrip().endswith(b"[DONE]")
-    assert [row["runs"] for row in fleet.ran(engine)] == [1]
+    assert [row["runs"] for row in fleet.run_records(engine)] == [1]
 
 
 def test_frozen_host_runs_its_claim_alone_when_it_wakes(fleet):
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -142,7 +142,7 @@
         )
         assert answer.status == 200, answer.data
 
-    def ran(self, server: Server) -> list[dict]:
+    def run_records(self, server: Server) -> list[dict]:
         """Return a stand-in's own record of what it ran."""
         return json.loads(self.http.request("GET", f"http://{server.address}/ran").data)
 
--- a/tests/quarantine/test_hosts.py
+++ b/tests/quarantine/test_hosts.py
@@ -73,7 +73,9 @@
             for index, host in zip(range(LETTERS), hosts, strict=False)
         ]
         wait_until(
-            lambda: sum(map(len, map(fleet.ran, fleet.engines.values()))) == LETTERS,
+            lambda: (
+                sum(map(len, map(fleet.run_records, fleet.engines.values()))) == LETTERS
+            ),
             "the letters to run",
         )
         answers = [
--- a/tests/scheduler/test_failures.py
+++ b/tests/scheduler/test_failures.py
@@ -68,7 +68,7 @@
 
 
 def all_ran_once(fleet, engine, count):
-    runs = [row["runs"] for row in fleet.ran(engine)]
+    runs = [row["runs"] for row in fleet.run_records(engine)]
     return runs == [1] * count
 
 
@@ -83,7 +83,7 @@
     engine, holder, others = start_zone(fleet, decode_tps=20)
     watch = Watch(fleet, engine)
     answers = chat_many(fleet, others, 12)
-    wait_until(lambda: len(fleet.ran(engine)) >= SLOTS, "the first to run")
+    wait_until(lambda: len(fleet.run_records(engine)) >= SLOTS, "the first to run")
     holder.process.kill()
     done = [answer.result().status for answer in answers]
     assert done == [200] * 12
@@ -101,7 +101,7 @@
     engine, holder, others = start_zone(fleet, decode_tps=20)
     watch = Watch(fleet, engine)
     answers = chat_many(fleet, [holder, *others], 12)
-    wait_until(lambda: len(fleet.ran(engine)) >= SLOTS, "the first to run")
+    wait_until(lambda: len(fleet.run_records(engine)) >= SLOTS, "the first to run")
     holder.send(signal.SIGSTOP)
     wait_until(lambda: links(fleet, others[0]) == 1, "the silence to be noticed")
     holder.send(signal.SIGCONT)
@@ -121,7 +121,7 @@
     staying = fleet.add_engine("engine-a2", decode_tps=200)
     fleet.configure(fleet.ticket(2))
     before = chat_many(fleet, hosts, 6)
-    wait_until(lambda: fleet.ran(leaving), "work on the target")
+    wait_until(lambda: fleet.run_records(leaving), "work on the target")
     rows = [{"address": leaving.address, "zone": "a", "leaving": True}] + [
         {"address": host.peers, "zone": host.zone, "leaving": False}
         for host in fleet.hosts
@@ -129,11 +129,11 @@
     url = f"http://{fleet.platform.address}/hosts"
     fleet.http.request("POST", url, body=json.dumps(rows))
     time.sleep(fleet.platform.standin.knobs["host_list_lag_s"] + LEAVING_S)
-    ran = len(fleet.ran(leaving))
+    ran = len(fleet.run_records(leaving))
     after = chat_many(fleet, hosts, 6)
     assert [answer.result().status for answer in before + after] == [200] * 12
-    assert len(fleet.ran(leaving)) == ran
-    assert len(fleet.ran(staying)) == 12 - ran
+    assert len(fleet.run_records(leaving)) == ran
+    assert len(fleet.run_records(staying)) == 12 - ran
 
 
 def test_work_spills_to_another_zone_and_goes_on_without_it(fleet):
@@ -152,8 +152,8 @@
     fleet.configure(ticket.replace(f'{there}"a"', f'{there}"b"'))
     wait_until(lambda: links(fleet, near) == 1, "the link between the zones")
     answers = chat_many(fleet, [near], 8)
-    wait_until(lambda: len(fleet.ran(away)) >= 2, "work in the other zone")
+    wait_until(lambda: len(fleet.run_records(away)) >= 2, "work in the other zone")
     far.process.kill()
     assert [answer.result().status for answer in answers] == [200] * 8
-    runs = [row["runs"] for row in fleet.ran(home) + fleet.ran(away)]
+    runs = [row["runs"] for row in fleet.run_records(home) + fleet.run_records(away)]
     assert runs == [1] * 8
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -35,11 +35,11 @@
     fleet.wait_ready()
     fleet.configure(fleet.ticket().replace("slots = 8", "slots = 1"))
     calls = [in_thread(fleet.chat, host, "one", stream=True, **LONG)]
-    wait_until(lambda: len(fleet.ran(engine)) == 1, "the first stream")
+    wait_until(lambda: len(fleet.run_records(engine)) == 1, "the first stream")
     calls.append(in_thread(fleet.chat, host, "two", stream=True, **LONG))
     key = {"Idempotency-Key": "order-1"}
     calls.append(in_thread(fleet.call, host, "charge", b"order 1", key))
-    wait_until(lambda: len(fleet.ran(service)) == 1, "the charge")
+    wait_until(lambda: len(fleet.run_records(service)) == 1, "the charge")
 
     host.send(signal.SIGTERM)
     wait_until(lambda: not fleet.ready(host), "the host to be not ready")
@@ -55,7 +55,7 @@
         assert answer.data.rstrip().endswith(b"data: [DONE]"), answer.data[-300:]
     assert charge.status == 200, charge.data
     assert host.process.wait(timeout=20) == 0
-    assert [row["runs"] for row in fleet.ran(engine)] == [1, 1]
+    assert [row["runs"] for row in fleet.run_records(engine)] == [1, 1]
 
 
 def test_a_slow_reader_gets_its_whole_answer():
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -40,7 +40,10 @@
     plain = fleet.call(fleet.hosts[2], "lookup", b"order 7")
     assert plain.status == 200
     assert json.loads(plain.data)["ran"] == 1
-    assert [row["runs"] for row in fleet.ran(fleet.engines["engine-a1"])] == [1, 1]
+    assert [row["runs"] for row in fleet.run_records(fleet.engines["engine-a1"])] == [
+        1,
+        1,
+    ]
 
 
 def test_hosts_find_each_other(fleet):
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -62,4 +62,4 @@
     ]
     assert numbers == [b"id: %d" % index for index in range(101)]
     assert rest.data.rstrip().endswith(b"data: [DONE]")
-    assert [row["runs"] for row in fleet.ran(engine)] == [1]
+    assert [row["runs"] for row in fleet.run_records(engine)] == [1]
--- a/tests/test_truth.py
+++ b/tests/test_truth.py
@@ -102,7 +102,7 @@
         body = messages if service == "letters" else text
         digests[hashlib.sha256(body.encode()).hexdigest()] = (service, text)
     for server in (fleet.engines["engine-a1"], fleet.services["app-a1"]):
-        for row in fleet.ran(server):
+        for row in fleet.run_records(server):
             name = digests.get(row["digest"])
             if name:
                 told[name].runs += row.get("runs", 1)
