--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings and fixtures shared by all tests."""
+"""Hypothesis settings, fixtures and test selection shared by all tests."""
 
 import contextlib
 from pathlib import Path
@@ -20,13 +20,13 @@
 
 @pytest.fixture
 def fleet(tmp_path):
-    """A fleet with only the platform's stand-in; ends what it started."""
+    """A fleet that has only the stand-in of the platform; stopped after the test."""
     with contextlib.ExitStack() as stack:
         yield make_fleet(tmp_path, stack)
 
 
 def pytest_collection_modifyitems(config, items):
-    """Pass over the tests that `KNOWN-RED.txt` names, unless asked for by name."""
+    """Deselect the tests listed in `KNOWN-RED.txt`, unless a test is named by id."""
     known = read_known_red(config.rootpath / "KNOWN-RED.txt")
     if any("::" in arg for arg in config.args):
         return
@@ -37,7 +37,7 @@
 
 
 def read_known_red(path: Path) -> set[str]:
-    """Return the tests in the list: the first word of each line that names one."""
+    """Return the test ids in the list: each first word of a line with ``::`` in it."""
     if not path.exists():
         return set()
     words = [line.split()[:1] for line in path.read_text().splitlines()]
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,7 @@
-"""A small fleet for tests: stand-ins in this process, hosts as processes."""
+"""A small fleet for tests.
+
+Stand-ins run in this process, and each entry host runs in a process of its own.
+"""
 
 import contextlib
 import hashlib
@@ -28,21 +31,21 @@
 
 
 def digest(text: str) -> str:
-    """Return the digest under which settings and tickets hold a secret."""
+    """Return the SHA-256 digest of a secret, as used in settings and tickets."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 def wait_until(condition: Callable[[], bool], what: str) -> None:
-    """Wait, within bounds, until ``condition`` holds."""
+    """Wait until ``condition`` returns true; fail after `WAIT_S`."""
     due = time.monotonic() + WAIT_S
     while not condition():
-        assert time.monotonic() < due, f"waited in vain for {what}"
+        assert time.monotonic() < due, f"timed out waiting for {what}"
         time.sleep(0.02)
 
 
 @dataclass
 class Host:
-    """One entry host's process and its addresses."""
+    """Process and addresses of one entry host."""
 
     name: str
     zone: str
@@ -58,7 +61,7 @@
 
 @dataclass
 class Fleet:
-    """Stand-ins and hosts, ended by ``stack``."""
+    """Stand-ins and entry hosts, stopped by ``stack``."""
 
     folder: Path
     stack: contextlib.ExitStack
@@ -71,7 +74,7 @@
     )
 
     def add_engine(self, name: str, **knobs) -> Server:
-        """Start an engine's stand-in."""
+        """Start a stand-in for an engine."""
         server = start_engine(crash=lambda: None, **knobs)
         self.stack.callback(server.server_close)
         self.stack.callback(server.shutdown)
@@ -79,7 +82,7 @@
         return server
 
     def add_service(self, name: str, **knobs) -> Server:
-        """Start a plain service's stand-in."""
+        """Start a stand-in for a plain service."""
         server = start_service(**knobs)
         self.stack.callback(server.server_close)
         self.stack.callback(server.shutdown)
@@ -89,7 +92,11 @@
     def add_host(
         self, name: str, zone: str, extra: str = "", platform_extra: str = ""
     ) -> Host:
-        """Start an entry host."""
+        """Start an entry host and add it to the platform's host list.
+
+        ``extra`` is appended to the settings, ``platform_extra`` to their table
+        ``platform``.
+        """
         ports = [f"127.0.0.1:{port}" for port in free_ports(3)]
         host = Host(name, zone, *ports)
         seeds = json.dumps([other.peers for other in self.hosts])
@@ -126,7 +133,7 @@
         return host
 
     def start_host(self, host: Host) -> None:
-        """Start the process of ``host``."""
+        """Start a process for ``host`` with its settings file."""
         path = self.folder / f"{host.name}.toml"
         with open(self.folder / f"{host.name}.log", "ab") as output:
             host.process = subprocess.Popen(
@@ -143,11 +150,11 @@
         assert answer.status == 200, answer.data
 
     def run_records(self, server: Server) -> list[dict]:
-        """Return a stand-in's own record of what it ran."""
+        """Return the records that a stand-in keeps of the calls that it ran."""
         return json.loads(self.http.request("GET", f"http://{server.address}/ran").data)
 
     def submit(self, ticket: str, host: Host | None = None) -> urllib3.BaseHTTPResponse:
-        """Submit a ticket."""
+        """Submit a ticket to ``host``, or to the first host."""
         address = (host or self.hosts[0]).operators
         return self.http.request(
             "POST",
@@ -157,7 +164,7 @@
         )
 
     def operator_get(self, host: Host, path: str) -> dict:
-        """Return an operators' answer."""
+        """Return the JSON response of the operators' API of ``host``."""
         answer = self.http.request(
             "GET",
             f"http://{host.operators}{path}",
@@ -166,7 +173,7 @@
         return json.loads(answer.data)
 
     def ready(self, host: Host) -> bool:
-        """Return whether ``host`` says that it is ready."""
+        """Return whether ``/readyz`` of ``host`` reports that it is ready."""
         try:
             answer = self.http.request("GET", f"http://{host.operators}/readyz")
         except urllib3.exceptions.HTTPError:
@@ -174,7 +181,7 @@
         return answer.status == 200
 
     def wait_ready(self) -> None:
-        """Wait for every host."""
+        """Wait until all hosts are ready."""
         for host in self.hosts:
             wait_until(lambda host=host: self.ready(host), f"{host.name} to be ready")
 
@@ -192,7 +199,7 @@
             )
 
     def ticket(self, number: int = 1) -> str:
-        """Return a ticket with every target of this fleet."""
+        """Return a ticket that configures all targets of this fleet."""
         lines = [
             f'number = {number}\noperator = "hanna"\nreason = "first"',
             "[tiers.urgent]\nrank = 0\n[tiers.normal]\nrank = 1",
@@ -219,7 +226,7 @@
     def chat(
         self, host: Host, text: str, key: str = CALLER_KEY, headers=None, **body
     ) -> urllib3.BaseHTTPResponse:
-        """Ask for a chat completion and return the whole answer."""
+        """Request a chat completion and return the complete response."""
         raw = {"model": "letters", "messages": [{"role": "user", "content": text}]}
         return self.http.request(
             "POST",
@@ -232,7 +239,7 @@
     def call(
         self, host: Host, service: str, body: bytes, headers=None, key: str = CALLER_KEY
     ) -> urllib3.BaseHTTPResponse:
-        """Call a plain service and return the whole answer."""
+        """Call a plain service and return the complete response."""
         return self.http.request(
             "POST",
             f"http://{host.callers}/v1/services/{service}",
@@ -243,14 +250,14 @@
 
 
 def end_process(process: subprocess.Popen) -> None:
-    """Kill a process that the fleet started, if it still runs."""
+    """Kill a process if it is still running, and wait for its end."""
     if process.poll() is None:
         process.kill()
     process.wait()
 
 
 def make_fleet(folder: Path, stack: contextlib.ExitStack, **knobs) -> Fleet:
-    """Return a fleet that has only the platform yet."""
+    """Return a fleet that has only the stand-in of the platform."""
     platform = start_platform(host_list_lag_s=0.1, **knobs)
     stack.callback(platform.server_close)
     stack.callback(platform.shutdown)
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -1,4 +1,4 @@
-"""What became of a fleet's calls, added up from its lines."""
+"""Summaries of calls from log lines."""
 
 import json
 
@@ -10,7 +10,7 @@
 
 
 def line(second: int, text: str, **fields) -> str:
-    """Return one line of a host's log, with its name before the JSON."""
+    """Return one line of a host's log, with the host's name before the JSON."""
     row = {"asctime": TIME.format(second), "message": f"passing: {text}", **fields}
     return f"host-1 {json.dumps(row)}"
 
@@ -37,7 +37,7 @@
 ]
 
 
-def test_answers_refusals_and_places_are_added_up_by_route():
+def test_outcomes_and_slot_time_are_summed_by_route():
     summary = summarize_calls(LINES)
     stats = summary.routes["r"]
     assert stats.completed == {Lateness.IN_TIME: 1, Lateness.PAUSE: 1}
@@ -58,19 +58,19 @@
     assert summary.spans[0].refused == 2
 
 
-def test_places_in_use_are_the_seconds_that_calls_held_them():
-    """Guards against empty places beside refused callers that nobody can see."""
+def test_slot_time_is_split_by_span():
+    """Guards against refusals while slots are empty, which would go unnoticed."""
     summary = summarize_calls(LINES, span_s=2.0)
     assert dict(summary.slot_s) == {0: 3.0, 1: 5.0, 2: 1.0}
 
 
-def test_a_call_turned_away_for_want_of_room_counts_as_refused():
-    away = {"asctime": TIME.format(1), "message": "routing: A call was turned away"}
-    lines = [json.dumps(away | {"reason": reason}) for reason in ("shed", "no_config")]
+def test_a_shed_call_counts_as_refused():
+    shed = {"asctime": TIME.format(1), "message": "routing: A call was turned away"}
+    lines = [json.dumps(shed | {"reason": reason}) for reason in ("shed", "no_config")]
     assert summarize_calls(lines).spans[0].refused == 1
 
 
-def test_no_lines_make_an_empty_account():
+def test_no_lines_give_an_empty_summary():
     assert summarize_calls(["nothing"]).routes == {}
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, and settings checked as a whole."""
+"""The command line and the validation of settings."""
 
 import contextlib
 import json
@@ -60,16 +60,16 @@
         ),
     ],
 )
-def test_each_setting_at_fault_is_named(tmp_path, old, new, place):
+def test_each_invalid_setting_is_named(tmp_path, old, new, place):
     assert old in SOUND
     rows = findings(tmp_path, SOUND.replace(old, new))
     assert rows[0].startswith(f"host.toml: {place}: ")
 
 
 def test_all_findings_come_together_and_nothing_starts(tmp_path, capsys):
-    """A host is started on settings with two typing errors.
+    """Settings with two misspelt keys: both are reported before the host starts.
 
-    It names both with the nearest known key, and exits before it listens.
+    Each error suggests the closest known key.
     """
     text = SOUND.replace("callers =", "caller =").replace("secret =", "secrets =")
     (tmp_path / "host.toml").write_text(text)
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "host = ", None])
-def test_settings_that_can_not_be_read_are_findings(tmp_path, text):
+def test_unreadable_settings_are_findings(tmp_path, text):
     path = tmp_path / "host.toml"
     if text is not None:
         path.write_text(text)
@@ -92,7 +92,7 @@
 
 
 def test_client_trusts_only_the_authority_it_is_given(tmp_path):
-    """The operators' listener speaks TLS, and someone else answers in its place."""
+    """Guards against a server that impersonates the operators' TLS listener."""
     authority, other = trustme.CA(), trustme.CA()
     tls = make_tls(tmp_path, authority, "host")
     foreign = make_tls(tmp_path, other, "foreign")
@@ -102,7 +102,7 @@
         return [b"{}"]
 
     with contextlib.ExitStack() as stack:
-        # With an authority the listener would ask callers for certificates.
+        # With an authority, the listener would request client certificates.
         served = TlsSettings(tls.certificate, tls.key)
         root = f"https://127.0.0.1:{serve(stack, app, served)}"
         assert OperatorClient(root, "t", tls.authority).get("/v1/status") == {}
@@ -121,7 +121,7 @@
 
 
 def run(capsys, *argv):
-    """Return exit code, output and errors of one command."""
+    """Return the exit code, standard output and standard error of one command."""
     try:
         cli.main([str(item) for item in argv])
         code = 0
@@ -132,11 +132,11 @@
 
 
 def test_commands_of_an_operator(fleet, tmp_path, capsys, monkeypatch):
-    """An operator checks and submits tickets, and looks at what became of them.
+    """An operator checks and submits tickets and reads their verdicts.
 
-    A new host in a zone that is cut off from the log starts from its peer,
-    though it can't replay anything. Of a ticket that is submitted there the
-    operator reads that its outcome is open.
+    A new host in a zone that can't reach the log takes its configuration from a
+    peer, because it can't replay the log. For a ticket submitted to that host, the
+    operator is told that the outcome is unknown.
     """
     monkeypatch.setenv("GODWITLADDER_TOKEN", OPERATOR_TOKEN)
     first = fleet.add_host("host-a1", "a")
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts off nothing that is in flight."""
+"""A graceful stop truncates no request or response that is in flight."""
 
 import signal
 import socket
@@ -14,7 +14,7 @@
 
 
 def in_thread(call, *args, **kwargs):
-    """Run ``call`` in a thread; return it and the list its answer goes into."""
+    """Run ``call`` in a thread; return the thread and the list for its result."""
     answers = []
     thread = threading.Thread(target=lambda: answers.append(call(*args, **kwargs)))
     thread.start()
@@ -22,11 +22,11 @@
 
 
 def test_a_planned_stop_finishes_what_runs_waits_and_is_being_called(fleet):
-    """The callers see whole answers, and a late caller a truthful refusal.
+    """Callers in flight get complete responses, and a late caller a refusal.
 
-    SIGTERM comes while one stream runs, a second request waits for the only
-    slot, and a charge is being made. The stop takes nothing new: a request
-    that arrives now is told that it did not run, and when to come back.
+    SIGTERM arrives while one stream runs, a second request waits for the only
+    slot, and a plain call runs. A request that arrives during the stop is refused
+    with the outcome "not run" and a delay after which to retry.
     """
     engine = fleet.add_engine("engine-a1", decode_tps=40, slots=1)
     service = fleet.add_service("app-a1", delay_s=2.0)
@@ -59,10 +59,11 @@
 
 
 def test_a_slow_reader_gets_its_whole_answer():
-    """An answer is unfinished until its last byte has left the process.
+    """Guards against a truncated response if the process ends too early.
 
-    The application has handed all of it over and is done; most of it still
-    stands in the server's buffer, since the caller doesn't read yet.
+    The application has returned the whole response, but most of it is still in
+    the server's buffer because the caller has not read it yet. The response is in
+    progress until its last byte has left the process.
     """
 
     def app(environ, start_response):
@@ -87,7 +88,7 @@
 
 
 def test_a_request_that_is_still_arriving_is_waited_for():
-    """Half of a request has come when the stop does; it will be answered."""
+    """Guards against dropping a request that is half received at the stop."""
     server = make_listener(lambda *_: [], "127.0.0.1:0", LimitSettings(), 4)
     threading.Thread(target=server.run, daemon=True).start()
     with socket.create_connection(server.socket.getsockname()) as caller:
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples of the library run as they stand."""
+"""The examples of the library run unchanged."""
 
 import runpy
 from pathlib import Path
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The lines of a fleet about one request."""
+"""Log lines of one request from all hosts."""
 
 from godwitladder.cli import main
 from godwitladder.explain import find_request_lines
@@ -15,7 +15,7 @@
 ]
 
 
-def test_the_lines_of_all_hosts_come_in_order_of_time():
+def test_the_lines_of_all_hosts_are_sorted_by_time():
     found = [str(line) for line in find_request_lines(LINES, "a1")]
     assert found == [
         "09:01 passing: A call is sent request=a1 target=e1",
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Lines of a host that serves: bounded, and nobody waits for them."""
+"""Logging of a serving host is bounded and never blocks."""
 
 import logging
 
@@ -8,7 +8,7 @@
 
 
 class Kept(logging.Handler):
-    """Keeps what it is to write."""
+    """Stores the records instead of writing them."""
 
     def __init__(self):
         super().__init__()
@@ -23,7 +23,7 @@
 
 
 def test_lines_beyond_the_rate_are_dropped_and_counted():
-    """Nobody reads the pipe: no thread that logs may wait for it."""
+    """Guards against threads that block because nobody reads the log's pipe."""
     clock, kept = ManualClock(), Kept()
     handler = BoundedHandler(kept, clock)
     for _ in range(int(BURST_LINES) + 50):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Which hosts count as live."""
+"""Which hosts are considered live."""
 
 from godwitladder.membership.members import Member, Members
 
@@ -14,10 +14,10 @@
 
 
 def test_news_of_a_host_that_is_gone_does_not_keep_it_live():
-    """A host dies; its grants and its share of the targets must come free.
+    """Guards against a dead host that keeps its grants and its share of targets.
 
-    Two peers go on telling each other the last count they know of it. Only a
-    count that advances is a sign of life, so it ends at the timeout.
+    Peers keep relaying the last heartbeat count of a dead host to each other. Only
+    a count that increases proves that a host is alive, so the host must time out.
     """
     members = Members(TIMEOUT_S)
     members.hear(member("host-a1", count=7))
@@ -34,10 +34,10 @@
 
 
 def test_an_older_incarnation_changes_nothing():
-    """A host restarts at its address; a late heartbeat of the old process comes.
+    """Guards against a late heartbeat of the process before a host's restart.
 
-    Taking it in would hide the new process, and requests bound to the old
-    one would be looked for where nobody can answer.
+    Accepting it would replace the new process in the list, and lookups of requests
+    would go to a process that no longer exists.
     """
     members = Members(TIMEOUT_S)
     assert members.hear(member("host-a1", incarnation=2))
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path, with entry hosts as processes of their own."""
+"""End-to-end tests with entry hosts in processes of their own."""
 
 import json
 
@@ -47,10 +47,10 @@
 
 
 def test_hosts_find_each_other(fleet):
-    """Every host comes to hold a link to every other of its zone.
+    """Each host gets a link to every other host of its zone.
 
-    A membership that fails leaves each host alone with the targets, and no
-    caller would notice until they are overrun.
+    Guards against hosts that don't find each other: each would allocate all slots
+    of the targets, which callers would only notice once the targets are overloaded.
     """
     for name in ("host-a1", "host-a2", "host-a3"):
         fleet.add_host(name, "a")
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Every caller gets its own whole answer."""
+"""Each caller gets exactly its own stream, complete and in order."""
 
 import json
 import signal
@@ -6,12 +6,12 @@
 from tests.fleet import CALLER_KEY
 
 
-def test_foreign_and_repeated_chunks_are_not_passed_on(fleet):
-    """The caller sees its own chunks once, in order.
+def test_foreign_and_repeated_chunks_are_dropped(fleet):
+    """Guards against chunks that are repeated or belong to another stream.
 
-    The engine sends each chunk twice and one of another stream before it,
-    as a proxy between the two that mixed up connections would. Only the next
-    chunk of the caller's own stream is passed on.
+    The engine sends each chunk twice, preceded by one of another stream, as a
+    proxy that mixes up connections would. The caller must get each chunk of its
+    own stream once and in order.
     """
     engine = fleet.add_engine("engine-a1", decode_tps=400)
     host = fleet.add_host("host-a1", "a")
@@ -24,12 +24,12 @@
     assert b"data: {}\n" not in answer.data
 
 
-def test_a_letter_whose_host_dies_is_had_whole_from_another(fleet):
-    """The caller goes on with its letter at any other host.
+def test_a_stream_whose_host_dies_is_resumed_at_another(fleet):
+    """A caller can resume its stream at any other host.
 
-    The host is killed after it has passed on the first events. The caller
-    takes the id from the answer's head to another host, together with the
-    number of the last event it has, and the engine's stream goes on there.
+    The host is killed after it has forwarded the first events. The caller sends
+    the request id from the response headers and the number of its last event to
+    another host, which continues the same stream of the engine.
     """
     engine = fleet.add_engine("engine-a1", decode_tps=100)
     first = fleet.add_host("host-a1", "a")
--- a/tests/test_supervision.py
+++ b/tests/test_supervision.py
@@ -1,4 +1,4 @@
-"""A part that fails ends its host."""
+"""A component that fails ends its host."""
 
 import threading
 
@@ -15,10 +15,10 @@
 
 
 def test_an_actor_that_fails_ends_its_host():
-    """A caller of the host would wait for ever for a dead scheduler.
+    """Guards against callers that wait forever for a dead scheduler.
 
-    The actor meets an error that nobody foresaw; pykka ends the actor, and
-    nothing else would notice.
+    pykka ends an actor that raises an unhandled exception, and no other component
+    would notice.
     """
     failed = threading.Event()
     actor = supervised(Faulty, failed.set).start()
--- a/tests/test_truth.py
+++ b/tests/test_truth.py
@@ -1,4 +1,7 @@
-"""Every "not run" against the targets' own record, under random faults."""
+"""Reported outcomes are checked against the records of the targets.
+
+The requests are sent under random faults.
+"""
 
 import contextlib
 import hashlib
@@ -27,7 +30,7 @@
 
 @dataclass
 class Told:
-    """What callers were told of one body, and how often it ran."""
+    """Outcomes reported for one request body, and the number of its runs."""
 
     answers: list[str] = field(default_factory=list)
     idempotent: bool = False
@@ -54,7 +57,7 @@
 
 
 def send(fleet: Fleet, host, service: str, text: str, headers: dict) -> str:
-    """Return the outcome that the caller was told; empty if it left."""
+    """Return the outcome reported to the caller, or "" if there was no response."""
     try:
         if service == "letters":
             answer = fleet.chat(host, text, headers=headers, simulate_output=4)
@@ -68,7 +71,7 @@
 
 
 def play(fleet: Fleet, seed: int) -> dict[tuple[str, str], Told]:
-    """Send requests under random faults; return what was told of each body."""
+    """Send requests under random faults; return the reported outcomes by body."""
     draw = random.Random(seed)
     told: dict[tuple[str, str], Told] = defaultdict(Told)
     for batch in range(BATCHES):
@@ -95,7 +98,7 @@
 
 
 def count_runs(fleet: Fleet, told: dict[tuple[str, str], Told]) -> None:
-    """Fill in how often the targets themselves say that each body ran."""
+    """Set ``runs`` of each body from the records of the targets."""
     digests = {}
     for service, text in told:
         messages = json.dumps([{"role": "user", "content": text}])
@@ -110,12 +113,12 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_what_was_not_run_did_not_run(fleet, seed):
-    """A caller that is told "not run" can send its order again without harm.
+    """A caller that is told "not run" can safely send its request again.
 
-    Log outages, lost answers, a slow log, targets that turn away, hang up,
-    cut or lose answers, and deadlines that pass anywhere on the way come at
-    random, and keys are sent again to either host. The targets' own records
-    decide whether each outcome was true.
+    The faults are drawn at random: the log is unavailable, slow or loses responses;
+    targets refuse, hang up, or truncate or lose responses; deadlines expire at any
+    stage. Idempotency keys are sent again to either host. The records of the
+    targets decide whether each reported outcome was true.
     """
     told = play(fleet, seed)
     wait_until(lambda: idle(fleet), "the hosts to be idle")
