--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -14,7 +14,7 @@
 from tests.membership.test_tls import make_tls
 from tests.serving.test_surface import serve
 
-SOUND = f"""
+VALID_SETTINGS = f"""
 host = "host-a1"
 zone = "a"
 zones = ["a", "b"]
@@ -61,8 +61,8 @@
     ],
 )
 def test_each_invalid_setting_is_named(tmp_path, old, new, place):
-    assert old in SOUND
-    rows = findings(tmp_path, SOUND.replace(old, new))
+    assert old in VALID_SETTINGS
+    rows = findings(tmp_path, VALID_SETTINGS.replace(old, new))
     assert rows[0].startswith(f"host.toml: {place}: ")
 
 
@@ -71,7 +71,9 @@
 
     Each error suggests the closest known key.
     """
-    text = SOUND.replace("callers =", "caller =").replace("secret =", "secrets =")
+    text = VALID_SETTINGS.replace("callers =", "caller =").replace(
+        "secret =", "secrets ="
+    )
     (tmp_path / "host.toml").write_text(text)
     with pytest.raises(SystemExit) as caught:
         cli.main(["serve", "--settings", str(tmp_path / "host.toml")])
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -79,10 +79,10 @@
         channel = next(iter(server.active_channels.values()))
         wait_until(lambda: not channel.requests, "the application to be done")
         assert count_unfinished(server) == 1
-        got = len(head)
+        received = len(head)
         while data := caller.recv(1 << 20):
-            got += len(data)
-    assert got > len(ANSWER)
+            received += len(data)
+    assert received > len(ANSWER)
     wait_until(lambda: count_unfinished(server) == 0, "the connection to be done")
     server.close()
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -7,7 +7,7 @@
 from godwitladder.serving.upstream import StreamCut
 
 
-class Kept(logging.Handler):
+class RecordingHandler(logging.Handler):
     """Stores the records instead of writing them."""
 
     def __init__(self):
@@ -24,8 +24,8 @@
 
 def test_lines_beyond_the_rate_are_dropped_and_counted():
     """Guards against threads that block because nobody reads the log's pipe."""
-    clock, kept = ManualClock(), Kept()
-    handler = BoundedHandler(kept, clock)
+    clock, target = ManualClock(), RecordingHandler()
+    handler = BoundedHandler(target, clock)
     for _ in range(int(BURST_LINES) + 50):
         handler.emit(make_record())
     assert handler.dropped == 50
@@ -34,7 +34,7 @@
         handler.emit(make_record())
     assert handler.dropped == 57
     handler.drain()
-    assert len(kept.records) == BURST_LINES + LINES_PER_S
+    assert len(target.records) == BURST_LINES + LINES_PER_S
 
 
 def test_an_answer_that_was_broken_on_purpose_is_not_logged_twice():
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -5,7 +5,7 @@
 from tests.fleet import Fleet, wait_until
 
 
-def start_small(fleet: Fleet) -> None:
+def start_small_fleet(fleet: Fleet) -> None:
     fleet.add_engine("engine-a1", decode_tps=400)
     fleet.add_service("app-a1")
     fleet.add_host("host-a1", "a")
@@ -16,26 +16,26 @@
 
 
 def test_requests_are_served_end_to_end(fleet):
-    start_small(fleet)
+    start_small_fleet(fleet)
 
-    whole = fleet.chat(fleet.hosts[0], "Which size fits?")
-    assert whole.status == 200, whole.data
-    answer = json.loads(whole.data)
+    completion = fleet.chat(fleet.hosts[0], "Which size fits?")
+    assert completion.status == 200, completion.data
+    answer = json.loads(completion.data)
     assert answer["choices"][0]["finish_reason"] == "stop"
     assert len(answer["choices"][0]["message"]["content"].split()) == 10
 
     streamed = fleet.chat(fleet.hosts[1], "A long letter", stream=True)
     assert streamed.status == 200
     assert streamed.data.rstrip().endswith(b"data: [DONE]")
-    identity = streamed.headers["Request-Id"]
+    request_id = streamed.headers["Request-Id"]
 
     again = fleet.http.request(
         "GET",
-        f"http://{fleet.hosts[2].callers}/v1/requests/{identity}",
+        f"http://{fleet.hosts[2].callers}/v1/requests/{request_id}",
         headers={"Authorization": "Bearer adviser-key"},
     )
-    beat = b": waiting\n\n"
-    assert again.data.replace(beat, b"") == streamed.data.replace(beat, b"")
+    keep_alive = b": waiting\n\n"
+    assert again.data.replace(keep_alive, b"") == streamed.data.replace(keep_alive, b"")
 
     plain = fleet.call(fleet.hosts[2], "lookup", b"order 7")
     assert plain.status == 200
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -45,12 +45,12 @@
         preload_content=False,
         timeout=60,
     )
-    begun = b""
-    while begun.count(b"\nid: ") < 5:
-        begun += answer.read1(4096)
+    received = b""
+    while received.count(b"\nid: ") < 5:
+        received += answer.read1(4096)
     first.send(signal.SIGKILL)
-    begun = begun[: begun.rindex(b"\n\n")]
-    last = begun.rpartition(b"\nid: ")[2].partition(b"\n")[0].decode()
+    received = received[: received.rindex(b"\n\n")]
+    last = received.rpartition(b"\nid: ")[2].partition(b"\n")[0].decode()
     rest = fleet.http.request(
         "GET",
         f"http://{second.callers}/v1/requests/{answer.headers['Request-Id']}",
@@ -58,7 +58,7 @@
         timeout=60,
     )
     numbers = [
-        line for line in (begun + rest.data).split(b"\n") if line.startswith(b"id: ")
+        line for line in (received + rest.data).split(b"\n") if line.startswith(b"id: ")
     ]
     assert numbers == [b"id: %d" % index for index in range(101)]
     assert rest.data.rstrip().endswith(b"data: [DONE]")
--- a/tests/test_truth.py
+++ b/tests/test_truth.py
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class Told:
+class ReportedOutcomes:
     """Outcomes reported for one request body, and the number of its runs."""
 
     answers: list[str] = field(default_factory=list)
@@ -70,37 +70,39 @@
     return json.loads(answer.data)["outcome"]
 
 
-def play(fleet: Fleet, seed: int) -> dict[tuple[str, str], Told]:
+def send_under_faults(
+    fleet: Fleet, seed: int
+) -> dict[tuple[str, str], ReportedOutcomes]:
     """Send requests under random faults; return the reported outcomes by body."""
-    draw = random.Random(seed)
-    told: dict[tuple[str, str], Told] = defaultdict(Told)
+    rng = random.Random(seed)
+    reported: dict[tuple[str, str], ReportedOutcomes] = defaultdict(ReportedOutcomes)
     for batch in range(BATCHES):
         faults = (PLATFORM_FAULTS, ENGINE_FAULTS, SERVICE_FAULTS)
-        set_faults(fleet, *[draw.choice(rows) if batch else {} for rows in faults])
+        set_faults(fleet, *[rng.choice(rows) if batch else {} for rows in faults])
         with ThreadPoolExecutor(BATCH) as pool:
-            sent = [send_one(fleet, pool, draw, seed, batch) for _ in range(BATCH)]
+            sent = [send_one(fleet, pool, rng, seed, batch) for _ in range(BATCH)]
             for name, future in sent:
-                told[name].answers.append(future.result())
-                told[name].idempotent = name[0] != "charge"
+                reported[name].answers.append(future.result())
+                reported[name].idempotent = name[0] != "charge"
     set_faults(fleet, {}, {}, {})
-    return told
+    return reported
 
 
-def send_one(fleet: Fleet, pool, draw: random.Random, seed: int, batch: int):
-    service = draw.choice(["letters", "charge", "charge", "lookup"])
-    number = draw.randrange(8) if service == "charge" else draw.random()
-    text = f"{service} {seed} {batch if draw.random() < 0.7 else 0} {number}"
-    headers = {"Request-Timeout": draw.choice(["0.05", "0.5", "5"])}
-    if service == "charge" or draw.random() < 0.5:
+def send_one(fleet: Fleet, pool, rng: random.Random, seed: int, batch: int):
+    service = rng.choice(["letters", "charge", "charge", "lookup"])
+    number = rng.randrange(8) if service == "charge" else rng.random()
+    text = f"{service} {seed} {batch if rng.random() < 0.7 else 0} {number}"
+    headers = {"Request-Timeout": rng.choice(["0.05", "0.5", "5"])}
+    if service == "charge" or rng.random() < 0.5:
         headers["Idempotency-Key"] = text
-    host = draw.choice(fleet.hosts)
+    host = rng.choice(fleet.hosts)
     return (service, text), pool.submit(send, fleet, host, service, text, headers)
 
 
-def count_runs(fleet: Fleet, told: dict[tuple[str, str], Told]) -> None:
+def count_runs(fleet: Fleet, reported: dict[tuple[str, str], ReportedOutcomes]) -> None:
     """Set ``runs`` of each body from the records of the targets."""
     digests = {}
-    for service, text in told:
+    for service, text in reported:
         messages = json.dumps([{"role": "user", "content": text}])
         body = messages if service == "letters" else text
         digests[hashlib.sha256(body.encode()).hexdigest()] = (service, text)
@@ -108,7 +110,7 @@
         for row in fleet.run_records(server):
             name = digests.get(row["digest"])
             if name:
-                told[name].runs += row.get("runs", 1)
+                reported[name].runs += row.get("runs", 1)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -120,10 +122,10 @@
     stage. Idempotency keys are sent again to either host. The records of the
     targets decide whether each reported outcome was true.
     """
-    told = play(fleet, seed)
-    wait_until(lambda: idle(fleet), "the hosts to be idle")
-    count_runs(fleet, told)
-    for name, row in told.items():
+    reported = send_under_faults(fleet, seed)
+    wait_until(lambda: is_idle(fleet), "the hosts to be idle")
+    count_runs(fleet, reported)
+    for name, row in reported.items():
         certain = [answer for answer in row.answers if answer]
         if certain and set(certain) == {"not_run"} and "" not in row.answers:
             assert row.runs == 0, (name, row)
@@ -131,11 +133,11 @@
             assert row.runs >= 1, (name, row)
         if not row.idempotent:
             assert row.runs <= 1, (name, row)
-    outcomes = {answer for row in told.values() for answer in row.answers}
+    outcomes = {answer for row in reported.values() for answer in row.answers}
     assert {"completed", "not_run"} <= outcomes
 
 
-def idle(fleet: Fleet) -> bool:
+def is_idle(fleet: Fleet) -> bool:
     texts = [
         fleet.http.request("GET", f"http://{host.operators}/metrics").data.decode()
         for host in fleet.hosts
