--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -26,7 +26,7 @@
 
 def without_policy(**fields) -> contextlib.AbstractContextManager:
     """Return the policy of routed calls with other fields."""
-    return patch.object(role, "ASKED", replace(role.ASKED, **fields))
+    return patch.object(role, "ASKED", replace(role.ROUTED, **fields))
 
 
 def without_sizes() -> contextlib.AbstractContextManager:
@@ -58,15 +58,15 @@
 
 SWITCHES: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
     KEPT: contextlib.nullcontext,
-    "parts for ranks and sizes": lambda: without_policy(least_share=1e-9),
+    "parts for ranks and sizes": lambda: without_policy(min_share=1e-9),
     "sizes": without_sizes,
     "late calls last": without_late_last,
     "callers known again": without_returns,
     "refusal by the aim": without_untimely,
     "keeping pace": lambda: without_policy(enforces_latency=False),
     "bound on unread prompts": lambda: patch.object(role, "UNREAD_S", float("inf")),
-    "flow": lambda: without_policy(measures_flow=False),
-    "no easing off": lambda: without_policy(eases_off=True),
+    "flow": lambda: without_policy(uses_measured_throughput=False),
+    "no easing off": lambda: without_policy(throttles_slow_targets=True),
     "quick learning of speeds": lambda: patch.object(speeds, "PRIOR", 1e9),
     "preference of the own zone": lambda: patch.object(capacity, "FAR_FACTOR", 1.0),
     "bound on long calls": lambda: patch.object(capacity, "LONG_SHARE", 1.0),
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -81,7 +81,7 @@
         self.now = now
         self.capacity = Capacity(pool)
         self.allocation = Allocation()
-        sizes = pool.memory.sizes if pool.policy.least_share else None
+        sizes = pool.memory.sizes if pool.policy.min_share else None
         self.backlog = Backlog(self.capacity, sizes)
         pool.memory.fade(now)
         for entry in self.backlog.sort(list(pool.waiting.values()), now):
@@ -113,12 +113,12 @@
                 ]
                 if len(kept) < len(group.entries):
                     group.keep(kept)
-        if self.pool.policy.measures_flow:
+        if self.pool.policy.uses_measured_throughput:
             self.note_flow()
 
     def turns(self) -> list[Precedence]:
         """Return what waits by precedence, the first to be served first."""
-        least = self.pool.policy.least_share
+        least = self.pool.policy.min_share
         waiting = self.backlog.precedences()
         if not least:
             return waiting
--- a/godwitladder/decisions/policy.py
+++ b/godwitladder/decisions/policy.py
@@ -14,12 +14,12 @@
 
     Attributes
     ----------
-    least_share : float
+    min_share : float
         A rank is served at least this part as often as the first one; 0 for
         strict order.
-    measures_flow : bool
+    uses_measured_throughput : bool
         Whether early refusal goes by what really starts rather than by slots.
-    eases_off : bool
+    throttles_slow_targets : bool
         Whether a target that works slowly is given fewer requests at once.
     keeps_pace : bool
         Whether a call goes only where its first output is in time and makes
@@ -28,9 +28,9 @@
         Whether nothing of a lower tier is kept once a tier had to be shed.
     """
 
-    least_share: float = 0.0
-    measures_flow: bool = False
-    eases_off: bool = True
+    min_share: float = 0.0
+    uses_measured_throughput: bool = False
+    throttles_slow_targets: bool = True
     enforces_latency: bool = False
     is_strict: bool = True
 
@@ -38,10 +38,10 @@
 STRICT = Policy()
 """The product's own interface."""
 
-ASKED = Policy(
-    least_share=0.6,
-    measures_flow=True,
-    eases_off=False,
+ROUTED = Policy(
+    min_share=0.6,
+    uses_measured_throughput=True,
+    throttles_slow_targets=False,
     enforces_latency=True,
     is_strict=False,
 )
--- a/godwitladder/decisions/returns.py
+++ b/godwitladder/decisions/returns.py
@@ -15,7 +15,7 @@
 
 Thresholds
 ----------
-KEPT_S : twice the longest time that callers wait, who come back within it.
+RETENTION_S : twice the longest time that callers wait, who come back within it.
 KEPT : callers refused in that time at 1,500 requests a second, half of them.
 """
 
@@ -23,30 +23,30 @@
 
 from godwitladder.ids import BodyDigest
 
-KEPT_S = 30.0
-KEPT = 25_000
+RETENTION_S = 30.0
+MAX_CALLERS = 25_000
 
 
 class RefusedCallers:
     """When callers that were refused lately first asked, by their body."""
 
     def __init__(self) -> None:
-        self.asked: OrderedDict[BodyDigest, float] = OrderedDict()
+        self.first_arrivals: OrderedDict[BodyDigest, float] = OrderedDict()
 
     def note(self, body: BodyDigest, asked: float, now: float) -> None:
         """A caller that first asked at ``asked`` is refused."""
         if not body:
             return
-        self.asked.setdefault(body, asked)
-        while self.asked and self.is_old(now):
-            self.asked.popitem(last=False)
+        self.first_arrivals.setdefault(body, asked)
+        while self.first_arrivals and self.is_old(now):
+            self.first_arrivals.popitem(last=False)
 
-    def first_asked(self, body: BodyDigest, now: float) -> float | None:
+    def first_arrival(self, body: BodyDigest, now: float) -> float | None:
         """Return when a caller that was refused before first asked."""
-        asked = self.asked.get(body)
-        return None if asked is None or now - asked > KEPT_S else asked
+        asked = self.first_arrivals.get(body)
+        return None if asked is None or now - asked > RETENTION_S else asked
 
     def is_old(self, now: float) -> bool:
         """Return whether the oldest is to be forgotten."""
-        oldest = next(iter(self.asked.values()))
-        return now - oldest > KEPT_S or len(self.asked) > KEPT
+        oldest = next(iter(self.first_arrivals.values()))
+        return now - oldest > RETENTION_S or len(self.first_arrivals) > MAX_CALLERS
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from godwitladder.decisions.memory import AllocatorMemory
+from godwitladder.decisions.allocator_state import AllocatorMemory
 from godwitladder.decisions.policy import Policy
 from godwitladder.decisions.quotas import TokenQuotas
 from godwitladder.decisions.shares import Precedence
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -13,9 +13,9 @@
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import LONGEST_LOOK_S, allocate
+from godwitladder.decisions.allocator_state import AllocatorMemory
 from godwitladder.decisions.forecast import PrefillForecast
-from godwitladder.decisions.memory import AllocatorMemory
-from godwitladder.decisions.policy import ASKED, STRICT
+from godwitladder.decisions.policy import ROUTED, STRICT
 from godwitladder.decisions.quotas import TokenQuotas
 from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
@@ -132,7 +132,7 @@
     ) -> None:
         self.has_standing = standing
         self.unread_s = math.inf if standing else MAX_PENDING_PREFILL_S
-        self.policy = STRICT if standing else ASKED
+        self.policy = STRICT if standing else ROUTED
         self.pool = pool
         self.me = me
         self.term = term
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -69,7 +69,7 @@
         each report, a request that waits for long looked like many that came.
     """
     arrived = now - line.waited_s
-    known = role.memory.callers.first_asked(line.body, now)
+    known = role.memory.callers.first_arrival(line.body, now)
     asked = arrived if known is None else min(known, arrived)
     if before is not None:
         entitled = before.within_quota
@@ -134,7 +134,11 @@
 
 def limit_of(role: "PoolRole", name: TargetName, slots: int, now: float) -> int:
     """Return how many requests a target may run at once."""
-    return role.throttles.limit(name, slots, now) if role.policy.eases_off else slots
+    return (
+        role.throttles.limit(name, slots, now)
+        if role.policy.throttles_slow_targets
+        else slots
+    )
 
 
 def unreachable_targets(role: "PoolRole", now: float) -> set[TargetName]:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -9,7 +9,7 @@
     AdmissionController,
 )
 from godwitladder.decisions.allocation import allocate
-from godwitladder.decisions.policy import ASKED
+from godwitladder.decisions.policy import ROUTED
 from tests.decisions.pools import add, make_pool, make_target
 
 BEHIND = 2 * BEHIND_S
@@ -89,7 +89,7 @@
 def test_a_pool_closes_for_the_workspace_whose_calls_it_sheds():
     """Guards against a flood that is taken for one of all workspaces."""
     pool = make_pool(make_target(limit=4))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     add(pool, "other", workspace="w1")
     for number in range(40):
         add(pool, f"flood{number}")
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -12,7 +12,7 @@
 from godwitladder.decisions.rendezvous import choose_host
 from godwitladder.decisions.repeats import RefusedRequests
 from godwitladder.decisions.reports import LoadReports
-from godwitladder.decisions.returns import KEPT, KEPT_S, RefusedCallers
+from godwitladder.decisions.returns import MAX_CALLERS, RETENTION_S, RefusedCallers
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import fixed_share, standing_grants
 from godwitladder.decisions.throttling import TargetThrottles
@@ -223,21 +223,21 @@
     callers = RefusedCallers()
     callers.note("b1", 1.0, 1.2)
     callers.note("b1", 4.0, 4.2)
-    assert callers.first_asked("b1", 5.0) == 1.0
-    assert callers.first_asked("b2", 5.0) is None
-    assert callers.first_asked("b1", 1.0 + KEPT_S + 0.1) is None
+    assert callers.first_arrival("b1", 5.0) == 1.0
+    assert callers.first_arrival("b2", 5.0) is None
+    assert callers.first_arrival("b1", 1.0 + RETENTION_S + 0.1) is None
 
 
 def test_calls_without_a_body_of_their_own_are_all_new():
     callers = RefusedCallers()
     callers.note("", 1.0, 1.2)
-    assert callers.first_asked("", 1.3) is None
+    assert callers.first_arrival("", 1.3) is None
 
 
 def test_refused_callers_are_kept_within_bounds():
     callers = RefusedCallers()
-    for number in range(KEPT + 10):
+    for number in range(MAX_CALLERS + 10):
         callers.note(f"b{number}", 1.0, 1.0)
-    assert len(callers.asked) == KEPT
+    assert len(callers.first_arrivals) == MAX_CALLERS
     callers.note("new", 100.0, 100.0)
-    assert list(callers.asked) == ["new"]
+    assert list(callers.first_arrivals) == ["new"]
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -5,7 +5,7 @@
 
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.entitlement import Entitlements
-from godwitladder.decisions.policy import ASKED
+from godwitladder.decisions.policy import ROUTED
 from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.decisions.quotas import LOWERED_AFTER_S, TokenQuotas, TokenRate
 from godwitladder.decisions.repeat_budget import KEEP, RepeatBounds, RepeatBudget
@@ -183,7 +183,7 @@
 def test_calls_that_wait_for_a_quota_are_no_load_of_the_pool():
     """Guards against others refused for places that such calls do not take."""
     pool = make_pool(make_target(limit=9))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     pool.quotas = TokenQuotas(rates=RATE)
     aimed(pool, "now", 0, aim=0.8, charge=500)
     aimed(pool, "soon", 0, aim=0.8, charge=400)
@@ -273,7 +273,7 @@
     served as soon as a place is free, where each kind is owed a part.
     """
     pool = make_pool(make_target(limit=1, used=1))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     aimed(pool, "letter", 0, aim=1.0)
     pool.waiting["letter"].start_by = 2.0
     aimed(pool, "question", 2, aim=9.0, arrived=2.9)
@@ -287,7 +287,7 @@
     back, and none waits until it is late.
     """
     pool = make_pool(make_target(limit=1, used=1))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     for number in range(40):
         aimed(pool, f"q{number:02}", 2, aim=5.0)
     refused = given_up(allocate(pool, 1.0))
@@ -298,7 +298,7 @@
 def refused_verdicts(started):
     """Return how many of twelve verdicts are refused after what was ``started``."""
     pool = make_pool(make_target(limit=10, used=10))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     pool.memory.started = dict(started)
     for number in range(12):
         aimed(pool, f"v{number:02}", 4, aim=4.0, predicted_tokens=20)
@@ -326,7 +326,7 @@
     slow = make_target("t0", used=2, **SLOW)
     fast = make_target("t1", limit=1, used=1, read_s=0.00001)
     pool = make_pool(slow, fast)
-    pool.policy = ASKED
+    pool.policy = ROUTED
     ways = {"gap_s": 0.3, "event_tokens": 5}
     aimed(pool, "letter", 0, aim=9.0, prompt_tokens=3000, **ways)
     aimed(pool, "question", 2, aim=9.0, prompt_tokens=300, **ways)
@@ -338,7 +338,7 @@
 def test_a_prompt_too_long_for_any_target_still_goes_somewhere():
     """All targets are slow; refused for the pauses it makes, it never ran."""
     pool = make_pool(make_target("t0", used=2, **SLOW))
-    pool.policy = ASKED
+    pool.policy = ROUTED
     aimed(pool, "letter", 0, aim=9.0, prompt_tokens=9000, gap_s=0.3, event_tokens=5)
     assert placed(pool) == ["letter"]
 
@@ -348,7 +348,7 @@
     slow = make_target("t0", first_s=0.4)
     fast = make_target("t1", limit=1, used=1, first_s=0.05)
     pool = make_pool(slow, fast)
-    pool.policy = ASKED
+    pool.policy = ROUTED
     aimed(pool, "r", 0, aim=0.3, prompt_tokens=10)
     assert placed(pool) == []
     fast.used = 0
