--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -15,8 +15,8 @@
 from bench.region import MIXES, Load, Region, tally
 from bench.report import table
 from godwitladder.decisions import allocation, backlog, capacity, speeds
-from godwitladder.decisions.returns import RefusedCallers
-from godwitladder.decisions.shares import Size
+from godwitladder.decisions.precedence import Size
+from godwitladder.decisions.returning_callers import RefusedCallers
 from godwitladder.decisions.shedding import refuse_early
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.scheduler import role
@@ -36,14 +36,14 @@
 
 def without_late_last() -> contextlib.AbstractContextManager:
     """Leave late calls where they stand."""
-    whole = backlog.weigh
+    whole = backlog.make_entry
 
-    def weigh(*args):
+    def make_entry(*args):
         entry = whole(*args)
         entry.late_precedence = entry.precedence
         return entry
 
-    return patch.object(backlog, "weigh", weigh)
+    return patch.object(backlog, "weigh", make_entry)
 
 
 def without_returns() -> contextlib.AbstractContextManager:
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -7,9 +7,9 @@
 from bench.traces import SERVICE, Arrival, Engine
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import allocate
+from godwitladder.decisions.early_retries import RefusedRequests
+from godwitladder.decisions.load_reports import LoadReports
 from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
-from godwitladder.decisions.repeats import RefusedRequests
-from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.throttling import TargetThrottles
 from godwitladder.decisions.types import (
@@ -222,7 +222,7 @@
             speed = self.speeds.learned[name]
             view.prefill_tps, view.decode_tps = speed.prefill_tps, speed.decode_tps
             view.limit = self.easing.limit(name, view.slots, now)
-            view.used = self.ours.get(name, 0) + self.loads.others(name)
+            view.used = self.ours.get(name, 0) + self.loads.external(name)
             view.prefixes = self.hints.prefixes(name, now)
 
     def place(self, placement: Placement, now: float) -> tuple[RequestId, TargetName]:
@@ -307,7 +307,7 @@
         while len(self.reports) > 1 and self.reports[1][0] <= now - self.lag_s:
             self.reports.popleft()
         for name, count in self.reports[0][1].items():
-            self.loads.note_ours(name, self.ours.get(name, 0), now)
+            self.loads.record_own(name, self.ours.get(name, 0), now)
             self.loads.observe(name, count)
 
     def watch_stream(self, stream: Stream, target: TargetName, now: float) -> None:
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -83,7 +83,7 @@
     pool = make_pool(waiting, time_to_deadline_s)
     times = []
     for _ in range(RUNS):
-        pool.memory.refused_at = float("-inf") if refuse else 0.0
+        pool.state.last_refusal_check = float("-inf") if refuse else 0.0
         if fresh:
             fresh_rows(pool)
         start = time.perf_counter()
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -24,9 +24,10 @@
 
 from godwitladder.decisions.admission import Flow
 from godwitladder.decisions.backlog import Backlog, Group
-from godwitladder.decisions.capacity import Capacity, Room, is_long
+from godwitladder.decisions.capacity import PoolCapacity, TargetCapacity, is_long
 from godwitladder.decisions.fairness import TierQueue
-from godwitladder.decisions.shares import Precedence, Timeliness, serving_order
+from godwitladder.decisions.late_refusal import refuse_late
+from godwitladder.decisions.precedence import Precedence, Timeliness, serving_order
 from godwitladder.decisions.shedding import (
     make_shed_decision,
     refuse_early,
@@ -44,7 +45,6 @@
     ShedReason,
     WorkspaceView,
 )
-from godwitladder.decisions.untimely import refuse_untimely
 from godwitladder.ids import RequestId, ServiceName, WorkspaceName
 
 MISSES = 32
@@ -61,10 +61,10 @@
     run.place_all()
     run.drop_expired()
     run.follow_others()
-    refuse = refuse_early if pool.policy.is_strict else refuse_untimely
+    refuse = refuse_early if pool.policy.is_strict else refuse_late
     run.drop(refuse(run.backlog, pool, now), ShedReason.OVERLOAD)
     run.summarize()
-    pool.memory.admission.update(now, pool.staleness_s)
+    pool.state.admission.update(now, pool.staleness_s)
     return run.allocation
 
 
@@ -79,13 +79,13 @@
     def __init__(self, pool: PoolView, now: float) -> None:
         self.pool = pool
         self.now = now
-        self.capacity = Capacity(pool)
+        self.capacity = PoolCapacity(pool)
         self.allocation = Allocation()
-        sizes = pool.memory.sizes if pool.policy.min_share else None
+        sizes = pool.state.sizes if pool.policy.min_share else None
         self.backlog = Backlog(self.capacity, sizes)
-        pool.memory.fade(now)
+        pool.state.decay(now)
         for entry in self.backlog.sort(list(pool.waiting.values()), now):
-            pool.memory.admission.requested[flow_of(entry)] += 1
+            pool.state.admission.requested[flow_of(entry)] += 1
             if not entry.waiting.is_retry:
                 self.count_offered(entry, 1.0)
         self.placed_s = 0.0
@@ -96,7 +96,7 @@
 
     def count_offered(self, entry: QueueEntry, number: float) -> None:
         """Add ``number`` to what lately came with the precedence of ``entry``."""
-        offered = self.pool.memory.offered
+        offered = self.pool.state.offered
         offered[entry.precedence] = offered.get(entry.precedence, 0.0) + number
 
     def place_all(self) -> None:
@@ -112,9 +112,9 @@
                     e for e in group.entries if e.waiting.demand.request not in placed
                 ]
                 if len(kept) < len(group.entries):
-                    group.keep(kept)
+                    group.retain(kept)
         if self.pool.policy.uses_measured_throughput:
-            self.note_flow()
+            self.record_throughput()
 
     def turns(self) -> list[Precedence]:
         """Return what waits by precedence, the first to be served first."""
@@ -122,14 +122,14 @@
         waiting = self.backlog.precedences()
         if not least:
             return waiting
-        shares = {each: self.pool.memory.share(each) for each in waiting}
+        shares = {each: self.pool.state.share(each) for each in waiting}
         return serving_order(waiting, shares, least)
 
-    def note_flow(self) -> None:
+    def record_throughput(self) -> None:
         """Remember how much was started while more waited."""
         waits = any(group.entries for group in self.backlog.groups.values())
         slots = sum(room.view.limit for room in self.capacity.rooms)
-        self.pool.memory.note_flow(self.placed_s, waits, slots, self.now)
+        self.pool.state.record_throughput(self.placed_s, waits, slots, self.now)
 
     def place_groups(
         self, groups: list[Group], free: set[ServiceName]
@@ -137,7 +137,7 @@
         """Place what fits of one precedence's groups and return it."""
         entries = [entry for group in groups for entry in group.entries]
         queue = TierQueue(
-            entries, self.pool.workspaces, self.pool.memory.spent, self.now
+            entries, self.pool.workspaces, self.pool.state.spent, self.now
         )
         placed: set[RequestId] = set()
         blocked: set[ServiceName] = set()
@@ -171,7 +171,7 @@
         """Place one request if a target takes it."""
         line = entry.waiting.demand
         part = self.capacity.of(line.service)
-        long = is_long(entry.slot_s, self.pool.memory.typical_s)
+        long = is_long(entry.slot_s, self.pool.state.typical_s)
         if long and not part.takes_long():
             return False
         budget_s = entry.waiting.deadline - self.now
@@ -224,16 +224,18 @@
         row = ShedDecision(entry.waiting.demand.request, ShedReason.QUOTA, wait_s)
         self.allocation.sheds.append(row)
 
-    def note(self, entry: QueueEntry, room: Room, long: bool) -> None:
+    def note(self, entry: QueueEntry, room: TargetCapacity, long: bool) -> None:
         """Remember a placement for the next runs."""
         line = entry.waiting.demand
-        memory = self.pool.memory
+        memory = self.pool.state
         memory.admission.served[flow_of(entry)] += 1
-        memory.note(entry.precedence_at(self.now), line.workspace, entry.slot_s)
+        memory.record_placement(
+            entry.precedence_at(self.now), line.workspace, entry.slot_s
+        )
         self.placed_s += entry.slot_s
         if long:
             end = self.now + room.seconds(line)
-            self.pool.memory.note_long(room.view.name, end)
+            self.pool.state.note_long(room.view.name, end)
 
     def at_quota(self, workspace: WorkspaceName) -> bool:
         """Return whether ``workspace`` runs as much as it may."""
@@ -275,13 +277,13 @@
             if key not in waits:
                 waits[key] = max(
                     self.backlog.wait_s(*key),
-                    min(self.pool.memory.contended_s(), LONGEST_LOOK_S),
+                    min(self.pool.state.contended_s(), LONGEST_LOOK_S),
                 )
             if reason is ShedReason.OVERLOAD:
                 self.note_shed(line.tier_rank)
             if reason is not ShedReason.QUOTA:
-                self.pool.memory.admission.shed[flow_of(entry)] += 1
-            self.pool.memory.callers.note(
+                self.pool.state.admission.shed[flow_of(entry)] += 1
+            self.pool.state.callers.note(
                 line.body, entry.waiting.first_arrived, self.now
             )
             self.allocation.sheds.append(make_shed_decision(entry, reason, waits[key]))
--- a/godwitladder/decisions/allocator_state.py
+++ b/godwitladder/decisions/allocator_state.py
@@ -26,8 +26,8 @@
 
 from godwitladder.decisions.admission import AdmissionController
 from godwitladder.decisions.entitlement import Entitlements
-from godwitladder.decisions.returns import RefusedCallers
-from godwitladder.decisions.shares import Precedence
+from godwitladder.decisions.precedence import Precedence
+from godwitladder.decisions.returning_callers import RefusedCallers
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.ids import TargetName, WorkspaceName
 
@@ -40,7 +40,7 @@
 
 
 @dataclass
-class AllocatorMemory:
+class AllocatorState:
     """Soft state of one pool's allocator; all amounts fade with time.
 
     Attributes
@@ -55,7 +55,7 @@
         where they no longer count as long.
     long_ends : dict
         For each target, when its long requests are expected to end: a heap.
-    refused_at : float
+    last_refusal_check : float
         When the queue was last looked through for early refusals.
     flow : float
         Slot seconds started in each second while more waited; 0 while nothing
@@ -80,9 +80,9 @@
     spent: dict[WorkspaceName, float] = field(default_factory=dict)
     typical_s: float = 0.0
     long_ends: dict[TargetName, list[float]] = field(default_factory=dict)
-    refused_at: float = float("-inf")
+    last_refusal_check: float = float("-inf")
     faded: float = 0.0
-    flow: float = 0.0
+    throughput: float = 0.0
     flow_at: float = float("-inf")
     contended: float = 0.0
     contended_since: float = 0.0
@@ -94,7 +94,7 @@
     entitlements: Entitlements = field(default_factory=Entitlements)
     admission: AdmissionController = field(default_factory=AdmissionController)
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Let everything fade up to ``now``."""
         elapsed_s = max(0.0, now - self.faded)
         self.faded = now
@@ -115,7 +115,7 @@
             while ends and ends[0] <= now:
                 heapq.heappop(ends)
 
-    def note(
+    def record_placement(
         self, precedence: Precedence, workspace: WorkspaceName, slot_s: float
     ) -> None:
         """A request was placed."""
@@ -135,7 +135,7 @@
         """Return the long requests that ``target`` is taken to run."""
         return len(self.long_ends.get(target, ()))
 
-    def note_flow(
+    def record_throughput(
         self, placed_s: float, contended: bool, slots: float, now: float
     ) -> None:
         """Take in a run that placed ``placed_s`` slot seconds."""
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -16,8 +16,8 @@
 
 from dataclasses import dataclass, field
 
-from godwitladder.decisions.capacity import Capacity, ServiceCapacity
-from godwitladder.decisions.shares import Precedence, Timeliness
+from godwitladder.decisions.capacity import PoolCapacity, ServiceCapacity
+from godwitladder.decisions.precedence import Precedence, Timeliness
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import Pace, QueueEntry, WaitingRequest
 from godwitladder.ids import ServiceName
@@ -40,16 +40,16 @@
 
     precedence: Precedence
     service: ServiceName
-    part: ServiceCapacity
+    capacity: ServiceCapacity
     entries: list[QueueEntry] = field(default_factory=list)
     work_s: float = 0.0
-    soonest: float = float("inf")
+    earliest_safe_start: float = float("inf")
 
-    def keep(self, entries: list[QueueEntry]) -> None:
+    def retain(self, entries: list[QueueEntry]) -> None:
         """Replace the requests by ``entries``, which are some of them."""
         self.entries = entries
         self.work_s = sum(entry.slot_s for entry in entries)
-        self.soonest = min(
+        self.earliest_safe_start = min(
             (entry.safe_start for entry in entries), default=float("inf")
         )
 
@@ -68,7 +68,7 @@
         Those that can no longer start in time.
     """
 
-    def __init__(self, capacity: Capacity, sizes: CallSizes | None = None) -> None:
+    def __init__(self, capacity: PoolCapacity, sizes: CallSizes | None = None) -> None:
         self.capacity = capacity
         self.sizes = sizes
         self.groups: dict[tuple[Precedence, ServiceName], Group] = {}
@@ -85,7 +85,7 @@
                 pace = paces[service] = self.capacity.of(service).pace
             entry = row.entry
             if entry is None or entry.pace != pace:
-                entry = row.entry = self.weigh(row, pace)
+                entry = row.entry = self.make_entry(row, pace)
                 if not row.counted:
                     row.counted = True
                     fresh.append(entry)
@@ -95,9 +95,9 @@
                 self._add(entry, now)
         return fresh
 
-    def weigh(self, row: WaitingRequest, pace: Pace) -> QueueEntry:
+    def make_entry(self, row: WaitingRequest, pace: Pace) -> QueueEntry:
         """Return ``row`` with what it needs on the fastest target."""
-        entry = weigh(row, pace)
+        entry = make_entry(row, pace)
         if self.sizes is not None:
             rank = row.demand.tier_rank
             if not row.counted and not row.is_retry:
@@ -140,11 +140,11 @@
             self.groups[precedence, service] = group
         group.entries.append(entry)
         group.work_s += entry.slot_s
-        if entry.safe_start < group.soonest:
-            group.soonest = entry.safe_start
+        if entry.safe_start < group.earliest_safe_start:
+            group.earliest_safe_start = entry.safe_start
 
 
-def weigh(row: WaitingRequest, pace: Pace) -> QueueEntry:
+def make_entry(row: WaitingRequest, pace: Pace) -> QueueEntry:
     """Return ``row`` with what it needs on the fastest target."""
     line = row.demand
     prefill_s, decode_s = pace
@@ -156,9 +156,9 @@
         safe = max(row.deadline - most_s * MARGIN, row.arrived + SAFE_LEAST_S)
         safe = min(safe, latest)
     in_time = Timeliness.IN_TIME
-    late = Timeliness.CAME_BACK if row.is_retry else Timeliness.LATE
+    late = Timeliness.RETRIED if row.is_retry else Timeliness.LATE
     if not row.within_quota:
-        in_time = late = Timeliness.BEYOND_QUOTA
+        in_time = late = Timeliness.OVER_QUOTA
     return QueueEntry(
         row,
         slot_s,
--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -52,7 +52,7 @@
 
 
 @dataclass
-class Room:
+class TargetCapacity:
     """What is left of one target.
 
     Attributes
@@ -148,11 +148,11 @@
         Limits of all targets together.
     """
 
-    rooms: list[Room] = field(default_factory=list)
+    rooms: list[TargetCapacity] = field(default_factory=list)
     pace: Pace = NO_PACE
     slots: int = 0
 
-    def add(self, room: Room) -> None:
+    def add(self, room: TargetCapacity) -> None:
         """Add one target."""
         pace = Pace(in_steps(room.prefill_s), in_steps(room.decode_s))
         if self.rooms:
@@ -181,7 +181,7 @@
         budget_s: float,
         avoided: Collection[TargetName] = (),
         aim_s: float | None = None,
-    ) -> Room | None:
+    ) -> TargetCapacity | None:
         """Return the target where ``line`` ends first, of those in time.
 
         Parameters
@@ -248,15 +248,15 @@
         return used / max(1, self.slots) + AFFINITY_SLACK
 
 
-class Capacity:
+class PoolCapacity:
     """What is left of a pool, by service."""
 
     def __init__(self, pool: PoolView) -> None:
         self.services: dict[ServiceName, ServiceCapacity] = {}
-        self.rooms: list[Room] = []
+        self.rooms: list[TargetCapacity] = []
         for view in pool.targets.values():
             if view.limit > 0:
-                self._add(make_room(view, pool.memory.long_on(view.name)))
+                self._add(make_room(view, pool.state.long_on(view.name)))
 
     def of(self, service: ServiceName) -> ServiceCapacity:
         """Return the capacity for ``service``; an empty one if nothing serves it."""
@@ -266,15 +266,15 @@
         """Return the services that have a free slot."""
         return {name for name, part in self.services.items() if part.has_free()}
 
-    def _add(self, room: Room) -> None:
+    def _add(self, room: TargetCapacity) -> None:
         self.rooms.append(room)
         for service in room.view.services:
             self.services.setdefault(service, ServiceCapacity()).add(room)
 
 
-def make_room(view: TargetView, long_used: int) -> Room:
+def make_room(view: TargetView, long_used: int) -> TargetCapacity:
     """Return the room that ``view`` has left."""
-    return Room(
+    return TargetCapacity(
         view=view,
         used=view.used,
         tokens=view.memory_tokens * MEMORY_SHARE - view.reserved_tokens,
--- a/godwitladder/decisions/untimely.py
+++ b/godwitladder/decisions/late_refusal.py
@@ -20,7 +20,7 @@
 
 from godwitladder.decisions.backlog import Backlog, Group
 from godwitladder.decisions.fairness import TierQueue
-from godwitladder.decisions.shares import Timeliness
+from godwitladder.decisions.precedence import Timeliness
 from godwitladder.decisions.shedding import is_refusal_scan_due
 from godwitladder.decisions.types import PoolView, QueueEntry
 
@@ -28,7 +28,7 @@
 LEAST_RATE = 0.01
 
 
-def refuse_untimely(backlog: Backlog, pool: PoolView, now: float) -> list[QueueEntry]:
+def refuse_late(backlog: Backlog, pool: PoolView, now: float) -> list[QueueEntry]:
     """Take out and return what will not start in time, at any precedence."""
     if not is_refusal_scan_due(pool, now):
         return []
@@ -40,20 +40,20 @@
 
 def take_untimely(group: Group, pool: PoolView, now: float) -> list[QueueEntry]:
     """Take out and return the requests of ``group`` that will not start in time."""
-    if not group.part.slots:
+    if not group.capacity.slots:
         return []
-    rate = max(left_over(group, pool), pool.memory.rate(group.precedence), LEAST_RATE)
+    rate = max(left_over(group, pool), pool.state.rate(group.precedence), LEAST_RATE)
     kept: list[QueueEntry] = []
     late: list[QueueEntry] = []
     ahead_s = 0.0
-    queue = TierQueue(group.entries, pool.workspaces, pool.memory.spent, now)
+    queue = TierQueue(group.entries, pool.workspaces, pool.state.spent, now)
     for entry in queue.ordered():
         if now + ahead_s / rate <= start_limit(entry, group):
             kept.append(entry)
             ahead_s += entry.slot_s
         else:
             late.append(entry)
-    group.keep(kept)
+    group.retain(kept)
     return late
 
 
@@ -62,8 +62,8 @@
 
     Before work has waited for a while, all slots are taken to come free.
     """
-    flow = pool.memory.flow or group.part.slots
-    return min(flow, group.part.slots) - pool.memory.rate_before(group.precedence)
+    flow = pool.state.throughput or group.capacity.slots
+    return min(flow, group.capacity.slots) - pool.state.rate_before(group.precedence)
 
 
 def start_limit(entry: QueueEntry, group: Group) -> float:
--- a/godwitladder/decisions/reports.py
+++ b/godwitladder/decisions/load_reports.py
@@ -23,10 +23,10 @@
 
 
 @dataclass
-class OutsideLoad:
+class ExternalLoad:
     """Requests of others on one target, and our own counts of late."""
 
-    others: float = 0.0
+    external: float = 0.0
     ours: deque[tuple[float, int]] = field(default_factory=deque)
 
 
@@ -34,11 +34,11 @@
     """What others run on each target."""
 
     def __init__(self) -> None:
-        self.rows: dict[TargetName, OutsideLoad] = {}
+        self.rows: dict[TargetName, ExternalLoad] = {}
 
-    def note_ours(self, target: TargetName, count: int, now: float) -> None:
+    def record_own(self, target: TargetName, count: int, now: float) -> None:
         """Remember how many requests of ours ``target`` has at ``now``."""
-        row = self.rows.setdefault(target, OutsideLoad())
+        row = self.rows.setdefault(target, ExternalLoad())
         row.ours.append((now, count))
         while now - row.ours[0][0] > WINDOW_S:
             row.ours.popleft()
@@ -49,15 +49,15 @@
         It is compared with what we had on average in the window: our own
         ups and downs then cancel out over a few reports.
         """
-        row = self.rows.setdefault(target, OutsideLoad())
+        row = self.rows.setdefault(target, ExternalLoad())
         counts = [count for _, count in row.ours]
         ours = sum(counts) / len(counts) if counts else 0.0
-        row.others += GAIN * (reported - ours - row.others)
+        row.external += GAIN * (reported - ours - row.external)
 
-    def others(self, target: TargetName) -> int:
+    def external(self, target: TargetName) -> int:
         """Return the requests of others to count into ``TargetView.used``."""
         row = self.rows.get(target)
-        return max(0, round(row.others)) if row else 0
+        return max(0, round(row.external)) if row else 0
 
     def forget(self, target: TargetName) -> None:
         """Drop a target that is gone."""
--- a/godwitladder/decisions/shares.py
+++ b/godwitladder/decisions/precedence.py
@@ -46,9 +46,9 @@
     """
 
     IN_TIME = 0
-    CAME_BACK = 1
+    RETRIED = 1
     LATE = 2
-    BEYOND_QUOTA = 3
+    OVER_QUOTA = 3
 
 
 class Precedence(NamedTuple):
--- a/godwitladder/decisions/repeat_budget.py
+++ b/godwitladder/decisions/retry_budget.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class RepeatBounds:
+class RetryLimits:
     """Repeats that all hosts may make of one service's requests.
 
     Attributes
@@ -47,16 +47,16 @@
     repeats: deque[float] = field(default_factory=deque)
 
 
-class RepeatBudget:
+class RetryBudget:
     """One host's part of the repeats, by service.
 
     Parameters
     ----------
-    bounds : RepeatBounds
+    bounds : RetryLimits
         What all hosts may do together.
     """
 
-    def __init__(self, bounds: RepeatBounds) -> None:
+    def __init__(self, bounds: RetryLimits) -> None:
         self.bounds = bounds
         self.services: dict[str, WorkspaceSpending] = {}
 
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -60,9 +60,9 @@
 
 def is_refusal_scan_due(pool: PoolView, now: float) -> bool:
     """Return whether the queue is to be looked through again, and note it."""
-    if now - pool.memory.refused_at < REFUSE_EVERY_S:
+    if now - pool.state.last_refusal_check < REFUSE_EVERY_S:
         return False
-    pool.memory.refused_at = now
+    pool.state.last_refusal_check = now
     return True
 
 
@@ -94,16 +94,16 @@
     if not slots:
         return []
     ahead_s = backlog.work_s(group.service, group.precedence) - group.work_s
-    if now + (ahead_s + group.work_s) / slots <= group.soonest:
+    if now + (ahead_s + group.work_s) / slots <= group.earliest_safe_start:
         return []
-    queue = TierQueue(group.entries, pool.workspaces, pool.memory.spent, now)
+    queue = TierQueue(group.entries, pool.workspaces, pool.state.spent, now)
     first = group.precedence == backlog.precedences()[0]
     kept, late = project(queue, ahead_s, slots, now, first)
     if pool.floors:
         fresh = [e for e in late if now - e.waiting.arrived < SPILL_AFTER_S]
         kept += fresh
         late = [e for e in late if now - e.waiting.arrived >= SPILL_AFTER_S]
-    group.keep(kept)
+    group.retain(kept)
     return late
 
 
@@ -113,8 +113,8 @@
     They will go on coming: counted only as what waits, a low tier looks as
     if it had the whole pool as soon as the last of them has started.
     """
-    slots = group.part.slots
-    return max(slots * LEAST_LEFT, slots - pool.memory.slots_before(group.precedence))
+    slots = group.capacity.slots
+    return max(slots * LEAST_LEFT, slots - pool.state.slots_before(group.precedence))
 
 
 def project(
@@ -153,7 +153,7 @@
     for group in backlog.groups.values():
         if group.precedence.rank > rank and group.service in rivals:
             given_up += group.entries
-            group.keep([])
+            group.retain([])
     return given_up
 
 
--- a/godwitladder/decisions/sizes.py
+++ b/godwitladder/decisions/sizes.py
@@ -14,8 +14,8 @@
 import math
 from dataclasses import dataclass, field
 
+from godwitladder.decisions.precedence import Size
 from godwitladder.decisions.prediction import moved
-from godwitladder.decisions.shares import Size
 
 LARGE_QUANTILE = 0.7
 LARGEST_QUANTILE = 0.9
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from godwitladder.decisions.allocator_state import AllocatorMemory
+from godwitladder.decisions.allocator_state import AllocatorState
 from godwitladder.decisions.policy import Policy
+from godwitladder.decisions.precedence import Precedence
 from godwitladder.decisions.quotas import TokenQuotas
-from godwitladder.decisions.shares import Precedence
 from godwitladder.ids import (
     BodyDigest,
     HostId,
@@ -309,7 +309,7 @@
     shed_ranks : dict
         Lowest rank number (the most important tier) that each other
         allocator within reach has lately shed under overload.
-    memory : AllocatorMemory
+    memory : AllocatorState
         What `allocate` remembers from run to run: hand the same one in.
     quotas : TokenQuotas
         What workspaces may have run, in tokens: likewise.
@@ -322,7 +322,7 @@
     workspaces: dict[WorkspaceName, WorkspaceView] = field(default_factory=dict)
     floors: dict[PoolName, int] = field(default_factory=dict)
     shed_ranks: dict[PoolName, int] = field(default_factory=dict)
-    memory: AllocatorMemory = field(default_factory=AllocatorMemory)
+    state: AllocatorState = field(default_factory=AllocatorState)
     quotas: TokenQuotas = field(default_factory=TokenQuotas)
     policy: Policy = Policy()
     staleness_s: float = 0.0
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -11,7 +11,7 @@
 
 from godwitladder.base_host import BaseHost
 from godwitladder.clock import Clock
-from godwitladder.decisions.repeat_budget import RepeatBounds, RepeatBudget
+from godwitladder.decisions.retry_budget import RetryBudget, RetryLimits
 from godwitladder.discovery.feed import Feed, StoreView
 from godwitladder.discovery.hostlist import HostList
 from godwitladder.discovery.messages import FeedNews, FeedWanted
@@ -234,8 +234,8 @@
     def make_passer(self, form: HeaderForm) -> Passer:
         """Return what sends calls on."""
         bounds = self.settings.bounds
-        budget = RepeatBudget(
-            RepeatBounds(
+        budget = RetryBudget(
+            RetryLimits(
                 bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_s
             )
         )
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -13,11 +13,11 @@
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import LONGEST_LOOK_S, allocate
-from godwitladder.decisions.allocator_state import AllocatorMemory
+from godwitladder.decisions.allocator_state import AllocatorState
 from godwitladder.decisions.forecast import PrefillForecast
+from godwitladder.decisions.load_reports import LoadReports
 from godwitladder.decisions.policy import ROUTED, STRICT
 from godwitladder.decisions.quotas import TokenQuotas
-from godwitladder.decisions.reports import LoadReports
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import standing_grants
 from godwitladder.decisions.throttling import TargetThrottles
@@ -148,7 +148,7 @@
         self.throttles = TargetThrottles()
         self.hints = PrefixHints()
         self.forecast = PrefillForecast()
-        self.memory = AllocatorMemory()
+        self.memory = AllocatorState()
         self.quotas = TokenQuotas()
         self.rows: dict[RequestId, WaitingRequest] = {}
         self.loads = LoadReports()
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -28,7 +28,7 @@
     view = PoolView(
         targets=target_views(role, now),
         workspaces=workspace_views(role, now),
-        memory=role.memory,
+        state=role.memory,
         quotas=role.quotas,
         policy=role.policy,
         staleness_s=role.delays.lately_s(now),
@@ -106,7 +106,7 @@
         if target.address in role.leaving or name in unreachable:
             continue
         count = counted.get(name, NOTHING)
-        role.loads.note_ours(name, running.get(name, NOTHING).running, now)
+        role.loads.record_own(name, running.get(name, NOTHING).running, now)
         speed = role.speeds.learned[name]
         told = PendingPrefill(count.unread, count.unread_requests)
         unread = role.forecast.pending(name, told, now)
@@ -118,7 +118,7 @@
             memory_tokens=target.memory_tokens,
             prefill_tps=speed.prefill_tps,
             decode_tps=speed.decode_tps,
-            used=count.running + role.loads.others(name),
+            used=count.running + role.loads.external(name),
             reserved_tokens=count.tokens,
             limit=limit_of(role, name, target.slots, now),
             prefixes=role.hints.prefixes(name, now),
--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -13,7 +13,7 @@
 import urllib3
 
 from godwitladder.clock import Clock
-from godwitladder.decisions.repeat_budget import RepeatBudget
+from godwitladder.decisions.retry_budget import RetryBudget
 from godwitladder.engines.wire import MayHaveRun, NotSent, connect, send
 from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
@@ -63,7 +63,7 @@
     clock: Clock
     metrics: Metrics
     watch: CallWatch
-    budget: RepeatBudget
+    budget: RetryBudget
     losses: LossBook
     hosts: Callable[[], int]
 
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -97,4 +97,4 @@
         row.ttft_deadline = 0.3
     pool.staleness_s = BEHIND
     allocate(pool, 0.0)
-    assert {workspace for _, workspace in pool.memory.admission.shares} == {"w0"}
+    assert {workspace for _, workspace in pool.state.admission.shares} == {"w0"}
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -8,11 +8,15 @@
 from godwitladder.decisions.affinity import HINT_S, PrefixHints
 from godwitladder.decisions.backoff import retry_after_s
 from godwitladder.decisions.cancel import DisconnectAction, disconnect_action
+from godwitladder.decisions.early_retries import RefusedRequests
+from godwitladder.decisions.load_reports import LoadReports
 from godwitladder.decisions.prediction import OutputPredictor, grow_reservation
 from godwitladder.decisions.rendezvous import choose_host
-from godwitladder.decisions.repeats import RefusedRequests
-from godwitladder.decisions.reports import LoadReports
-from godwitladder.decisions.returns import MAX_CALLERS, RETENTION_S, RefusedCallers
+from godwitladder.decisions.returning_callers import (
+    MAX_CALLERS,
+    RETENTION_S,
+    RefusedCallers,
+)
 from godwitladder.decisions.speeds import TargetSpeeds
 from godwitladder.decisions.standing import fixed_share, standing_grants
 from godwitladder.decisions.throttling import TargetThrottles
@@ -196,10 +200,10 @@
     ours = [4 + (3 if second // 3 % 2 else -3) for second in range(120)]
     shown = []
     for second in range(lag, 120):
-        loads.note_ours("t", ours[second], float(second))
+        loads.record_own("t", ours[second], float(second))
         outside = 3 if second - lag >= 60 else 0
         loads.observe("t", ours[second - lag] + outside)
-        shown.append(loads.others("t"))
+        shown.append(loads.external("t"))
     assert set(shown[10:55]) <= {0, 1}
     assert set(shown[-20:]) <= {2, 3, 4}
 
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -6,10 +6,15 @@
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.entitlement import Entitlements
 from godwitladder.decisions.policy import ROUTED
+from godwitladder.decisions.precedence import (
+    Precedence,
+    Size,
+    Timeliness,
+    serving_order,
+)
 from godwitladder.decisions.prefill_fit import PrefillFit
 from godwitladder.decisions.quotas import LOWERED_AFTER_S, TokenQuotas, TokenRate
-from godwitladder.decisions.repeat_budget import KEEP, RepeatBounds, RepeatBudget
-from godwitladder.decisions.shares import Precedence, Size, Timeliness, serving_order
+from godwitladder.decisions.retry_budget import KEEP, RetryBudget, RetryLimits
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import ShedReason
 from tests.decisions.pools import add, given_up, make_pool, make_target, take
@@ -130,7 +135,7 @@
 
 def test_late_calls_of_any_rank_come_after_those_in_time():
     """A burst is over; late letters wait beside a verdict that has just come."""
-    back = Precedence(Timeliness.CAME_BACK, 0)
+    back = Precedence(Timeliness.RETRIED, 0)
     late = Precedence(Timeliness.LATE, 0)
     rows = [("late", late, 0.0), ("verdict", VERDICT, 1.0), ("back", back, 0.0)]
     assert order_of(rows) == ["verdict", "back", "late"]
@@ -188,7 +193,7 @@
     aimed(pool, "now", 0, aim=0.8, charge=500)
     aimed(pool, "soon", 0, aim=0.8, charge=400)
     allocate(pool, 0.0)
-    assert pool.memory.flow == 0.0
+    assert pool.state.throughput == 0.0
 
 
 def test_a_lowered_quota_binds_when_most_of_a_window_has_passed():
@@ -246,7 +251,7 @@
 
 def test_repeats_are_a_share_of_the_requests():
     """Half of the targets fail each request; sent again, all of it comes twice."""
-    budget = RepeatBudget(RepeatBounds(0.2, 30.0, 10.0))
+    budget = RetryBudget(RetryLimits(0.2, 30.0, 10.0))
     for _ in range(100):
         budget.note_request("s", 0.0)
     taken = sum(budget.take("s", 3, 1.0) for _ in range(100))
@@ -299,7 +304,7 @@
     """Return how many of twelve verdicts are refused after what was ``started``."""
     pool = make_pool(make_target(limit=10, used=10))
     pool.policy = ROUTED
-    pool.memory.started = dict(started)
+    pool.state.started = dict(started)
     for number in range(12):
         aimed(pool, f"v{number:02}", 4, aim=4.0, predicted_tokens=20)
     return len(given_up(allocate(pool, 0.0)))
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -8,7 +8,7 @@
 import pytest
 
 from godwitladder.clock import Clock
-from godwitladder.decisions.repeat_budget import RepeatBounds, RepeatBudget
+from godwitladder.decisions.retry_budget import RetryBudget, RetryLimits
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, RequestState, refuse
 from godwitladder.platform.documents import decode_document
@@ -123,7 +123,7 @@
             self.clock,
             Metrics(),
             self.watch,
-            RepeatBudget(RepeatBounds()),
+            RetryBudget(RetryLimits()),
             LossBook(self.clock, lambda message: None),
             lambda: 1,
         )
