--- a/godwitladder/membership/codec.py
+++ b/godwitladder/membership/codec.py
@@ -25,7 +25,7 @@
 import cbor2
 
 from godwitladder.findings import GodwitladderError
-from godwitladder.tables import unwrap_type
+from godwitladder.tables import plain_type
 
 COMPRESSED = "Compressed"
 """In place of the name of a message that is compressed."""
@@ -91,7 +91,7 @@
 def _make_writer(hint: Any) -> Writer | None:
     """Return what turns a value into plain ones; None if it is plain already."""
     optional = type(None) in typing.get_args(hint)
-    hint = unwrap_type(hint)
+    hint = plain_type(hint)
     if typing.get_origin(hint) is tuple:
         inner = _make_writer(typing.get_args(hint)[0])
         write = inner and (lambda rows: [inner(row) for row in rows])
@@ -132,9 +132,9 @@
         From the function that is returned: the value is not of that type.
     """
     if type(None) in typing.get_args(hint):
-        inner = make_reader(unwrap_type(hint))
+        inner = make_reader(plain_type(hint))
         return lambda value: None if value is None else inner(value)
-    hint = unwrap_type(hint)
+    hint = plain_type(hint)
     if typing.get_origin(hint) is tuple:
         return _tuple_reader(typing.get_args(hint))
     if dataclasses.is_dataclass(hint):
@@ -148,7 +148,7 @@
     hints = typing.get_type_hints(kind)
     fields = dataclasses.fields(kind)
     readers = [make_reader(hints[field.name]) for field in fields]
-    plain = [unwrap_type(hints[field.name]) for field in fields]
+    plain = [plain_type(hints[field.name]) for field in fields]
     scalars = [(place, hint) for place, hint in enumerate(plain) if hint in SCALARS]
     others = [
         (place, readers[place])
--- a/godwitladder/tables.py
+++ b/godwitladder/tables.py
@@ -168,7 +168,7 @@
     # TOML has no null, but CBOR, which encodes messages and snapshots, does.
     if raw is None and type(None) in typing.get_args(hint):
         return None
-    hint = unwrap_type(hint)
+    hint = plain_type(hint)
     if typing.get_origin(hint) is tuple:
         return _read_list(raw, typing.get_args(hint)[0], place, findings)
     if isinstance(hint, type) and issubclass(hint, enum.Enum):
@@ -195,13 +195,13 @@
 
 
 @functools.cache
-def unwrap_type(hint: Any) -> Any:
+def plain_type(hint: Any) -> Any:
     """Return the type that a NewType or an Optional wraps."""
     while hasattr(hint, "__supertype__"):
         hint = hint.__supertype__
     options = [arg for arg in typing.get_args(hint) if arg is not type(None)]
     if type(None) in typing.get_args(hint) and len(options) == 1:
-        return unwrap_type(options[0])
+        return plain_type(options[0])
     return hint
 
 
