--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -11,7 +11,7 @@
 
 Thresholds
 ----------
-LONGEST_LOOK_S : a queue that has lasted for some seconds is taken to last as
+MAX_CONTENTION_S : a queue that has lasted for some seconds is taken to last as
     long again, up to this: callers who come back sooner are refused again.
 MISSES : a tier is left after this many requests in a row that fit no target;
     looking at all of a thousand costs several milliseconds a run, and the
@@ -48,7 +48,7 @@
 from godwitladder.ids import RequestId, ServiceName, WorkspaceName
 
 MISSES = 32
-LONGEST_LOOK_S = 4.0
+MAX_CONTENTION_S = 4.0
 
 
 def allocate(pool: PoolView, now: float) -> Allocation:
@@ -277,7 +277,7 @@
             if key not in waits:
                 waits[key] = max(
                     self.backlog.wait_s(*key),
-                    min(self.pool.state.contended_s(), LONGEST_LOOK_S),
+                    min(self.pool.state.contended_s(), MAX_CONTENTION_S),
                 )
             if reason is ShedReason.OVERLOAD:
                 self.note_shed(line.tier_rank)
--- a/godwitladder/decisions/backlog.py
+++ b/godwitladder/decisions/backlog.py
@@ -19,7 +19,7 @@
 from godwitladder.decisions.capacity import PoolCapacity, ServiceCapacity
 from godwitladder.decisions.precedence import Precedence, Timeliness
 from godwitladder.decisions.sizes import CallSizes
-from godwitladder.decisions.types import Pace, QueueEntry, WaitingRequest
+from godwitladder.decisions.types import QueueEntry, TokenTimes, WaitingRequest
 from godwitladder.ids import ServiceName
 
 MARGIN = 1.25
@@ -76,7 +76,7 @@
 
     def sort(self, rows: list[WaitingRequest], now: float) -> list[QueueEntry]:
         """Take ``rows`` in; return the new ones."""
-        paces: dict[ServiceName, Pace] = {}
+        paces: dict[ServiceName, TokenTimes] = {}
         fresh = []
         for row in rows:
             service = row.demand.service
@@ -95,7 +95,7 @@
                 self._add(entry, now)
         return fresh
 
-    def make_entry(self, row: WaitingRequest, pace: Pace) -> QueueEntry:
+    def make_entry(self, row: WaitingRequest, pace: TokenTimes) -> QueueEntry:
         """Return ``row`` with what it needs on the fastest target."""
         entry = make_entry(row, pace)
         if self.sizes is not None:
@@ -144,7 +144,7 @@
             group.earliest_safe_start = entry.safe_start
 
 
-def make_entry(row: WaitingRequest, pace: Pace) -> QueueEntry:
+def make_entry(row: WaitingRequest, pace: TokenTimes) -> QueueEntry:
     """Return ``row`` with what it needs on the fastest target."""
     line = row.demand
     prefill_s, decode_s = pace
--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -25,7 +25,7 @@
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
-from godwitladder.decisions.types import Pace, PoolView, RequestDemand, TargetView
+from godwitladder.decisions.types import PoolView, RequestDemand, TargetView, TokenTimes
 from godwitladder.ids import ServiceName, TargetName
 
 MEMORY_SHARE = 0.9
@@ -34,7 +34,7 @@
 AFFINITY_SLACK = 0.25
 FAR_FACTOR = 1.5
 PACE_STEP = 0.05
-NO_PACE = Pace(0.0, 0.0)
+NO_PACE = TokenTimes(0.0, 0.0)
 
 
 def is_long(slot_s: float, typical_s: float) -> bool:
@@ -149,14 +149,14 @@
     """
 
     rooms: list[TargetCapacity] = field(default_factory=list)
-    pace: Pace = NO_PACE
+    pace: TokenTimes = NO_PACE
     slots: int = 0
 
     def add(self, room: TargetCapacity) -> None:
         """Add one target."""
-        pace = Pace(in_steps(room.prefill_s), in_steps(room.decode_s))
+        pace = TokenTimes(in_steps(room.prefill_s), in_steps(room.decode_s))
         if self.rooms:
-            pace = Pace(*map(min, pace, self.pace))
+            pace = TokenTimes(*map(min, pace, self.pace))
         self.pace = pace
         self.rooms.append(room)
         self.slots += room.view.limit
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -240,7 +240,7 @@
         return self.precedence if now <= self.ttft_deadline else self.late_precedence
 
 
-class Pace(NamedTuple):
+class TokenTimes(NamedTuple):
     """Seconds for one prompt token and one output token."""
 
     prefill_s: float
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -12,7 +12,7 @@
 from godwitladder.configuration.state import ConfigState
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.affinity import PrefixHints
-from godwitladder.decisions.allocation import LONGEST_LOOK_S, allocate
+from godwitladder.decisions.allocation import MAX_CONTENTION_S, allocate
 from godwitladder.decisions.allocator_state import AllocatorState
 from godwitladder.decisions.forecast import PrefillForecast
 from godwitladder.decisions.load_reports import LoadReports
@@ -494,7 +494,7 @@
         memory = self.memory
         if self.policy.is_strict or not memory.admission.shares:
             return ()
-        backlog_s = min(memory.contended_s(), LONGEST_LOOK_S)
+        backlog_s = min(memory.contended_s(), MAX_CONTENTION_S)
         return tuple(
             AdmissionShare(service, workspace, share, backlog_s)
             for (service, workspace), share in memory.admission.shares.items()
