--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -26,7 +26,7 @@
 from godwitladder.decisions.backlog import Backlog, Group
 from godwitladder.decisions.capacity import PoolCapacity, TargetCapacity, is_long
 from godwitladder.decisions.fairness import TierQueue
-from godwitladder.decisions.late_refusal import refuse_late
+from godwitladder.decisions.late_refusal import refuse_late_starts
 from godwitladder.decisions.precedence import Precedence, Timeliness, serving_order
 from godwitladder.decisions.shedding import (
     make_shed_decision,
@@ -61,7 +61,7 @@
     run.place_all()
     run.drop_expired()
     run.follow_others()
-    refuse = refuse_early if pool.policy.is_strict else refuse_late
+    refuse = refuse_early if pool.policy.is_strict else refuse_late_starts
     run.drop(refuse(run.backlog, pool, now), ShedReason.OVERLOAD)
     run.summarize()
     pool.state.admission.update(now, pool.staleness_s)
@@ -128,7 +128,7 @@
     def record_throughput(self) -> None:
         """Remember how much was started while more waited."""
         waits = any(group.entries for group in self.backlog.groups.values())
-        slots = sum(room.view.limit for room in self.capacity.rooms)
+        slots = sum(room.view.limit for room in self.capacity.targets)
         self.pool.state.record_throughput(self.placed_s, waits, slots, self.now)
 
     def place_groups(
--- a/godwitladder/decisions/capacity.py
+++ b/godwitladder/decisions/capacity.py
@@ -148,17 +148,17 @@
         Limits of all targets together.
     """
 
-    rooms: list[TargetCapacity] = field(default_factory=list)
+    targets: list[TargetCapacity] = field(default_factory=list)
     pace: TokenTimes = NO_PACE
     slots: int = 0
 
     def add(self, room: TargetCapacity) -> None:
         """Add one target."""
         pace = TokenTimes(in_steps(room.prefill_s), in_steps(room.decode_s))
-        if self.rooms:
+        if self.targets:
             pace = TokenTimes(*map(min, pace, self.pace))
         self.pace = pace
-        self.rooms.append(room)
+        self.targets.append(room)
         self.slots += room.view.limit
 
     def has_free(self) -> bool:
@@ -167,12 +167,12 @@
             not room.held
             and room.used < room.view.limit
             and room.unread * room.prefill_s <= room.view.max_pending_prefill_s
-            for room in self.rooms
+            for room in self.targets
         )
 
     def takes_long(self) -> bool:
         """Return whether one more long request stays within the bound."""
-        long_used = sum(room.long_used for room in self.rooms)
+        long_used = sum(room.long_used for room in self.targets)
         return long_used + 1 <= max(1.0, self.slots * LONG_SHARE)
 
     def choose(
@@ -198,13 +198,13 @@
             busy ones included. None for no such choice.
         """
         paced = aim_s is not None and any(
-            room.could_keep_pace(line, aim_s) for room in self.rooms
+            room.could_keep_pace(line, aim_s) for room in self.targets
         )
         tokens = line.prompt_tokens + line.predicted_tokens
         best = None
         best_score = float("inf")
         bound = self._affinity_bound() if line.prefix else 0.0
-        for room in self.rooms:
+        for room in self.targets:
             if room.view.name in avoided or not room.fits(tokens):
                 continue
             if paced and not room.meets_latency(line, aim_s):
@@ -229,7 +229,7 @@
         tokens = line.prompt_tokens + line.predicted_tokens
         return any(
             not room.held and room.used < room.view.limit and not room.fits(tokens)
-            for room in self.rooms
+            for room in self.targets
         )
 
     def hold_roomiest(self) -> None:
@@ -239,12 +239,12 @@
         memory as it is freed, and the large one of the higher tier would
         wait until its deadline.
         """
-        free = [room for room in self.rooms if not room.held]
+        free = [room for room in self.targets if not room.held]
         if free:
             max(free, key=lambda room: room.tokens).held = True
 
     def _affinity_bound(self) -> float:
-        used = sum(room.used for room in self.rooms)
+        used = sum(room.used for room in self.targets)
         return used / max(1, self.slots) + AFFINITY_SLACK
 
 
@@ -253,7 +253,7 @@
 
     def __init__(self, pool: PoolView) -> None:
         self.services: dict[ServiceName, ServiceCapacity] = {}
-        self.rooms: list[TargetCapacity] = []
+        self.targets: list[TargetCapacity] = []
         for view in pool.targets.values():
             if view.limit > 0:
                 self._add(make_room(view, pool.state.long_on(view.name)))
@@ -267,7 +267,7 @@
         return {name for name, part in self.services.items() if part.has_free()}
 
     def _add(self, room: TargetCapacity) -> None:
-        self.rooms.append(room)
+        self.targets.append(room)
         for service in room.view.services:
             self.services.setdefault(service, ServiceCapacity()).add(room)
 
--- a/godwitladder/decisions/late_refusal.py
+++ b/godwitladder/decisions/late_refusal.py
@@ -28,7 +28,9 @@
 LEAST_RATE = 0.01
 
 
-def refuse_late(backlog: Backlog, pool: PoolView, now: float) -> list[QueueEntry]:
+def refuse_late_starts(
+    backlog: Backlog, pool: PoolView, now: float
+) -> list[QueueEntry]:
     """Take out and return what will not start in time, at any precedence."""
     if not is_refusal_scan_due(pool, now):
         return []
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -164,7 +164,7 @@
     return {
         name
         for name, part in capacity.services.items()
-        if any(room.view.name in targets for room in part.rooms)
+        if any(room.view.name in targets for room in part.targets)
     }
 
 
