--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -139,7 +139,7 @@
         self.caller_server: TcpWSGIServer | None = None
 
     def make_order_issuer(self) -> OrderIssuer:
-        """Return the component that orders targets into their configured state."""
+        """Return the component that brings targets to their configured state."""
         settings = self.settings
         platform = settings.platform
         holder = f"{settings.host}/{self.incarnation}"
@@ -341,6 +341,6 @@
     watch_threads(CRITICAL_THREADS, host.fail)
     host.run()
     if host.failed:
-        # Exit without joining the threads of callers: they may wait for a
-        # component that has failed and would never end.
+        # Skip the graceful exit, which waits for the threads of callers: they may
+        # wait for the failed component and would never end.
         os._exit(FAILURE_EXIT_CODE)
