--- a/bench/policies.py
+++ b/bench/policies.py
@@ -232,7 +232,7 @@
         self.ours[placement.target] = self.ours.get(placement.target, 0) + 1
         view.reserved_tokens += placement.reserved_tokens
         self.pool.workspaces[row.demand.workspace].running += 1
-        self.hints.note_dispatch(placement.target, row.demand.prefix, now)
+        self.hints.record_dispatch(placement.target, row.demand.prefix, now)
         self.running[placement.request] = row, placement
         return placement.request, placement.target
 
--- a/godwitladder/decisions/affinity.py
+++ b/godwitladder/decisions/affinity.py
@@ -30,7 +30,7 @@
     def __init__(self) -> None:
         self.rows: dict[TargetName, OrderedDict[str, float]] = {}
 
-    def note_dispatch(self, target: TargetName, prefix: str, now: float) -> None:
+    def record_dispatch(self, target: TargetName, prefix: str, now: float) -> None:
         """A request with ``prefix`` was sent to ``target``."""
         if not prefix:
             return
@@ -45,7 +45,7 @@
     ) -> None:
         """Take in a cache event of ``target``."""
         if kept:
-            self.note_dispatch(target, prefix, now)
+            self.record_dispatch(target, prefix, now)
         else:
             self.rows.get(target, {}).pop(prefix, None)
 
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -208,11 +208,11 @@
         time by the next second's tokens is sent away for as many seconds as it is
         told, and comes back late. Without an aim nobody can tell what is in time.
         """
-        if math.isinf(entry.ttft_deadline):
+        if math.isinf(entry.ttft_latest_start):
             return 0.0
         until = (
-            entry.ttft_deadline
-            if self.now <= entry.ttft_deadline
+            entry.ttft_latest_start
+            if self.now <= entry.ttft_latest_start
             else entry.latest_start
         )
         return until - self.now
--- a/godwitladder/decisions/forecast.py
+++ b/godwitladder/decisions/forecast.py
@@ -61,7 +61,9 @@
     def __init__(self) -> None:
         self.rows: dict[TargetName, deque[Reading]] = {}
 
-    def note(self, target: TargetName, tokens: int, seconds: float, now: float) -> None:
+    def record_grant(
+        self, target: TargetName, tokens: int, seconds: float, now: float
+    ) -> None:
         """A prompt is granted that ``target`` reads within ``seconds``."""
         if not tokens or seconds <= 0:
             return
--- a/godwitladder/decisions/late_refusal.py
+++ b/godwitladder/decisions/late_refusal.py
@@ -71,7 +71,7 @@
 def start_limit(entry: QueueEntry, group: Group) -> float:
     """Return the time by which ``entry`` has to start."""
     if group.precedence.timeliness is Timeliness.IN_TIME:
-        return min(entry.ttft_deadline, entry.latest_start)
+        return min(entry.ttft_latest_start, entry.latest_start)
     row = entry.waiting
     return min(
         entry.latest_start,
--- a/godwitladder/decisions/losses.py
+++ b/godwitladder/decisions/losses.py
@@ -42,7 +42,7 @@
 
     rows: dict[BodyDigest, Loss] = field(default_factory=dict)
 
-    def note(self, digest: BodyDigest, target: TargetName, now: float) -> None:
+    def record_loss(self, digest: BodyDigest, target: TargetName, now: float) -> None:
         """Take in that ``target`` lost the answer to a call."""
         row = self.rows.pop(digest, None)
         if row is None or now - row.at > HOLD_S:
--- a/godwitladder/decisions/shedding.py
+++ b/godwitladder/decisions/shedding.py
@@ -160,7 +160,9 @@
 def find_rivals(backlog: Backlog, services: Iterable[ServiceName]) -> set[ServiceName]:
     """Return all services that share a target with any of ``services``."""
     capacity = backlog.capacity
-    targets = {room.view.name for name in services for room in capacity.of(name).rooms}
+    targets = {
+        room.view.name for name in services for room in capacity.of(name).targets
+    }
     return {
         name
         for name, part in capacity.services.items()
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -233,11 +233,13 @@
     precedence: Precedence
     late_precedence: Precedence
     pace: "Pace"
-    ttft_deadline: float = float("inf")
+    ttft_latest_start: float = float("inf")
 
     def precedence_at(self, now: float) -> Precedence:
         """Return its precedence at a time."""
-        return self.precedence if now <= self.ttft_deadline else self.late_precedence
+        return (
+            self.precedence if now <= self.ttft_latest_start else self.late_precedence
+        )
 
 
 class TokenTimes(NamedTuple):
--- a/godwitladder/scheduler/allocator.py
+++ b/godwitladder/scheduler/allocator.py
@@ -219,7 +219,7 @@
 
     def tell_shares(self, role: PoolRole, now: float) -> None:
         """Log of whose calls hosts ask for a part only, or that they ask for all."""
-        shares = role.memory.admission.shares
+        shares = role.state.admission.shares
         told_at, told = self.told_shares.get(role.pool.name, (float("-inf"), False))
         if not shares and not told:
             return
@@ -234,7 +234,7 @@
             "pool": pool_key(role.pool.name),
             "flows": len(shares),
             "shares": rows,
-            "contended_s": round(role.memory.contended_s(), 3),
+            "contended_s": round(role.state.contended_s(), 3),
         }
         log.info("A part of the calls is asked for", extra=extra)
 
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -148,7 +148,7 @@
         self.throttles = TargetThrottles()
         self.hints = PrefixHints()
         self.forecast = PrefillForecast()
-        self.memory = AllocatorState()
+        self.state = AllocatorState()
         self.quotas = TokenQuotas()
         self.rows: dict[RequestId, WaitingRequest] = {}
         self.loads = LoadReports()
@@ -262,7 +262,7 @@
             return []
         if self.is_quiet(now):
             # With nothing left to decide, a flood's shares would stay as they are.
-            self.memory.admission.update(now, 0.0)
+            self.state.admission.update(now, 0.0)
             return []
         self.quotas.expected_hosts = len(expected)
         view = pool_view(self, now)
@@ -330,7 +330,7 @@
                 reserved_tokens=row.reserved_tokens,
                 valid_for_s=OFFER_LIFETIME_S,
             )
-            self.hints.note_dispatch(row.target, waiting.demand.prefix, now)
+            self.hints.record_dispatch(row.target, waiting.demand.prefix, now)
             self.note_reading(row.target, waiting.demand.prompt_tokens, now)
             offerings.setdefault(waiting.host, Offering()).grants.append(grant)
         for row in allocation.sheds:
@@ -353,7 +353,7 @@
     def note_reading(self, target: TargetName, tokens: int, now: float) -> None:
         """Foretell when a prompt is read that has just been granted."""
         _, read_s = self.speeds.prefill_cost(target)
-        self.forecast.note(target, tokens, tokens * read_s, now)
+        self.forecast.record_grant(target, tokens, tokens * read_s, now)
 
     def note_shed(self, rank: int, now: float) -> None:
         """Remember the most important tier shed within the last seconds."""
@@ -418,7 +418,7 @@
         views = target_views(self, now)
         running = self.running()
         for name, target in views.items():
-            target.used = running.get(name, NOTHING).running + self.loads.others(name)
+            target.used = running.get(name, NOTHING).running + self.loads.external(name)
         standing: dict[HostId, list[TargetView]] = {}
         for grant in standing_grants(PoolView(targets=views), home):
             standing.setdefault(grant.host, []).append(views[grant.target])
@@ -446,7 +446,7 @@
             name = target.name
             own, used = counted.get(name, NOTHING), running.get(name, NOTHING)
             all_counted = total.get(name, NOTHING)
-            others = all_counted.running - own.running + self.loads.others(name)
+            others = all_counted.running - own.running + self.loads.external(name)
             if others + used.running >= target.limit:
                 continue
             free = target.memory_tokens - all_counted.tokens + own.tokens - used.tokens
@@ -491,7 +491,7 @@
 
     def admission_shares(self) -> tuple[AdmissionShare, ...]:
         """Return of whose calls hosts are to ask for a part only."""
-        memory = self.memory
+        memory = self.state
         if self.policy.is_strict or not memory.admission.shares:
             return ()
         backlog_s = min(memory.contended_s(), MAX_CONTENTION_S)
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -28,7 +28,7 @@
     view = PoolView(
         targets=target_views(role, now),
         workspaces=workspace_views(role, now),
-        state=role.memory,
+        state=role.state,
         quotas=role.quotas,
         policy=role.policy,
         staleness_s=role.delays.lately_s(now),
@@ -69,13 +69,13 @@
         each report, a request that waits for long looked like many that came.
     """
     arrived = now - line.waited_s
-    known = role.memory.callers.first_arrival(line.body, now)
+    known = role.state.callers.first_arrival(line.body, now)
     asked = arrived if known is None else min(known, arrived)
     if before is not None:
         entitled = before.within_quota
     else:
         # One that has come back was counted when it first came.
-        entitled = known is not None or role.memory.entitlements.take(
+        entitled = known is not None or role.state.entitlements.take(
             line.workspace,
             line.charge,
             role.quotas.rate_of(line.workspace, now),
--- a/godwitladder/serving/losses.py
+++ b/godwitladder/serving/losses.py
@@ -51,7 +51,7 @@
         """Take in a loss."""
         with self.lock:
             now = self.clock.monotonic()
-            self.table.note(message.digest, message.target, now)
+            self.table.record_loss(message.digest, message.target, now)
 
     def held_s(self, digest: BodyDigest) -> float:
         """Return for how many more seconds a call is held back; 0 for not."""
--- a/tests/decisions/pools.py
+++ b/tests/decisions/pools.py
@@ -43,9 +43,9 @@
         target.used += 1
         target.reserved_tokens += placement.reserved_tokens
         pool.workspaces[row.demand.workspace].running += 1
-    for given_up in allocation.sheds:
-        del pool.waiting[given_up.request]
+    for shed_reasons in allocation.sheds:
+        del pool.waiting[shed_reasons.request]
 
 
-def given_up(allocation):
+def shed_reasons(allocation):
     return {row.request: row.reason for row in allocation.sheds}
--- a/tests/decisions/test_allocation.py
+++ b/tests/decisions/test_allocation.py
@@ -9,7 +9,7 @@
 from godwitladder.decisions.allocation import allocate
 from godwitladder.decisions.capacity import LONG_SHARE, MEMORY_SHARE
 from godwitladder.decisions.types import ShedReason, WorkspaceView
-from tests.decisions.pools import add, given_up, make_pool, make_target, take
+from tests.decisions.pools import add, make_pool, make_target, shed_reasons, take
 
 SERVICES = ("chat", "draft", "call")
 
@@ -143,7 +143,10 @@
     add(pool, "other", rank=2, deadline=500.0, service="call")
     assert not allocate(pool, 0.0).sheds
     later = allocate(pool, 4.0)
-    assert given_up(later) == {"high": ShedReason.DEADLINE, "low": ShedReason.OVERLOAD}
+    assert shed_reasons(later) == {
+        "high": ShedReason.DEADLINE,
+        "low": ShedReason.OVERLOAD,
+    }
     assert later.shed_rank == 1
 
 
@@ -152,7 +155,7 @@
     add(pool, "hopeless", rank=0, deadline=1.0)
     add(pool, "low", rank=2, deadline=500.0)
     allocation = allocate(pool, 0.0)
-    assert given_up(allocation) == {"hopeless": ShedReason.DEADLINE}
+    assert shed_reasons(allocation) == {"hopeless": ShedReason.DEADLINE}
     assert allocation.shed_rank is None
 
 
@@ -162,7 +165,7 @@
     add(pool, "same", rank=1)
     add(pool, "low", rank=2)
     pool.shed_ranks["elsewhere"] = 1
-    assert given_up(allocate(pool, 0.0)) == {"low": ShedReason.OVERLOAD}
+    assert shed_reasons(allocate(pool, 0.0)) == {"low": ShedReason.OVERLOAD}
 
 
 @pytest.mark.parametrize(("floor", "refused"), [(-1, True), (1, True), (2, False)])
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -151,14 +151,14 @@
 def test_cache_hints_follow_events_and_fade():
     """Events come late and some are lost: a "dropped" may never arrive."""
     hints = PrefixHints()
-    hints.note_dispatch("t", "a", 0.0)
+    hints.record_dispatch("t", "a", 0.0)
     hints.take_event("t", "b", kept=True, now=1.0)
     hints.take_event("t", "b", kept=False, now=2.0)
     hints.take_event("t", "never-seen", kept=False, now=2.0)
     assert hints.prefixes("t", 3.0) == {"a"}
     assert hints.prefixes("t", HINT_S + 1.0) == set()
     for n in range(1000):
-        hints.note_dispatch("t", f"p{n}", 0.0)
+        hints.record_dispatch("t", f"p{n}", 0.0)
     assert len(hints.prefixes("t", 0.0)) <= 128
 
 
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -17,7 +17,7 @@
 from godwitladder.decisions.retry_budget import KEEP, RetryBudget, RetryLimits
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.decisions.types import ShedReason
-from tests.decisions.pools import add, given_up, make_pool, make_target, take
+from tests.decisions.pools import add, make_pool, make_target, shed_reasons, take
 
 RATE = {"w0": TokenRate(1000.0, 2000.0)}
 
@@ -54,9 +54,9 @@
     pool = make_pool(make_target(limit=0))
     add(pool, "r")
     pool.waiting["r"].start_by = 3.0
-    assert given_up(allocate(pool, 2.9)) == {}
+    assert shed_reasons(allocate(pool, 2.9)) == {}
     pool.waiting["r"].entry = None
-    assert given_up(allocate(pool, 3.1)) == {"r": ShedReason.DEADLINE}
+    assert shed_reasons(allocate(pool, 3.1)) == {"r": ShedReason.DEADLINE}
 
 
 def test_a_target_that_reads_gets_no_further_prompt():
@@ -179,7 +179,7 @@
     aimed(pool, "too late", 0, aim=0.8, charge=600)
     first = allocate(pool, 0.0)
     assert [row.request for row in first.placements] == ["now"]
-    assert given_up(first) == {"too late": ShedReason.QUOTA}
+    assert shed_reasons(first) == {"too late": ShedReason.QUOTA}
     take(pool, first)
     assert placed(pool, now=0.5) == []
     assert placed(pool, now=0.6) == ["soon"]
@@ -282,7 +282,7 @@
     aimed(pool, "letter", 0, aim=1.0)
     pool.waiting["letter"].start_by = 2.0
     aimed(pool, "question", 2, aim=9.0, arrived=2.9)
-    assert given_up(allocate(pool, 3.0)) == {"letter": ShedReason.DEADLINE}
+    assert shed_reasons(allocate(pool, 3.0)) == {"letter": ShedReason.DEADLINE}
 
 
 def test_a_call_that_will_be_late_is_refused_at_once():
@@ -295,7 +295,7 @@
     pool.policy = ROUTED
     for number in range(40):
         aimed(pool, f"q{number:02}", 2, aim=5.0)
-    refused = given_up(allocate(pool, 1.0))
+    refused = shed_reasons(allocate(pool, 1.0))
     assert 30 < len(refused) < 40
     assert set(refused.values()) == {ShedReason.OVERLOAD}
 
@@ -307,7 +307,7 @@
     pool.state.started = dict(started)
     for number in range(12):
         aimed(pool, f"v{number:02}", 4, aim=4.0, predicted_tokens=20)
-    return len(given_up(allocate(pool, 0.0)))
+    return len(shed_reasons(allocate(pool, 0.0)))
 
 
 def test_a_place_that_is_owed_a_part_is_not_refused_for_what_others_take():
--- a/tests/scheduler/test_allocator.py
+++ b/tests/scheduler/test_allocator.py
@@ -119,7 +119,7 @@
     used = []
     for _ in range(8):
         actor.on_receive(TargetLoad("e0", 10))
-        used.append(role.loads.others("e0"))
+        used.append(role.loads.external("e0"))
     assert used == sorted(used)
     assert used[0] <= 1 < used[-1]
 
--- a/tests/scheduler/test_flood.py
+++ b/tests/scheduler/test_flood.py
@@ -69,6 +69,6 @@
 def test_a_flood_that_is_over_leaves_no_calls_refused_unseen():
     """Guards against refusals by the shares of a flood after a quiet moment."""
     flood = Flood()
-    flood.role.memory.admission.shares[LETTERS, "advisers"] = MIN_SHARE
+    flood.role.state.admission.shares[LETTERS, "advisers"] = MIN_SHARE
     flood.play(2, calls_per_s=0)
-    assert not flood.role.memory.admission.shares
+    assert not flood.role.state.admission.shares
--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -48,7 +48,7 @@
     for _ in range(10):
         now += 0.05
         exchange(tables, role, now)
-    assert sum(role.memory.offered.values()) == pytest.approx(2.0, abs=0.2)
+    assert sum(role.state.offered.values()) == pytest.approx(2.0, abs=0.2)
 
 
 def test_a_caller_that_comes_back_has_the_aim_of_its_first_try():
--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -136,7 +136,7 @@
     """Two engines are alike; the second letter shares the start of the first."""
     desk, now = settled({"e0": 1, "e1": 1})
     role = desk.roles["h0"]
-    role.hints.note_dispatch("e1", "start", now)
+    role.hints.record_dispatch("e1", "start", now)
     assert target_views(role, now)["e1"].prefixes == {"start"}
     assert target_views(role, now)["e0"].prefixes == set()
 
@@ -163,7 +163,7 @@
     prefix, and then granted nothing.
     """
     desk, now = settled({"e0": 1, "e1": 1}, hosts=("h0", "h1", "h2"))
-    desk.roles["h0"].hints.note_dispatch("e0", "start", now)
+    desk.roles["h0"].hints.record_dispatch("e0", "start", now)
     host = desk.hosts["h1"]
     for name in ("e0", "e1"):
         host.targets[name].avoided_until = now + 1.0 if name == "e0" else 0.0
