--- a/godwitladder/explain.py
+++ b/godwitladder/explain.py
@@ -1,16 +1,26 @@
-"""Finds what a fleet's log lines say of one request, in order of time."""
+"""Finds the log lines of one request among those of all hosts, sorted by time."""
 
 import json
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from typing import Any
 
-HEAD = ("asctime", "levelname", "message")
+HEADER_FIELDS = ("asctime", "levelname", "message")
 
 
 @dataclass(frozen=True, order=True)
 class LogLine:
-    """One line about a request."""
+    """One log line of a request.
+
+    Attributes
+    ----------
+    time : str
+        Time as in the log.
+    text : str
+        The log message.
+    fields : str
+        The other fields, as ``key=value`` separated by spaces.
+    """
 
     time: str
     text: str
@@ -20,23 +30,28 @@
         return f"{self.time} {self.text} {self.fields}"
 
 
-def explain(lines: Iterable[str], request: str) -> list[LogLine]:
-    """Return the lines about ``request``, the oldest first.
+def find_request_lines(lines: Iterable[str], request: str) -> list[LogLine]:
+    """Return the log lines of ``request``, oldest first.
 
     Parameters
     ----------
     lines : iterable of str
-        JSON lines of any number of hosts; something else may stand before
-        the JSON, and lines without any are passed over.
+        JSON log lines of any number of hosts. Text before the JSON object, and
+        lines without one, are ignored.
     request : str
-        The id that the caller sent.
+        The request id that the caller sent.
+
+    Returns
+    -------
+    lines : list of LogLine
+        The lines of the request, without duplicates.
     """
-    found = (row for row in map(read_line, lines) if row.get("request") == request)
-    return sorted(set(_shown(found)))
+    found = (row for row in map(parse_log_line, lines) if row.get("request") == request)
+    return sorted(set(_format_lines(found)))
 
 
-def read_line(line: str) -> dict[str, Any]:
-    """Return the JSON in a line; nothing if it has none."""
+def parse_log_line(line: str) -> dict[str, Any]:
+    """Return the JSON object in a line, or an empty dict if there is none."""
     start = line.find("{")
     try:
         row = json.loads(line[start:]) if start >= 0 else {}
@@ -45,9 +60,9 @@
     return row if isinstance(row, dict) else {}
 
 
-def _shown(rows: Iterable[dict[str, Any]]) -> Iterator[LogLine]:
+def _format_lines(rows: Iterable[dict[str, Any]]) -> Iterator[LogLine]:
     for row in rows:
-        fields = {key: value for key, value in row.items() if key not in HEAD}
+        fields = {key: value for key, value in row.items() if key not in HEADER_FIELDS}
         yield LogLine(
             str(row.get("asctime", "")),
             str(row.get("message", "")),
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, and settings checked as a whole."""
+"""The command line and the validation of settings."""
 
 import contextlib
 import json
@@ -7,14 +7,14 @@
 import trustme
 
 from godwitladder import cli
-from godwitladder.client import AskFailed, OperatorClient
+from godwitladder.client import OperatorClient, OperatorRequestFailed
 from godwitladder.findings import InvalidInput
 from godwitladder.settings import TlsSettings, read_settings
 from tests.fleet import OPERATOR_TOKEN, digest
 from tests.membership.test_tls import make_tls
 from tests.serving.test_surface import serve
 
-SOUND = f"""
+VALID_SETTINGS = f"""
 host = "host-a1"
 zone = "a"
 zones = ["a", "b"]
@@ -60,22 +60,24 @@
         ),
     ],
 )
-def test_each_setting_at_fault_is_named(tmp_path, old, new, place):
-    assert old in SOUND
-    rows = findings(tmp_path, SOUND.replace(old, new))
+def test_each_invalid_setting_is_named(tmp_path, old, new, place):
+    assert old in VALID_SETTINGS
+    rows = findings(tmp_path, VALID_SETTINGS.replace(old, new))
     assert rows[0].startswith(f"host.toml: {place}: ")
 
 
 def test_all_findings_come_together_and_nothing_starts(tmp_path, capsys):
-    """A host is started on settings with two typing errors.
+    """Settings with two misspelt keys: both are reported before the host starts.
 
-    It names both with the nearest known key, and exits before it listens.
+    Each error suggests the closest known key.
     """
-    text = SOUND.replace("callers =", "caller =").replace("secret =", "secrets =")
+    text = VALID_SETTINGS.replace("callers =", "caller =").replace(
+        "secret =", "secrets ="
+    )
     (tmp_path / "host.toml").write_text(text)
     with pytest.raises(SystemExit) as caught:
         cli.main(["serve", "--settings", str(tmp_path / "host.toml")])
-    assert caught.value.code == cli.INVALID
+    assert caught.value.code == cli.EXIT_INVALID
     error = capsys.readouterr().err
     assert "did you mean 'callers'" in error
     assert "did you mean 'secret'" in error
@@ -83,7 +85,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "host = ", None])
-def test_settings_that_can_not_be_read_are_findings(tmp_path, text):
+def test_unreadable_settings_are_findings(tmp_path, text):
     path = tmp_path / "host.toml"
     if text is not None:
         path.write_text(text)
@@ -92,7 +94,7 @@
 
 
 def test_client_trusts_only_the_authority_it_is_given(tmp_path):
-    """The operators' listener speaks TLS, and someone else answers in its place."""
+    """Guards against a server that impersonates the operators' TLS listener."""
     authority, other = trustme.CA(), trustme.CA()
     tls = make_tls(tmp_path, authority, "host")
     foreign = make_tls(tmp_path, other, "foreign")
@@ -102,11 +104,11 @@
         return [b"{}"]
 
     with contextlib.ExitStack() as stack:
-        # With an authority the listener would ask callers for certificates.
+        # With an authority, the listener would request client certificates.
         served = TlsSettings(tls.certificate, tls.key)
         root = f"https://127.0.0.1:{serve(stack, app, served)}"
         assert OperatorClient(root, "t", tls.authority).get("/v1/status") == {}
-        with pytest.raises(AskFailed) as caught:
+        with pytest.raises(OperatorRequestFailed) as caught:
             OperatorClient(root, "t", foreign.authority).get("/v1/status")
         assert caught.value.exit_code == 3
 
@@ -115,13 +117,13 @@
     code, _, error = run(
         capsys, "standin", "engine", "--knobs", "frozn=true", "slots=x"
     )
-    assert code == cli.INVALID
+    assert code == cli.EXIT_INVALID
     assert "did you mean 'frozen'" in error
     assert "--knobs slots=x: must be name=value in JSON" in error
 
 
 def run(capsys, *argv):
-    """Return exit code, output and errors of one command."""
+    """Return the exit code, standard output and standard error of one command."""
     try:
         cli.main([str(item) for item in argv])
         code = 0
@@ -132,11 +134,11 @@
 
 
 def test_commands_of_an_operator(fleet, tmp_path, capsys, monkeypatch):
-    """An operator checks and submits tickets, and looks at what became of them.
+    """An operator checks and submits tickets and reads their verdicts.
 
-    A new host in a zone that is cut off from the log starts from its peer,
-    though it can't replay anything. Of a ticket that is submitted there the
-    operator reads that its outcome is open.
+    A new host in a zone that can't reach the log takes its configuration from a
+    peer, because it can't replay the log. For a ticket submitted to that host, the
+    operator is told that the outcome is unknown.
     """
     monkeypatch.setenv("GODWITLADDER_TOKEN", OPERATOR_TOKEN)
     first = fleet.add_host("host-a1", "a")
@@ -154,7 +156,7 @@
     assert (code, out) == (1, "")
     assert "4 is taken: hanna used it at offset 0 for other content" in error
     path.write_text("number = 0")
-    assert run(capsys, "ticket", "submit", path, *host)[0] == cli.INVALID
+    assert run(capsys, "ticket", "submit", path, *host)[0] == cli.EXIT_INVALID
     lines = run(capsys, "audit", "--json", *host)[1].splitlines()
     assert [json.loads(line)["cause"] for line in lines] == [None, "conflict"]
     assert "4 by hanna at offset 0" in run(capsys, "ticket", "list", *host)[1]
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,14 +1,14 @@
-"""Lines of a host that serves: bounded, and nobody waits for them."""
+"""Logging of a serving host is bounded and never blocks."""
 
 import logging
 
 from godwitladder.clock import ManualClock
-from godwitladder.logs import BURST_LINES, LINES_PER_S, BoundedHandler, is_new
+from godwitladder.logs import BURST_LINES, LINES_PER_S, BoundedHandler, is_first_report
 from godwitladder.serving.upstream import StreamCut
 
 
-class Kept(logging.Handler):
-    """Keeps what it is to write."""
+class RecordingHandler(logging.Handler):
+    """Stores the records instead of writing them."""
 
     def __init__(self):
         super().__init__()
@@ -23,9 +23,9 @@
 
 
 def test_lines_beyond_the_rate_are_dropped_and_counted():
-    """Nobody reads the pipe: no thread that logs may wait for it."""
-    clock, kept = ManualClock(), Kept()
-    handler = BoundedHandler(kept, clock)
+    """Guards against threads that block because nobody reads the log's pipe."""
+    clock, target = ManualClock(), RecordingHandler()
+    handler = BoundedHandler(target, clock)
     for _ in range(int(BURST_LINES) + 50):
         handler.emit(make_record())
     assert handler.dropped == 50
@@ -34,11 +34,11 @@
         handler.emit(make_record())
     assert handler.dropped == 57
     handler.drain()
-    assert len(kept.records) == BURST_LINES + LINES_PER_S
+    assert len(target.records) == BURST_LINES + LINES_PER_S
 
 
 def test_an_answer_that_was_broken_on_purpose_is_not_logged_twice():
     error = StreamCut("cut")
-    assert not is_new(make_record((StreamCut, error, None)))
-    assert is_new(make_record((ValueError, ValueError("x"), None)))
-    assert is_new(make_record())
+    assert not is_first_report(make_record((StreamCut, error, None)))
+    assert is_first_report(make_record((ValueError, ValueError("x"), None)))
+    assert is_first_report(make_record())
