--- a/tests/decisions/test_allocation.py
+++ b/tests/decisions/test_allocation.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 import pytest
-from hypothesis import given
+from hypothesis import given, seed
 from hypothesis import strategies as st
 
 from godwitladder.decisions.allocation import allocate
@@ -12,6 +12,12 @@
 from tests.decisions.pools import add, make_pool, make_target, shed_reasons, take
 
 SERVICES = ("chat", "draft", "call")
+# A derandomized test otherwise takes its seed from its own source, so that rewording
+# it would draw other examples.
+INVARIANTS_SEED = int(
+    "117710387570164569678766492756092005899245289550465193761433"
+    "54446877164930011740685046254614962058544445261938045349"
+)
 
 targets = st.lists(
     st.tuples(
@@ -59,6 +65,7 @@
 pauses = st.lists(st.sampled_from((0.1, 2.0, 20.0)))
 
 
+@seed(INVARIANTS_SEED)
 @given(targets, requests, st.integers(0, 2), pauses)
 def test_invariants_hold_over_runs(target_rows, request_rows, quota, pauses):
     """No run exceeds a bound or sheds in the wrong order, whatever waits.
@@ -66,6 +73,36 @@
     Each pool is run several times while time passes, and the decisions are applied
     between runs, so that requests become late in many ways.
     """
+    check_runs(target_rows, request_rows, quota, pauses)
+
+
+def test_no_lower_tier_is_kept_when_a_higher_expires_without_capacity():
+    """A service without capacity must not shed an expired tier and keep a lower one."""
+    expired = {
+        "rank": 0,
+        "workspace": "w0",
+        "service": "chat",
+        "deadline": 0.5,
+        "prompt_tokens": 0,
+        "predicted_tokens": 0,
+    }
+    lower = {
+        "rank": 1,
+        "workspace": "w0",
+        "service": "chat",
+        "deadline": 3.0,
+        "prompt_tokens": 0,
+        "predicted_tokens": 0,
+    }
+    check_runs(
+        target_rows=[({"chat"}, 0, 0, 5.0)],
+        request_rows=[expired] * 13 + [lower],
+        quota=0,
+        pauses=[0.1, 0.1, 0.1, 0.1, 0.1, 0.1],
+    )
+
+
+def check_runs(target_rows, request_rows, quota, pauses):
     pool = build(target_rows, request_rows, quota)
     now = 0.0
     for pause in [0.0, *pauses]:
