--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -21,10 +21,10 @@
 from godwitladder.ids import Incarnation
 from godwitladder.logs import component_logger
 from godwitladder.membership.actor import (
-    ConfigMoved,
+    ConfigChanged,
+    HostListRead,
     Leave,
     LinkUp,
-    Listed,
     Membership,
 )
 from godwitladder.membership.members import Members
@@ -46,7 +46,7 @@
 from godwitladder.scheduler.rows import Tables
 from godwitladder.scheduler.ticker import Ticker
 from godwitladder.serving.callers import CallerApp
-from godwitladder.serving.keys import KeyParts
+from godwitladder.serving.keys import KeyComponents
 from godwitladder.serving.operators import HostStatus, OperatorApp
 from godwitladder.settings import Settings
 from godwitladder.supervision import watch_threads
@@ -161,9 +161,9 @@
         host, zone = self.settings.host, self.settings.zone
         return Tables(host, zone, self.incarnation, hosts=(host,))
 
-    def make_keys(self) -> KeyParts:
+    def make_keys(self) -> KeyComponents:
         """Return the components that serve calls with idempotency keys."""
-        keys = KeyParts(
+        keys = KeyComponents(
             self.settings,
             self.incarnation,
             self.callers,
@@ -174,7 +174,7 @@
             self.fail,
         )
         self.stack.callback(keys.stop)
-        self.router.takers |= keys.takers()
+        self.router.takers |= keys.message_handlers()
         self.operators.watch = keys.watch
         return keys
 
@@ -290,7 +290,7 @@
         self.scheduler.tell(NewConfig(state))
         self.allocator.tell(NewConfig(state))
         targets = frozenset(target.address for target in state.targets.values())
-        self.membership.tell(ConfigMoved(state.offset, targets))
+        self.membership.tell(ConfigChanged(state.offset, targets))
         self.metrics.config_offset.set({}, state.offset)
 
     def publish_members(self, message: HostsChanged | TargetsLeaving) -> None:
@@ -312,7 +312,7 @@
         client = HostListClient(self.settings.platform.hosts, self.settings.zone)
         while not self.stopping.is_set():
             try:
-                self.membership.tell(Listed(client.read()))
+                self.membership.tell(HostListRead(client.read()))
             except HostListUnavailable as error:
                 log.info("The host list is unavailable", extra={"error": str(error)})
             self.update_metrics()
