--- a/godwitladder/serving/answers.py
+++ b/godwitladder/serving/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers, as the server reads them from the application."""
+"""Answers to callers, as WSGI iterables."""
 
 import http
 import json
@@ -22,11 +22,11 @@
 class StreamedAnswer:
     """A dispatched request's answer as server-sent events.
 
-    The server closes an answer whose caller is gone, also one of which it
-    never asked for a first byte: a generator's own clean-up would not run
-    then. The engine goes on with a stream whose caller is gone, since the
-    caller may resume it at any host; until it ends, its slot is taken, so it
-    is followed to its end in the background.
+    The server closes an answer whose caller has disconnected, even one whose first
+    byte it never read; a generator's own clean-up would not run in that case. The
+    engine continues the stream, since the caller may resume it at any host, and
+    until it ends its slot is taken. It is therefore followed to its end in the
+    background.
     """
 
     def __init__(
@@ -47,16 +47,19 @@
         return self.events
 
     def close(self) -> None:
-        """End the dispatch, or follow it in the background if it runs on."""
+        """Close the answer; follow a stream that still runs in the background."""
         if self.events is not None:
             self.events.close()
         self.follower.close()
         if not self.ending.told:
-            log.info("A caller left its stream", extra={"request": self.identity})
+            log.info(
+                "A caller disconnected from its stream",
+                extra={"request": self.identity},
+            )
             threading.Thread(target=self.follow_on, name="left", daemon=True).start()
 
     def follow_on(self) -> None:
-        """Follow the stream to its end, for nobody but the scheduler."""
+        """Read the stream to its end to report its progress, and discard the chunks."""
         try:
             for _ in self._chunks():
                 pass
@@ -82,7 +85,7 @@
 
 
 def internal_fault() -> Refusal:
-    """Return the refusal for a fault of this system after a dispatch."""
+    """Return the refusal for an internal error of the host after a dispatch."""
     text = "The host failed while it served the request."
     return Refusal(RequestState.MAY_HAVE_RUN, Reason.INTERNAL, text)
 
@@ -100,7 +103,7 @@
 def answer_whole(
     start_response, status: int, kind: str, body: bytes, identity: str
 ) -> list[bytes]:
-    """Start an answer that is had whole; return its body."""
+    """Start an answer whose body is complete, and return the body."""
     headers = [
         ("Content-Type", kind if SOUND_KIND.fullmatch(kind) else PLAIN_KIND),
         ("Content-Length", str(len(body))),
@@ -115,10 +118,10 @@
 def event_bytes(
     batches: Iterable[list], identity: str, start: int = 0
 ) -> Iterator[bytes]:
-    """Yield chunks from ``start`` on as server-sent events.
+    """Yield the chunks with sequence number ``start`` or above as server-sent events.
 
-    An early end is an error event, never just the end. Chunks that arrived
-    together go out in one write.
+    A stream that can't be read to its end finishes with an error event. Chunks that
+    arrived together are written together.
     """
     yield f": request {identity}\n\n".encode()
     try:
@@ -137,6 +140,6 @@
 
 
 def error_event(refusal: Refusal, identity: str) -> bytes:
-    """Return the last event of an answer that is not whole."""
+    """Return the error event that ends a truncated answer."""
     problem = json.dumps({"error": problem_body(refusal, identity)})
     return f"event: error\ndata: {problem}\n\n".encode()
--- a/godwitladder/serving/dispatching.py
+++ b/godwitladder/serving/dispatching.py
@@ -1,4 +1,4 @@
-"""Serving one request: wait for the decision, dispatch once, answer."""
+"""Serves one request: waits for the decision, dispatches the request, answers."""
 
 import queue
 from collections.abc import Callable, Iterable, Mapping
@@ -44,18 +44,18 @@
 
 
 class Dispatcher:
-    """Takes a call from its arrival at the scheduler to its answer.
+    """Serves calls from their submission to the scheduler to their answers.
 
     Parameters
     ----------
     settings : Settings
         Holds the secret that signs request ids.
     scheduler : pykka.ActorRef
-        The actor that decides.
+        The scheduler's actor.
     clock : Clock
         The host's clock.
     metrics : Metrics
-        Where to count.
+        The metrics to update.
     is_crowded : callable
         Returns whether more calls are open than the host has threads for.
     """
@@ -75,7 +75,7 @@
         self.metrics = metrics
 
     def serve(self, call: Call, environ: Mapping, start_response) -> Iterable[bytes]:
-        """Answer one call, once the scheduler has decided about it."""
+        """Answer one call, once the scheduler has decided on it."""
         gone = environ.get("waitress.client_disconnected", lambda: False)
         self.scheduler.tell(Submit(call.row))
         if self.is_crowded():
@@ -108,16 +108,16 @@
 
 
 class Attempt:
-    """One dispatch and what comes of it; the scheduler hears of its end once.
+    """One dispatch of a call; its end is reported to the scheduler exactly once.
 
     Parameters
     ----------
     dispatcher : Dispatcher
-        Whose parts to use.
+        Provides the settings, scheduler, clock and metrics.
     call : Call
-        What to send.
+        The call to send.
     dispatch : Dispatch
-        Where to.
+        The target and the stream id to use.
     """
 
     def __init__(self, dispatcher: Dispatcher, call: Call, dispatch: Dispatch) -> None:
@@ -133,7 +133,7 @@
         dispatcher.metrics.queue_wait.observe({}, waited)
 
     def run(self, gone: Callable[[], bool], start_response) -> Iterable[bytes]:
-        """Write the request to its target and answer with what comes back.
+        """Write the request to its target and answer with the result.
 
         Raises
         ------
@@ -141,8 +141,8 @@
             No byte was written; the scheduler may choose another target.
         """
         if gone():
-            # The caller left between the decision and now. Nothing was
-            # written, so its prefill can still be saved.
+            # The caller disconnected after the decision. Nothing was written yet, so
+            # the target is spared the prefill.
             return self._refuse(start_response, refuse(Reason.CALLER_GONE, GONE))
         try:
             refusal = self.call.before_dispatch()
@@ -171,7 +171,7 @@
         return answer_problem(start_response, refusal, self.identity)
 
     def _lost_refusal(self, error: MayHaveRun) -> Refusal:
-        """Return what to tell of a plain call that has no whole answer."""
+        """Return the refusal for a plain call without a complete answer."""
         if self.clock.monotonic() < self.call.row.deadline:
             return lost(str(error))
         return Refusal(RequestState.MAY_HAVE_RUN, Reason.DEADLINE, LATE)
@@ -220,10 +220,11 @@
         )
 
     def _is_for_nobody(self, tokens: int) -> bool:
-        """Return whether to cancel work whose caller is gone.
+        """Return whether to cancel the work of a caller that has disconnected.
 
-        Only where nobody can come back for the answer: the caller of a joined
-        answer was not told its id yet, and without a key no repeat finds it.
+        That holds only if nobody can fetch the answer later: the caller of a joined
+        answer does not know its request id yet, and without an idempotency key no
+        retry finds the answer.
         """
         row = self.call.row
         if row.key is not None:
@@ -234,9 +235,9 @@
         return fate is DisconnectAction.CANCEL
 
     def _note_cut(self, error: AnswerCut) -> None:
-        """Log a cut answer, and spare the engine the rest of a useless one."""
+        """Log a truncated answer, and cancel the stream if its rest is of no use."""
         log.warning(
-            "An answer was cut",
+            "An answer was truncated",
             extra={"request": self.identity, "error": str(error)},
         )
         if error.refusal.reason not in (Reason.DEADLINE, Reason.CALLER_GONE):
@@ -244,4 +245,7 @@
         try:
             cancel_stream(self.dispatch.address, self.dispatch.stream)
         except (NotSent, MayHaveRun) as fault:
-            log.info("No cancel", extra={"request": self.identity, "error": str(fault)})
+            log.info(
+                "Could not cancel a stream",
+                extra={"request": self.identity, "error": str(fault)},
+            )
--- a/godwitladder/serving/ending.py
+++ b/godwitladder/serving/ending.py
@@ -1,4 +1,4 @@
-"""Tells the scheduler how a dispatched request has ended, exactly once."""
+"""Reports the progress and the end of a dispatched request to the scheduler."""
 
 import threading
 
@@ -10,32 +10,36 @@
 from godwitladder.scheduler.messages import Finished, Progress
 from godwitladder.serving.calls import Call
 
-# Between two reports of the output seen so far. Reservations grow by whole
-# predictions, so that finer steps would change nothing; each report costs a
-# run of the scheduler's systems.
+# Tokens between two progress reports. Reservations grow by whole predictions, so
+# a smaller step would change nothing, and each report costs a run of the
+# scheduler's systems.
 PROGRESS_TOKENS = 64
 
 
 class Ending:
-    """The end of one dispatch, told once on whatever way out comes first.
+    """Reports one dispatch; only the first report of its end counts.
 
-    A dispatch whose end is never told holds its target's slot for good: the
-    target looks full and its service stops. One that is told twice breaks the
-    state machine of the request.
+    A dispatch whose end is never reported holds its target's slot forever: the
+    target looks full and its service stops. An end that is reported twice breaks
+    the state machine of the request.
 
     Parameters
     ----------
     call : Call
-        What was dispatched.
+        The call that was dispatched.
     scheduler : pykka.ActorRef
-        Whom to tell.
+        The scheduler's actor.
     clock : Clock
         The host's clock.
     metrics : Metrics
-        Where to count.
+        The metrics to update.
 
     Attributes
     ----------
+    told : bool
+        Whether the end has been reported.
+    reported : int
+        Number of tokens in the last progress report.
     first_s : float
         Seconds from the call's arrival to its first output; 0 for none.
     """
@@ -53,7 +57,7 @@
         self.lock = threading.Lock()
 
     def report(self, tokens: int) -> None:
-        """Tell of output seen so far: the first, and then from time to time."""
+        """Report the first output, and then each further ``PROGRESS_TOKENS`` tokens."""
         if tokens == 0 or (self.reported and tokens < self.reported + PROGRESS_TOKENS):
             return
         if not self.reported:
@@ -64,7 +68,7 @@
         self.scheduler.tell(Progress(self.call.row.request, tokens))
 
     def tell(self, state: RequestState, tokens: int = 0) -> None:
-        """Tell that the dispatch has ended in ``state``; later calls do nothing."""
+        """Report that the dispatch has ended in ``state``; later calls do nothing."""
         with self.lock:
             if self.told:
                 return
--- a/godwitladder/serving/events.py
+++ b/godwitladder/serving/events.py
@@ -1,7 +1,7 @@
-"""Reads the events of a stream in whole events, with their ids.
+"""Splits a stream of server-sent events into complete events and reads their ids.
 
-A target may stop in the middle of an event. What is passed on ends at the end
-of an event, so that a stream can go on at another target without a torn one.
+A target may stop in the middle of an event. Only complete events are passed on,
+so that another target can resume the stream without a partial event in it.
 """
 
 import re
@@ -18,12 +18,16 @@
 
 
 class EventReader:
-    """Yields the whole events of a response as they arrive.
+    """Yields the complete events of a response as they arrive.
 
     Attributes
     ----------
     last_id : str
-        Id of the last whole event.
+        Id of the last complete event.
+    count : int
+        Number of events since the last call of `take_count`.
+    rest : bytes
+        Start of an event that is not complete yet.
     """
 
     def __init__(self, response: urllib3.BaseHTTPResponse) -> None:
@@ -33,17 +37,17 @@
         self.rest = b""
 
     def take_count(self) -> int:
-        """Return the events since the last call."""
+        """Return the number of events since the last call, and reset it."""
         count, self.count = self.count, 0
         return count
 
     def __iter__(self) -> Iterator[bytes]:
-        """Yield blocks of whole events.
+        """Yield blocks of complete events.
 
         Raises
         ------
         MayHaveRun
-            The stream broke, or ended within an event.
+            The stream broke, ended within an event, or sent one that is too large.
         """
         while block := self.read():
             events, end, rest = (self.rest + block).rpartition(END)
@@ -57,14 +61,14 @@
             raise MayHaveRun("the stream ended within an event")
 
     def read(self) -> bytes:
-        """Return what has arrived; wait only if nothing has."""
+        """Return the bytes that have arrived; block only if there are none."""
         try:
             return self.response.read1(READ_BYTES, decode_content=False)
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise MayHaveRun(f"the stream broke: {error}") from error
 
     def note(self, events: bytes) -> None:
-        """Count ``events`` and remember the last id."""
+        """Count ``events`` and store the id of the last one."""
         ids = ID_LINE.findall(events)
         self.count += len(ids)
         if ids:
--- a/godwitladder/serving/forwarding.py
+++ b/godwitladder/serving/forwarding.py
@@ -1,10 +1,10 @@
-"""Passing a keyed call on to the one host that may answer it.
+"""Forwards a keyed call to the one host that may answer it.
 
 A call goes to the process that claimed or issued its key, over the links
-between hosts, and is answered there as if its caller were connected there. It
-is passed on once at most, by way of one other host where there is no direct
-link. A repeat on the way finds the first by its key, so passing it on twice
-can't run it twice.
+between hosts, and is answered there as if its caller were connected there.
+Without a direct link it goes through one other host, and never through more. A
+retry that arrives meanwhile finds the first call by its key, so forwarding a
+call twice can't run it twice.
 """
 
 import dataclasses
@@ -24,9 +24,9 @@
 
 log = component_logger("forwarding")
 
-# Calls that other hosts may have under way here; each takes a thread.
+# Maximum number of calls from other hosts at a time; each takes a thread.
 CALLS = 64
-# A message between hosts may have 4 MiB.
+# Maximum size of a forwarded body. Messages between hosts are limited to 4 MiB.
 ANSWER_BYTES = 3_145_728
 POLL_S = 0.25
 PASSED_HEADERS = (
@@ -40,14 +40,22 @@
 @peer_message
 @dataclass(frozen=True)
 class ForwardedCall:
-    """A call for one process; the tuples run in parallel.
+    """A call for one process.
 
     Attributes
     ----------
+    query : str
+        Id that matches the answer to the call.
     origin : HostId
-        Where the caller is connected.
+        The host to which the caller is connected.
+    host, incarnation : HostId, Incarnation
+        The process that is to answer.
     direct : bool
-        Whether it comes from there without a host between.
+        Whether the message comes from `origin` itself, not through another host.
+    names, values : tuple of str
+        Names and values of the forwarded WSGI headers, in parallel.
+    timeout_s : float
+        Time left for the answer, in seconds.
     """
 
     query: str
@@ -66,7 +74,17 @@
 @peer_message
 @dataclass(frozen=True)
 class ForwardedAnswer:
-    """The whole answer to a forwarded call; status 0 for none to be had."""
+    """The complete answer to a forwarded call.
+
+    Attributes
+    ----------
+    query, origin : str, HostId
+        As in the `ForwardedCall`.
+    status : str
+        Status line; empty if there is no answer.
+    names, values : tuple of str
+        Names and values of the headers, in parallel.
+    """
 
     query: str
     origin: HostId
@@ -76,13 +94,13 @@
     body: bytes
 
     def start(self, start_response) -> list[bytes]:
-        """Answer the caller with it."""
+        """Start the answer to the caller and return its body."""
         start_response(self.status, list(zip(self.names, self.values, strict=True)))
         return [self.body]
 
 
 class Forwarder:
-    """Sends calls to other hosts and serves theirs.
+    """Forwards calls to other hosts and serves theirs.
 
     Parameters
     ----------
@@ -91,7 +109,7 @@
     mesh : Mesh
         The links between hosts.
     app : callable
-        The application that answers callers.
+        The WSGI application that answers callers.
     clock : Clock
         The host's clock.
     """
@@ -122,8 +140,11 @@
     ) -> ForwardedAnswer | None:
         """Return the answer of the process ``incarnation`` of ``host``.
 
-        None means that it could not be reached, or was lost on the way; the
-        call may have been served there.
+        Returns
+        -------
+        ForwardedAnswer or None
+            None if the process could not be reached or the connection was lost; the
+            call may have been served there.
         """
         call = self._make_call(host, incarnation, environ, body, deadline)
         replies = self.waiting[call.query] = queue.SimpleQueue()
@@ -134,7 +155,7 @@
             del self.waiting[call.query]
 
     def take(self, link: Link, message: ForwardedCall | ForwardedAnswer) -> None:
-        """Take in a message of a peer."""
+        """Handle a message from a peer."""
         if isinstance(message, ForwardedAnswer):
             self._take_answer(message)
         elif message.host != self.host:
@@ -171,7 +192,7 @@
         )
 
     def _send(self, call: ForwardedCall) -> list[Link]:
-        """Send ``call``; return the links that it went over."""
+        """Send ``call``; return the links it was sent over."""
         links = self.mesh.current()
         direct = [link for link in links if link.peer == call.host]
         for link in direct or links:
@@ -181,7 +202,7 @@
     def _await_reply(
         self, replies: queue.SimpleQueue, links: list[Link], deadline: float
     ) -> ForwardedAnswer | None:
-        """Wait for an answer while one of the links that may bring it is up."""
+        """Wait for an answer while one of the links that may deliver it is up."""
         missing = 0
         while self.clock.monotonic() < deadline:
             try:
@@ -230,7 +251,7 @@
 
 
 def call_app(app: Callable, message: ForwardedCall) -> ForwardedAnswer:
-    """Return the whole answer of the application ``app`` (WSGI)."""
+    """Return the complete answer of the WSGI application ``app``."""
     heads = []
 
     def start_response(status, headers, exc_info=None):
@@ -262,7 +283,7 @@
 
 
 def _join(answer: Iterable[bytes]) -> bytes | None:
-    """Return the whole body; None if it is too long for a message."""
+    """Return the complete body; None if it is too long for a message."""
     parts = []
     length = 0
     for part in answer:
--- a/godwitladder/serving/joining.py
+++ b/godwitladder/serving/joining.py
@@ -1,4 +1,4 @@
-"""Joins the events of a stream into one whole chat completion."""
+"""Joins the events of a stream into one complete chat completion."""
 
 import json
 from collections.abc import Callable
@@ -16,17 +16,23 @@
     model: str,
     report: Callable[[int], None] = lambda tokens: None,
 ) -> bytes:
-    """Return one whole chat completion from the chunks of a stream.
+    """Return one complete chat completion, built from the chunks of a stream.
 
     Parameters
     ----------
+    follower : StreamFollower
+        The stream to read.
+    identity : str
+        Id of the completion.
+    model : str
+        Name of the model in the completion.
     report : callable
-        Called with the tokens seen so far.
+        Called with the number of tokens so far.
 
     Raises
     ------
     AnswerCut
-        The stream can't be had to its end, or holds what can't be joined.
+        The stream can't be read to its end, or holds members that can't be joined.
     """
     answer = JoinedAnswer(identity, model)
     for chunks in follower:
@@ -38,7 +44,7 @@
 
 
 class JoinedAnswer:
-    """A chat completion that grows by the events of its stream."""
+    """A chat completion that is built from the events of its stream."""
 
     def __init__(self, identity: str, model: str) -> None:
         self.identity = identity
@@ -48,12 +54,12 @@
         self.usage: dict = {}
 
     def add(self, chunk: Chunk) -> None:
-        """Take in one event.
+        """Add one event.
 
         Raises
         ------
         AnswerCut
-            The event is malformed, or has members that would be left out.
+            The event is malformed, or has members that joining would drop.
         """
         try:
             event = json.loads(chunk.data)
@@ -75,7 +81,7 @@
             self.finishes[index] = choice["finish_reason"]
 
     def to_json(self) -> bytes:
-        """Return the completion."""
+        """Return the completion as JSON."""
         choices = [
             {
                 "index": index,
--- a/godwitladder/serving/lateness.py
+++ b/godwitladder/serving/lateness.py
@@ -1,8 +1,8 @@
-"""Tells why an answer was not in time, as far as the host can see.
+"""Classifies why an answer was late, as far as the host can tell.
 
-An answer's first output, or the whole of a plain one, is due by the call's
-aim; after that no pause of a stream may be longer than its route allows. What
-a caller has spent on earlier tries at other hosts isn't counted here.
+The first output, or the complete answer of a plain service, is due at the row's
+`aim`. After that no pause within a stream may exceed the limit of its route.
+Time that the caller spent on earlier attempts at other hosts is not counted.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class Lateness(enum.Enum):
-    """The first cause for which an answer was late."""
+    """The first cause of a late answer."""
 
     IN_TIME = "in_time"
     WAITED = "waited"
@@ -22,15 +22,23 @@
 def judge_lateness(
     row: RequestRow, first_at: float, pause_s: float, gap_s: float
 ) -> Lateness:
-    """Return why an answer was late, if it was.
+    """Return the first cause for which an answer was late.
 
     Parameters
     ----------
+    row : RequestRow
+        The request's row, with the time of its dispatch and its `aim`.
     first_at : float
-        When its first output came, in seconds of the host's monotonic clock.
-    pause_s, gap_s : float
-        Longest pause that it had, and the longest that it may have; 0 for
-        no bound.
+        When the first output arrived, in seconds of the monotonic clock.
+    pause_s : float
+        Longest pause in the stream, in seconds.
+    gap_s : float
+        Longest pause allowed, in seconds; 0 for no limit.
+
+    Returns
+    -------
+    Lateness
+        `Lateness.IN_TIME` if the answer was not late.
     """
     if row.aim and first_at > row.aim:
         return Lateness.WAITED if row.dispatched > row.aim else Lateness.TARGET
--- a/godwitladder/serving/losses.py
+++ b/godwitladder/serving/losses.py
@@ -24,15 +24,15 @@
 
 
 class LossBook:
-    """What this host and its peers know of lost answers.
+    """Lost answers that this host and its peers have reported.
 
     Parameters
     ----------
     clock : Clock
         The host's clock.
     spread : callable
-        Called with each `AnswerLost` of this host: a caller may send the call
-        to any host next.
+        Called with each `AnswerLost` that this host observed. All hosts need it,
+        since a caller may send the call to any host next.
     """
 
     def __init__(self, clock: Clock, spread: Callable[[AnswerLost], None]) -> None:
@@ -42,24 +42,24 @@
         self.lock = threading.Lock()
 
     def note(self, digest: BodyDigest, target: TargetName) -> None:
-        """Take in a loss that this host has seen, and tell the others."""
+        """Record a loss that this host observed, and send it to the peers."""
         message = AnswerLost(digest, target)
         self.take(message)
         self.spread(message)
 
     def take(self, message: AnswerLost) -> None:
-        """Take in a loss."""
+        """Record a loss that this host or a peer observed."""
         with self.lock:
             now = self.clock.monotonic()
             self.table.record_loss(message.digest, message.target, now)
 
     def held_s(self, digest: BodyDigest) -> float:
-        """Return for how many more seconds a call is held back; 0 for not."""
+        """Return for how many more seconds to hold a call back; 0 if it is not held."""
         with self.lock:
             return self.table.held_s(digest, self.clock.monotonic())
 
 
 def digest_call(workspace: str, path: str, body: bytes) -> BodyDigest:
-    """Return what a call is known by when it comes again."""
+    """Return the digest by which a repeated call is recognized."""
     text = f"{workspace}\n{path}\n".encode() + body
     return BodyDigest(hashlib.blake2b(text, digest_size=12).hexdigest())
--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -1,8 +1,8 @@
-"""Passes one routed call to a target and its answer back, unchanged.
+"""Proxies one routed call to a target and returns the target's answer unchanged.
 
-Whatever goes wrong, the caller gets its own whole answer, an answer that is
-visibly broken, or a refusal that is true: "not run" is said only where no byte
-was written or the target itself said that it ran nothing.
+On any failure the caller gets its own complete answer, an answer that is
+visibly truncated, or a truthful refusal: "not run" is reported only if no byte
+was written or the target itself stated that it did not run the call.
 """
 
 import queue
@@ -33,13 +33,14 @@
 log = component_logger("passing")
 
 CONNECT_S = 0.3
-"""A connection within a region takes 1 to 5 ms. A target that drops it is full
-or gone, and the call may still go to another one in time."""
+"""Connecting within a region takes 1 to 5 ms. A target that does not accept in
+this time is overloaded or down, and another target can still meet the deadline."""
 IDLE_S = 60.0
-"""Longest silence of a target on one connection; the watcher ends calls by
-their own time long before."""
+"""Maximum silence of a target on one connection, in seconds. `CallWatch` ends calls
+at their own deadline long before."""
 LEAST_S = 0.02
-"""With less time left, a target could do nothing for the call."""
+"""Minimum remaining time for a send, in seconds. With less, no target can answer
+in time."""
 REFUSED_RETRY_S = 0.5
 DECISION_S = 1.0
 MISDIRECTED = 421
@@ -48,14 +49,16 @@
 
 @dataclass(frozen=True)
 class Passer:
-    """What every call needs.
+    """Dependencies that all proxied calls share.
 
     Attributes
     ----------
     form : HeaderForm
-        Names of headers on this platform.
+        Header names of this platform.
+    budget : RetryBudget
+        Limits the retries of each service.
     hosts : callable
-        Returns how many hosts share the budget of repeats.
+        Returns the number of hosts that share the retry budget.
     """
 
     form: HeaderForm
@@ -68,7 +71,7 @@
     hosts: Callable[[], int]
 
     def serve(self, call: RoutedCall, gone, start_response) -> Iterable[bytes]:
-        """Answer one call."""
+        """Proxy one call and return the body of its answer."""
         now = self.clock.monotonic()
         self.budget.note_request(call.row.service, now)
         passing = Passing(self, call, gone)
@@ -77,20 +80,23 @@
 
 
 class Passing:
-    """One call, from its arrival at the scheduler to the end of its answer.
+    """One call, from its submission to the scheduler to the end of its answer.
 
     Attributes
     ----------
     sends : int
-        How often it was written to a target.
+        Number of times the call was written to a target.
     running : bool
-        Whether the scheduler counts it as running at a target.
+        Whether the scheduler counts the call as running at a target.
     resume_from : str
-        Last event that the caller has of a stream which goes on elsewhere.
+        Id of the last event sent to the caller, from which another target
+        resumes the stream.
     kept : WholeAnswer or None
-        A failure that a target made, for want of a better answer.
+        A target's error answer (status 500 or above), returned if no retry succeeds.
     pause_s : float
-        Longest time between two events of a stream.
+        Longest time between two events of the stream, in seconds.
+    lost : MayHaveRun or None
+        The error of the last send whose answer was lost.
     """
 
     def __init__(self, passer: Passer, call: RoutedCall, gone) -> None:
@@ -110,11 +116,11 @@
         passer.watch.add(self.open)
 
     def withdraw(self) -> None:
-        """Take the call back while it waits for a target."""
+        """Withdraw the call from the scheduler's queue."""
         self.passer.scheduler.tell(Withdrawn(self.call.row.request))
 
     def run(self, start_response) -> Iterable[bytes]:
-        """Return the answer."""
+        """Return the body of the answer; release all resources if that fails."""
         try:
             return self.answer(start_response)
         except BaseException:
@@ -122,7 +128,7 @@
             raise
 
     def answer(self, start_response) -> Iterable[bytes]:
-        """Send the call until there is an answer or none can be had."""
+        """Send the call until a target answers or no further send is allowed."""
         while True:
             decision = self.await_decision()
             if isinstance(decision, Refusal):
@@ -137,7 +143,7 @@
                 over = self.open.cause is not None
                 self.hand_back(ReturnProof.NOTHING_SENT, avoid=not over)
             except NotRun as error:
-                self.note("The target ran nothing", decision, error)
+                self.note("The target did not run the call", decision, error)
                 refusal = self.after_not_run(error)
                 if refusal:
                     return self.refuse_sent(start_response, refusal)
@@ -152,7 +158,7 @@
                 return self.refuse_sent(start_response, internal_fault())
 
     def await_decision(self) -> Dispatch | Refusal:
-        """Wait for the scheduler."""
+        """Wait until the scheduler dispatches or refuses the call."""
         while True:
             try:
                 decision = self.call.row.decisions.get(timeout=DECISION_S)
@@ -162,19 +168,23 @@
             return decision
 
     def send(self, dispatch: Dispatch) -> urllib3.BaseHTTPResponse:
-        """Write the call to its target and return the head of the answer.
+        """Write the call to its target and return the response with its headers read.
 
         Raises
         ------
-        NotSent, NotRun, MayHaveRun
-            As their names say.
+        NotSent
+            No byte was written.
+        NotRun
+            The target stated that it did not run the call.
+        MayHaveRun
+            The answer was lost or belongs to another call.
         """
         self.target = dispatch.target
         connection = connect(dispatch.address, IDLE_S, CONNECT_S)
         self.connection = connection
         left_s = self.left_s()
         if self.open.cause is not None or left_s < LEAST_S:
-            raise NotSent("the call is over")
+            raise NotSent("the call was aborted or its deadline is too close")
         self.open.attach(connection.sock)
         self.sends += 1
         facts = SendFacts(
@@ -190,11 +200,19 @@
     def check_head(
         self, response: urllib3.BaseHTTPResponse
     ) -> urllib3.BaseHTTPResponse:
-        """Return ``response`` if it answers this call."""
+        """Return ``response`` if its headers show that it answers this call.
+
+        Raises
+        ------
+        NotRun
+            The target did not run the call.
+        MayHaveRun
+            The response belongs to another call, or a success is unsigned.
+        """
         facts = self.passer.form.read_answer(response.headers)
         if facts.not_run or response.status == MISDIRECTED:
             raise NotRun(f"answered {response.status}")
-        # A target may hand out another request's answer; its id tells.
+        # A target may return the answer to another request; the attempt id reveals it.
         if facts.attempt != self.call.facts.attempt:
             raise MayHaveRun("the answer belongs to another request")
         if 200 <= response.status < 300 and not facts.signature:
@@ -204,7 +222,7 @@
     def take_answer(
         self, response: urllib3.BaseHTTPResponse, start_response
     ) -> Iterable[bytes] | None:
-        """Return the target's answer as the caller's; None if it is tried again."""
+        """Return the body for the caller, or None if the call is retried instead."""
         if is_stream(response):
             return StreamPassing(self, response).begin(start_response)
         body = read_whole(response)
@@ -218,10 +236,10 @@
         return whole.start(start_response)
 
     def finish(self, state: RequestState, tokens: int = 0) -> None:
-        """Tell the end of the call, and let go of its target."""
+        """Report the end of the call to the scheduler and release the target."""
         self.close()
         if self.running:
-            # A call that waits, or was refused while it did, holds no target.
+            # A call that was queued, or refused while queued, holds no target.
             self.ending.tell(state, tokens)
         row = self.call.row
         took_s = self.clock.monotonic() - row.arrived
@@ -241,10 +259,10 @@
         log.info("A call has ended", extra=extra)
 
     def refuse(self, start_response, refusal: Refusal) -> Iterable[bytes]:
-        """Answer a call that waits no longer.
+        """Answer a call that the scheduler refused.
 
-        One that was sent before may have run there: the caller gets the
-        failure that came of that, and no promise that nothing ran.
+        If it was sent before, it may have run: the caller then gets the error of that
+        send instead of a refusal that says that nothing ran.
         """
         self.close()
         if self.kept:
@@ -268,12 +286,12 @@
         return answer_problem(start_response, refusal, exact=True)
 
     def refuse_sent(self, start_response, refusal: Refusal) -> Iterable[bytes]:
-        """Answer a call that was sent and has no answer of its target."""
+        """Answer a call that was sent and got no answer from its target."""
         self.finish(refusal.outcome)
         return answer_problem(start_response, refusal, exact=True)
 
     def after_not_run(self, error: NotRun) -> Refusal | None:
-        """Hand the call back to wait, or return why it may not go on."""
+        """Return the call to the queue, or a refusal if it can't be sent again."""
         if self.may_send_again():
             self.hand_back(ReturnProof.TARGET_SAID)
             return None
@@ -281,14 +299,14 @@
         return refuse(Reason.TARGET_REFUSED, text, REFUSED_RETRY_S)
 
     def repeat(self) -> bool:
-        """Hand an idempotent call back to wait; return whether that was done."""
+        """Return an idempotent call to the queue; return whether that was done."""
         if not self.call.row.idempotent or not self.may_send_again():
             return False
         self.hand_back(ReturnProof.IDEMPOTENT)
         return True
 
     def may_send_again(self) -> bool:
-        """Return whether one more send is within all bounds."""
+        """Return whether time, number of sends and retry budget allow one more send."""
         if self.open.cause is not None or self.left_s() < LEAST_S:
             return False
         if self.sends >= self.call.route.max_sends:
@@ -297,36 +315,44 @@
         return self.passer.budget.take(self.call.row.service, self.passer.hosts(), now)
 
     def hand_back(self, proof: ReturnProof, avoid: bool = True) -> None:
-        """Let the call wait for another target."""
+        """Return the call to the scheduler's queue.
+
+        Parameters
+        ----------
+        proof : ReturnProof
+            Why sending the call again is safe.
+        avoid : bool, default=True
+            Whether to avoid the last target.
+        """
         self.disconnect()
         self.running = False
         self.passer.scheduler.tell(Returned(self.call.row.request, proof, avoid))
 
     def lost_refusal(self, error: MayHaveRun) -> Refusal:
-        """Return what to tell of a call that may have run."""
+        """Return the refusal for a call that may have run."""
         if self.open.cause is Cause.TIMEOUT or self.left_s() <= 0:
             return Refusal(RequestState.MAY_HAVE_RUN, Reason.DEADLINE, LATE)
         text = f"The target was lost with the request: {error}."
         return Refusal(RequestState.MAY_HAVE_RUN, Reason.TARGET_LOST, text)
 
     def left_s(self) -> float:
-        """Return the seconds left of the call's time."""
+        """Return the time until the call's deadline in seconds."""
         return self.call.until - self.clock.monotonic()
 
     def disconnect(self) -> None:
-        """Close the connection to the target."""
+        """Close the connection to the target, if there is one."""
         self.open.detach()
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
     def close(self) -> None:
-        """Let go of everything the call holds."""
+        """Disconnect from the target and stop watching the call."""
         self.disconnect()
         self.passer.watch.remove(self.open)
 
     def names(self) -> dict[str, str]:
-        """Return what a log line says of which call it is about."""
+        """Return the log fields that identify the call and its target."""
         return {
             "request": self.call.facts.attempt,
             "route": self.call.route.name,
@@ -334,7 +360,7 @@
         }
 
     def note(self, text: str, dispatch: Dispatch, error: Exception) -> None:
-        """Log what became of a send."""
+        """Log why a send failed."""
         cause = self.open.cause
         extra = self.names() | {
             "address": dispatch.address,
@@ -344,12 +370,12 @@
         log.info(text, extra=extra)
 
     def note_loss(self) -> None:
-        """Remember that the target lost the answer, unless it was cut here."""
+        """Record that the target lost the answer, unless this host aborted the call."""
         if self.open.cause is None:
             self.passer.losses.note(self.call.row.body, self.target)
 
     def note_send(self, dispatch: Dispatch, left_s: float) -> None:
-        """Log a send."""
+        """Log a send and record its queueing time."""
         waited_s = self.clock.monotonic() - self.call.row.arrived
         self.passer.metrics.queue_wait.observe({}, waited_s)
         extra = self.names() | {
--- a/godwitladder/serving/relay.py
+++ b/godwitladder/serving/relay.py
@@ -1,8 +1,8 @@
-"""Follows the stream of one request to its end, over as many connections as needed.
+"""Follows a request's stream to its end, reconnecting as often as needed.
 
-What a caller gets is its own answer, whole, or an explicit error: a chunk
-that is not the next one of its own stream is never passed on, and a
-connection that breaks or goes silent is replaced by resuming the stream.
+The caller gets its own complete answer or an explicit error. Only the next
+chunk of the caller's own stream is ever passed on, and a connection that breaks
+or goes silent is replaced by resuming the stream.
 """
 
 import re
@@ -22,27 +22,27 @@
 from godwitladder.ids import StreamId
 from godwitladder.outcomes import Reason, Refusal, RequestState
 
-# Engines send a heartbeat each second; three missing ones mean a connection
-# that something between the two ends has lost track of.
+# Engines send a heartbeat every second. Three missing ones mean that the
+# connection is dead, even if neither end was told so.
 IDLE_S = 3.0
-# Tries in a row that yield nothing. With the pauses below they span 3 s beside
-# the connections' own timeouts, which covers a restart of a process.
+# Consecutive connections without a new chunk. With the backoff below they span
+# 3 s plus the connection timeouts, which covers the restart of a process.
 RESUME_TRIES = 5
 FIRST_PAUSE_S = 0.1
-# Chunks kept that came before an earlier one. Beyond that a chunk is taken to
-# be lost on this connection rather than late, and is asked for again.
+# Maximum number of chunks buffered ahead of a missing one. Beyond that the
+# missing chunk counts as lost on this connection and is requested again.
 EARLY_CHUNKS = 64
-# In a chunk's own text the quotes would be escaped, so this can't match there.
+# Quotes within the generated text are escaped, so this can't match there.
 FINISH_REASON = re.compile(rb'"finish_reason"\s*:\s*"')
 
 
 class AnswerCut(GodwitladderError):
-    """The stream can't be had to its end; says what the caller is told.
+    """The stream can't be read to its end.
 
     Parameters
     ----------
     refusal : Refusal
-        With the true outcome of the request.
+        The refusal for the caller, with the true outcome of the request.
     """
 
     def __init__(self, refusal: Refusal) -> None:
@@ -51,23 +51,23 @@
 
 
 class StreamGap(MayHaveRun):
-    """A chunk did not come on a connection that sent later ones."""
+    """A chunk is missing on a connection that delivered later ones."""
 
 
 @dataclass
 class StreamTally:
-    """What a stream has yielded so far.
+    """What has been read of a stream so far.
 
     Attributes
     ----------
     next : int
-        Sequence of the chunk to come.
+        Sequence number of the next chunk.
     tokens : int
-        Chunks that carried output.
+        Number of chunks that carried output.
     finished : bool
-        Whether a chunk told why the answer ends.
+        Whether a chunk gave a finish reason.
     whole : bool
-        Whether the answer has been had to its end.
+        Whether the answer was read to its end.
     """
 
     next: int = 0
@@ -76,14 +76,14 @@
     whole: bool = False
 
     def note(self, chunk: Chunk) -> None:
-        """Take in the next chunk.
+        """Count the next chunk.
 
         Raises
         ------
         AnswerCut
-            The engine says that it is done, but never said why. It does so
-            when its own process dropped the request: passed on, the end
-            would make a cut answer look whole.
+            The end marker came without a finish reason. Engines send this when their
+            own process dropped the request; passed on, it would make a truncated
+            answer look complete.
         """
         self.next += 1
         if chunk.data != DONE:
@@ -104,13 +104,14 @@
     Parameters
     ----------
     address : str
-        Where the target listens.
+        Address of the target.
     stream : StreamId
-        The stream's name at the target.
+        The stream's id at the target.
     clock : Clock
         The host's clock.
     deadline : float
-        Monotonic seconds after which the answer is of no use.
+        Time by which the answer must be complete, in seconds of the monotonic
+        clock.
     opened : EngineStream or None
         The connection that dispatched the request, if this host did.
     """
@@ -132,19 +133,19 @@
         self.early: dict[int, Chunk] = {}
 
     def close(self) -> None:
-        """Close the connection; the stream itself goes on at the engine."""
+        """Close the connection; the engine continues to run the stream."""
         self.early.clear()
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
     def __iter__(self) -> Iterator[list[Chunk]]:
-        """Yield the next chunks as they come; an empty list is a heartbeat.
+        """Yield batches of chunks as they arrive; an empty list is a heartbeat.
 
         Raises
         ------
         AnswerCut
-            The stream can't be had to its end.
+            The stream can't be read to its end.
         """
         vain = 0
         while not self.tally.whole:
@@ -179,10 +180,10 @@
             raise AnswerCut(lost(text)) from error
 
     def _order(self, chunks: list[Chunk]) -> list[Chunk]:
-        """Return the chunks that are next, keeping those that are early.
+        """Return the chunks that are next in sequence; buffer later ones.
 
-        Chunks of another stream come when something between host and engine
-        mixes up connections; repeated ones after a resume.
+        Drops chunks of other streams, which arrive when connections between host and
+        engine are mixed up, and chunks that a resumed connection repeats.
         """
         ready = []
         for chunk in chunks:
@@ -208,16 +209,17 @@
 
 
 def lost(detail: str) -> Refusal:
-    """Return the refusal for a target that was lost after the first byte."""
+    """Return the refusal for a target that was lost after the first byte was sent."""
     text = f"The target was lost with the request: {detail}."
     return Refusal(RequestState.MAY_HAVE_RUN, Reason.TARGET_LOST, text)
 
 
 def open_for(address: str, stream: StreamId, body: bytes) -> EngineStream | None:
-    """Dispatch ``body``; None if the engine may have it but did not answer.
+    """Dispatch ``body``; return None if the engine gave no answer but may have it.
 
-    What was written is never written again; the stream is resumed instead,
-    which a stream id that the engine does not know can't start.
+    A request that was written is never written a second time. Its stream is
+    resumed instead; resuming a stream id that the engine does not know starts
+    nothing.
 
     Raises
     ------
--- a/godwitladder/serving/resuming.py
+++ b/godwitladder/serving/resuming.py
@@ -1,8 +1,8 @@
-"""``GET /v1/requests/{id}``: the answer of a request, from any host.
+"""``GET /v1/requests/{id}``: returns the answer to a request, from any host.
 
-Resuming dispatches nothing. What it needs stands in the signed id and in the
-configuration, so that a caller whose host has died gets the rest of its
-answer from another one.
+Resuming dispatches nothing. The signed id and the configuration hold all that
+is needed, so a caller whose host has failed gets the rest of its answer from
+another host.
 """
 
 import itertools
@@ -21,8 +21,8 @@
 from godwitladder.serving.request_ids import ForgedId, RequestName, read_request
 
 RESUME_TIMEOUT_S = 300.0
-# The reason to finish stands in one of the last chunks. They are read again, so
-# that the end of an answer resumed behind them can still be told from a cut.
+# The finish reason is in one of the last chunks. These are read again, so that a
+# stream resumed after them can still be told apart from a truncated one.
 LOOK_BACK = 4
 
 
@@ -35,12 +35,13 @@
     clock: Clock,
     start_response,
 ) -> Iterable[bytes]:
-    """Answer with the stream of ``identity`` from where the caller says.
+    """Answer with the stream of ``identity`` from the requested event on.
 
     Raises
     ------
     CallRefused
-        The id is not one of this caller's.
+        The id is invalid or belongs to another caller, or the answer is no longer
+        available.
     """
     name, target = find_request(identity, caller, config, secret)
     start = read_start(environ)
@@ -52,8 +53,8 @@
             return answer_whole(start_response, 200, "application/json", body, identity)
         follower.tally.next = max(0, start - LOOK_BACK)
         batches = iter(follower)
-        # The first read comes before the answer starts: a stream that can't
-        # be had is told by the status then.
+        # The first batch is read before the answer starts, so that a stream that is
+        # no longer available is reported by the status.
         first = next(batches, [])
     except AnswerCut as error:
         return answer_problem(start_response, error.refusal, identity)
@@ -64,12 +65,13 @@
 def find_request(
     identity: str, caller: Caller, config: ConfigState, secret: str
 ) -> tuple[RequestName, Target]:
-    """Return what ``identity`` names and the target that has it.
+    """Return the request that ``identity`` names and the target that holds its answer.
 
     Raises
     ------
     CallRefused
-        The id is not one of this caller's, or its answer can't be had again.
+        The id is invalid or belongs to another caller, or the answer is no longer
+        available.
     """
     try:
         name = read_request(secret, identity)
@@ -87,17 +89,19 @@
 
 
 def unavailable(detail: str) -> CallRefused:
-    """Return the refusal of a request whose answer can't be had again."""
+    """Return the error for a request whose answer is no longer available."""
     return CallRefused(Refusal(RequestState.MAY_HAVE_RUN, Reason.TARGET_LOST, detail))
 
 
 def read_start(environ: Mapping) -> int:
-    """Return the first event wanted: after ``Last-Event-ID``, or ``from``.
+    """Return the number of the first event to send.
+
+    That is the one after ``Last-Event-ID``, or else the query parameter ``from``.
 
     Raises
     ------
     CallRefused
-        It is no whole number.
+        The value is not a whole number.
     """
     last = environ.get("HTTP_LAST_EVENT_ID")
     query = parse_qs(environ.get("QUERY_STRING", ""))
--- a/godwitladder/serving/streaming.py
+++ b/godwitladder/serving/streaming.py
@@ -1,4 +1,4 @@
-"""Passes the events of a routed call on, and goes on at another target."""
+"""Proxies the event stream of a routed call and resumes it at another target."""
 
 from collections.abc import Iterator
 from typing import TYPE_CHECKING
@@ -18,12 +18,18 @@
 
 
 class StreamPassing:
-    """Passes the events of a stream on, and resumes it where that is allowed.
+    """Proxies the events of a stream and resumes it where the route allows that.
 
     Attributes
     ----------
+    events : int
+        Number of events passed on.
+    whole : bool
+        Whether the stream was passed on to its end.
+    last_id : str
+        Id of the last event passed on.
     heard : float
-        When the last events came; 0 before the first.
+        Monotonic time at which the last events arrived; 0 before the first.
     """
 
     def __init__(self, passing: "Passing", response: urllib3.BaseHTTPResponse) -> None:
@@ -35,14 +41,20 @@
         self.heard = 0.0
 
     def begin(self, start_response) -> "StreamPassing":
-        """Send the head of the answer."""
+        """Send the status and headers to the caller."""
         response = self.reader.response
         headers = self.passing.passer.form.for_caller(response.headers.items())
         start_response(f"{response.status} {response.reason or ''}", headers)
         return self
 
     def __iter__(self) -> Iterator[bytes]:
-        """Yield events as they come; a stream that breaks raises."""
+        """Yield events as they arrive.
+
+        Raises
+        ------
+        StreamCut
+            The stream broke and could not be resumed.
+        """
         while not self.whole:
             try:
                 for block in self.reader:
@@ -54,7 +66,7 @@
         self.passing.finish(RequestState.COMPLETED, self.tokens())
 
     def note_events(self) -> None:
-        """Take in the events that were read."""
+        """Record the events just read and report the progress."""
         self.events += self.reader.take_count()
         self.last_id = self.reader.last_id or self.last_id
         now = self.passing.clock.monotonic()
@@ -64,16 +76,16 @@
         self.passing.ending.report(self.tokens())
 
     def tokens(self) -> int:
-        """Return the output tokens so far."""
+        """Return the number of output tokens so far."""
         return self.events * self.passing.call.event_tokens
 
     def resume(self, error: MayHaveRun) -> None:
-        """Go on at another target, or break the answer.
+        """Resume the stream at another target.
 
         Raises
         ------
         StreamCut
-            The stream may not go on, or no target takes it.
+            The route does not allow it, or no target continues the stream.
         """
         passing = self.passing
         extra = passing.names() | {"error": str(error), "events": self.events}
@@ -88,7 +100,7 @@
         self.reader = EventReader(response)
 
     def reopen(self) -> urllib3.BaseHTTPResponse | None:
-        """Return the rest of the stream from another target, if one gives it."""
+        """Return a response that continues the stream; None if no target gives one."""
         passing = self.passing
         while passing.repeat():
             decision = passing.await_decision()
@@ -97,13 +109,13 @@
             try:
                 response = passing.send(decision)
             except (NotSent, NotRun, MayHaveRun) as error:
-                passing.note("A stream did not go on", decision, error)
+                passing.note("Could not resume a stream", decision, error)
                 continue
             if is_stream(response):
                 return response
         return None
 
     def close(self) -> None:
-        """End the call on whatever way out; called by the server."""
+        """End the call; the server calls this on every exit path."""
         if not self.whole:
             self.passing.finish(RequestState.FAILED, self.tokens())
--- a/godwitladder/serving/upstream.py
+++ b/godwitladder/serving/upstream.py
@@ -1,4 +1,4 @@
-"""What a target answers to a routed call, and what it means that it does not."""
+"""Answers of targets to routed calls, and the errors in reading them."""
 
 from dataclasses import dataclass
 
@@ -9,11 +9,11 @@
 
 
 class NotRun(GodwitladderError):
-    """The target says that it did not run the request."""
+    """The target stated that it did not run the request."""
 
 
 class StreamCut(GodwitladderError):
-    """The rest of a stream can't be had; its answer must look broken."""
+    """The rest of a stream is not available; the caller must see a broken answer."""
 
     logged = True
 
@@ -27,24 +27,24 @@
     body: bytes
 
     def start(self, start_response) -> list[bytes]:
-        """Answer the caller with it."""
+        """Start the answer to the caller and return its body."""
         start_response(self.status, self.headers)
         return [self.body]
 
 
 def is_stream(response: urllib3.BaseHTTPResponse) -> bool:
-    """Return whether an answer is a stream of events."""
+    """Return whether a response is a stream of server-sent events."""
     kind = response.headers.get("Content-Type", "")
     return response.status == 200 and kind.startswith("text/event-stream")
 
 
 def read_whole(response: urllib3.BaseHTTPResponse) -> bytes:
-    """Return the whole body of an answer.
+    """Return the complete body of a response.
 
     Raises
     ------
     MayHaveRun
-        It broke off.
+        The connection broke before the end.
     """
     try:
         return response.read(decode_content=False)
--- a/godwitladder/serving/watch.py
+++ b/godwitladder/serving/watch.py
@@ -1,8 +1,9 @@
-"""Ends calls whose caller has left or whose time is up, from outside.
+"""Aborts calls whose caller has disconnected or whose deadline has passed.
 
-A thread that waits for a target's next byte can't look after its caller. One
-watcher looks at all open calls some times a second and breaks the connection
-to the target under the waiting thread, which then finds the cause here.
+A thread that blocks on a target's next byte can't check its caller. One watcher
+thread checks all open calls several times a second and shuts down the
+connection to the target. The blocked thread wakes and finds the cause in
+`OpenCall.cause`.
 """
 
 import enum
@@ -14,11 +15,12 @@
 from godwitladder.clock import Clock
 
 STEP_S = 0.05
-"""Callers that left are to be noticed within half a second; ten looks."""
+"""Interval between checks in seconds. A disconnected caller must be noticed within
+half a second, which leaves ten checks."""
 
 
 class Cause(enum.Enum):
-    """Why a call was ended from outside."""
+    """Why a call was aborted."""
 
     CALLER_GONE = "caller_gone"
     TIMEOUT = "timeout"
@@ -33,13 +35,14 @@
     gone : callable
         Returns whether the caller has closed its connection.
     until : float
-        Monotonic time at which the call's time is up.
+        Deadline in seconds of the monotonic clock.
     withdraw : callable
-        Called when the call is to end while it waits for a target.
+        Called if the caller has disconnected while the call has no connection to
+        a target.
     sock : socket or None
-        Connection to the target, once there is one.
+        The connection to the target, if there is one.
     cause : Cause or None
-        Why the call is to end.
+        Why the call is aborted; None while it is not.
     """
 
     gone: Callable[[], bool]
@@ -49,28 +52,28 @@
     cause: Cause | None = None
 
     def attach(self, sock: socket.socket) -> None:
-        """Let the watcher break ``sock``; at once if it is too late already."""
+        """Set the connection to the target; shut it down if the call was aborted."""
         self.sock = sock
         if self.cause is not None:
             self.cut()
 
     def detach(self) -> None:
-        """Forget the connection: it is closed or the answer is whole."""
+        """Clear the connection, so that the watcher no longer shuts it down."""
         self.sock = None
 
     def cut(self) -> None:
-        """Break the connection under whoever reads from it."""
+        """Shut down the connection, which wakes a thread that reads from it."""
         sock = self.sock
         if sock is None:
             return
         try:
             sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            # It is closed already, which is all that was wanted.
+            # The connection is closed already.
             return
 
     def look(self, now: float) -> None:
-        """End the call if its caller left or its time is up."""
+        """Abort the call if its caller has disconnected or its deadline has passed."""
         if self.cause is None:
             if self.gone():
                 self.cause = Cause.CALLER_GONE
@@ -84,7 +87,7 @@
 
 
 class CallWatch:
-    """The table of open calls and the thread that looks at them."""
+    """The table of open calls and the thread that checks them."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -94,36 +97,36 @@
         self.busy = threading.Event()
 
     def start(self) -> None:
-        """Start to look."""
+        """Start the thread."""
         threading.Thread(target=self.run, name="watch", daemon=True).start()
 
     def stop(self) -> None:
-        """Stop looking."""
+        """Stop the thread."""
         self.stopping.set()
         self.busy.set()
 
     def add(self, call: OpenCall) -> None:
-        """Look after ``call`` from now on."""
+        """Start to watch ``call``."""
         with self.lock:
             self.calls[id(call)] = call
             self.busy.set()
 
     def remove(self, call: OpenCall) -> None:
-        """Stop looking after ``call``."""
+        """Stop watching ``call``."""
         with self.lock:
             self.calls.pop(id(call), None)
             if not self.calls and not self.stopping.is_set():
                 self.busy.clear()
 
     def run(self) -> None:
-        """Look until stopped; a host without calls doesn't wake for it."""
+        """Check the calls until stopped; sleep while there are none."""
         while not self.stopping.is_set():
             self.busy.wait()
             self.clock.wait(self.stopping, STEP_S)
             self.look()
 
     def look(self) -> None:
-        """Look at each open call once."""
+        """Check each open call once."""
         now = self.clock.monotonic()
         with self.lock:
             calls = list(self.calls.values())
--- a/tests/serving/test_dispatching.py
+++ b/tests/serving/test_dispatching.py
@@ -1,4 +1,4 @@
-"""Every way out of a dispatch frees its target and tells the truth."""
+"""Every exit path of a dispatch frees its target and reports the true outcome."""
 
 import contextlib
 import dataclasses
@@ -37,11 +37,11 @@
 
 @pytest.mark.parametrize("taken", [0, 1, 3])
 def test_a_caller_that_leaves_its_stream_frees_the_target(stack, taken):
-    """A caller that hangs up must not make the target look full for good.
+    """A caller that disconnects must not occupy its target's slot forever.
 
-    The server closes the answer after some bytes, or before it asked for the
-    first. The engine still runs the stream, so the slot is given back when
-    that ends, and the end is told once.
+    The server closes the answer after some events, or before it read the first. The
+    engine still runs the stream, so the slot is freed when that ends, and the end
+    is reported once.
     """
     app, _ = with_engine(stack)
     answer = app.chat(stream=True)
@@ -54,7 +54,7 @@
 
 
 def test_a_caller_gone_before_the_dispatch_costs_no_prefill(stack):
-    """The caller hangs up while it waits, just as its turn comes."""
+    """The caller disconnects in the queue, just as its request is dispatched."""
     app, engine = with_engine(stack)
     answer = app.chat({"waitress.client_disconnected": lambda: True})
     assert answer.problem()["reason"] == "caller_gone"
@@ -68,11 +68,11 @@
     [(False, "", "cancelled"), (False, "k1", "done"), (True, "", "done")],
 )
 def test_work_that_nobody_can_come_back_for_is_cancelled(stack, streamed, key, state):
-    """The caller hangs up after the first tokens of a long answer.
+    """The caller disconnects after the first tokens of a long answer.
 
-    A joined answer without a key can't be had by anybody any more, and the
-    engine is spared the rest. A streamed one can be resumed by its id, and
-    one with a key is found by its repeat: these run to their end.
+    Nobody can fetch a joined answer without a key any more, so it is cancelled at
+    the engine. A streamed answer can be resumed by its id, and one with a key is
+    found by a retry, so these run to their end.
     """
     app, engine = with_engine(stack)
     left = []
@@ -91,7 +91,7 @@
 
 
 def make_leaving(engine, left):
-    """Return a started thread that lets the caller leave at the first token."""
+    """Return a started thread that disconnects the caller at the first token."""
 
     def leave():
         with engine.changed:
@@ -109,10 +109,10 @@
     "status, outcome", [(429, "not_run"), (503, "not_run"), (500, "may_have_run")]
 )
 def test_an_engine_that_turns_away_is_reported_as_it_answered(stack, status, outcome):
-    """The caller may send again only what surely did not run.
+    """The caller may retry only what surely did not run.
 
-    A 429 or 503 says that the engine did not take the request. A 500 may
-    come from the middle of its work, and must not be told as not run.
+    A 429 or 503 means that the engine did not accept the request. A 500 may come
+    from the middle of the work, and must not be reported as not run.
     """
     app, _ = with_engine(stack, refuse_status=status)
     problem = app.chat().problem()
@@ -122,7 +122,7 @@
 
 
 def test_an_engine_whose_first_answer_is_lost_is_resumed(stack):
-    """The answer's head is lost; the request runs once and comes whole."""
+    """The response headers are lost, but the request runs once and completes."""
     app, engine = with_engine(stack, hang_up_before_answer=1)
     answer = app.chat()
     assert answer.status == "200 OK"
@@ -136,11 +136,11 @@
 def test_connections_that_break_or_go_silent_are_replaced(
     stack, monkeypatch, knobs, stream
 ):
-    """The caller of a connection that died gets its whole answer all the same.
+    """A caller gets its complete answer although connections to the engine fail.
 
-    Each connection to the engine carries three chunks, and then breaks or
-    says nothing more while new connections work. The stream is resumed on a
-    new one each time, and the request runs once.
+    Each connection carries three chunks, and then breaks or goes silent while new
+    connections work. The stream is resumed on a new one each time, and the request
+    runs once.
     """
     monkeypatch.setattr(relay, "IDLE_S", 0.1)
     app, engine = with_engine(stack, **knobs)
@@ -153,10 +153,11 @@
 
 @pytest.mark.parametrize("stream", [True, False])
 def test_an_answer_without_a_finish_is_an_error_for_the_caller(stack, stream):
-    """An engine that drops a request half-way must not yield a short letter.
+    """A truncated answer of an engine must not look complete.
 
-    It ends the stream with the usual mark but no reason to finish. The
-    streamed answer ends in an error event, the joined one is an error status.
+    The engine drops the request and ends the stream with the usual marker but no
+    finish reason. The streamed answer ends in an error event, the joined one has an
+    error status.
     """
     app, _ = with_engine(stack, drop_finish=True)
     answer = app.chat(stream=stream)
@@ -170,7 +171,7 @@
 
 @pytest.mark.parametrize("stream", [True, False])
 def test_a_late_stream_ends_in_an_error_and_is_cancelled(stack, stream):
-    """Past the deadline the caller is told so, and the engine is spared."""
+    """After the deadline the caller gets an error and the stream is cancelled."""
     app, engine = with_engine(stack)
     app.wait_allowed()
     answer = app.chat({"HTTP_REQUEST_TIMEOUT": "0.3"}, stream=stream, max_tokens=4000)
@@ -184,7 +185,7 @@
 
 @pytest.mark.parametrize("stream", [True, False])
 def test_a_fault_of_the_host_itself_frees_the_target(stack, monkeypatch, stream):
-    """An error nobody foresaw must not hold the slot, nor pass as not run."""
+    """An unexpected error must not hold the slot, nor be reported as not run."""
 
     def fail(*args):
         raise RuntimeError("unforeseen")
@@ -200,10 +201,10 @@
     "knob", ["lose_answers", "cut_answers", "unframed_answers", "foreign_answers"]
 )
 def test_a_plain_answer_that_is_not_whole_or_not_its_own_is_an_error(stack, knob):
-    """The desk must not take a cut or foreign answer for its own.
+    """The caller must not get a truncated answer or that of another call.
 
-    The service runs the call and the answer is lost, ends before its stated
-    length, states no length at all, or names another call.
+    The service runs the call and the answer is lost, ends before its stated length,
+    states no length at all, or names another call.
     """
     app, service = with_service(stack, **{knob: 1})
     answer = app.ask("POST", "/v1/services/charge", b"order 7")
@@ -215,7 +216,7 @@
 
 
 def test_a_slow_plain_call_ends_at_its_deadline_and_may_have_run(stack):
-    """The desk must not take a charge that is merely slow for one not made."""
+    """A charge that is only slow must not be reported as not run."""
     app, service = with_service(stack, delay_s=1.0)
     answer = app.ask("POST", "/v1/services/charge", b"x", HTTP_REQUEST_TIMEOUT="0.3")
     assert answer.status.startswith("504")
@@ -226,7 +227,7 @@
 
 
 def test_a_connection_refused_frees_the_target_and_waits_on(stack):
-    """Nothing was written, so the request waits until its deadline."""
+    """Nothing was written, so the request stays queued until its deadline."""
     app = App(stack, service="127.0.0.1:9")
     answer = app.ask("POST", "/v1/services/charge", b"x", HTTP_REQUEST_TIMEOUT="0.3")
     assert answer.problem()["outcome"] == "not_run"
@@ -235,7 +236,7 @@
 
 
 def test_the_rest_of_an_answer_can_be_had_again(stack):
-    """A caller that lost its connection goes on after the last event it saw."""
+    """A caller that lost its connection resumes after the last event it received."""
     app, _ = with_engine(stack)
     answer = app.chat(stream=True)
     whole = answer.read()
@@ -252,7 +253,7 @@
 
 
 def test_what_can_not_be_had_again_is_told(stack):
-    """The engine restarted and forgot the stream; the id is another's."""
+    """The engine restarted and lost the stream, or the id belongs to another caller."""
     app, engine = with_engine(stack)
     answer = app.chat()
     answer.read()
@@ -267,7 +268,7 @@
 
 
 def test_a_cancel_that_fails_changes_nothing(stack, monkeypatch):
-    """The deadline's error reaches the caller though the engine is gone."""
+    """The caller gets the deadline error although the engine is unreachable."""
 
     def fail(*args):
         raise MayHaveRun("gone")
@@ -280,10 +281,10 @@
 
 
 def test_a_call_that_the_server_can_not_start_does_not_hold_up_a_stop(stack):
-    """A planned stop waits for open calls, and for no others.
+    """A planned stop waits for open calls only.
 
-    The server refuses to start the answer, here for a header it does not
-    take. It never gets an answer to close, and the call is over all the same.
+    The server refuses to start the answer, here because of an invalid header. It
+    never gets an answer to close, but the call must not stay open.
     """
 
     def refuse_start(status, headers):
@@ -297,7 +298,7 @@
 
 
 def test_a_fault_right_before_the_dispatch_frees_the_target(stack):
-    """What guards a dispatch may fail too, and must not hold the slot."""
+    """An error in the checks before a dispatch must not hold the slot."""
 
     def fail():
         raise RuntimeError("unforeseen")
--- a/tests/serving/test_ending.py
+++ b/tests/serving/test_ending.py
@@ -1,4 +1,4 @@
-"""The end of a dispatch is told to the scheduler once."""
+"""The end of a dispatch is reported to the scheduler exactly once."""
 
 from types import SimpleNamespace
 
@@ -18,10 +18,10 @@
 
 
 def test_two_ways_out_of_a_dispatch_tell_its_end_once():
-    """A stream ends just as its caller leaves: both ways out tell of it.
+    """A stream ends just as its caller disconnects: both exit paths report the end.
 
-    The second one would break the request's state machine, and with it the
-    scheduler's actor, which serves every other caller.
+    A second report would break the request's state machine, and with it the
+    scheduler's actor, which serves all other callers.
     """
     ending, sent = make_ending()
     ending.tell(RequestState.COMPLETED, 10)
--- a/tests/serving/test_events.py
+++ b/tests/serving/test_events.py
@@ -1,4 +1,4 @@
-"""Streams of events in whole events."""
+"""Splitting of streams into complete events."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 class Blocks:
-    """A response that arrives in the given blocks, without a length."""
+    """A response without a length that arrives in the given blocks."""
 
     def __init__(self, *blocks):
         self.blocks = list(blocks)
@@ -23,9 +23,10 @@
 
 
 def test_a_stream_that_ends_within_an_event_is_broken():
-    """An engine crashes; its connection ends as if the answer were whole.
+    """An engine crashes and its connection closes as at a regular end.
 
-    The answer has no length that would tell. Half an event at its end does.
+    The answer states no length, so only the partial event at its end reveals the
+    crash.
     """
     reader = EventReader(Blocks(b"id: 1\ndata: a\n\n", b"id: 2\nda"))
     passed = []
--- a/tests/serving/test_grant_fates.py
+++ b/tests/serving/test_grant_fates.py
@@ -1,4 +1,4 @@
-"""Operators see what became of the grants that a host was given."""
+"""Metrics count what became of the grants that a host received."""
 
 from types import SimpleNamespace
 
@@ -13,10 +13,10 @@
 
 
 def test_grants_that_lapse_and_that_are_given_back_are_counted_once():
-    """Many lapsed grants tell an operator of a slow host or a slow link.
+    """Many lapsed grants point operators to a slow host or a slow link.
 
-    One grant has lapsed when the systems run; the request of the other is
-    gone, so it is given back. Neither is counted again at the next run.
+    One grant has lapsed when the systems run. The request of the other no longer
+    exists, so that grant is given back. The next run counts neither again.
     """
     clock, metrics = ManualClock(), Metrics()
     tables = Tables("host", "a", hosts=("host",))
--- a/tests/serving/test_lateness.py
+++ b/tests/serving/test_lateness.py
@@ -1,4 +1,4 @@
-"""Why an answer was late: the first cause in the order of a call's life."""
+"""Why an answer was late: the first cause in the order of a call's stages."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 def make_row(arrived: float, dispatched: float, aim: float) -> RequestRow:
-    """Return a row that was dispatched."""
+    """Return the row of a dispatched request."""
     row = RequestRow(
         RequestId("r"), StreamId("r"), "w", "s", 0, 100, 100, arrived, 20.0, False
     )
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -1,4 +1,4 @@
-"""Passing routed calls on: what callers get when targets misbehave."""
+"""Proxying of routed calls: what callers get when targets fail or misbehave."""
 
 import contextlib
 import io
@@ -55,7 +55,7 @@
 
 
 class Desk:
-    """Stands in for the scheduler: gives the addresses it was given, in turn."""
+    """Fake scheduler that dispatches to the given addresses in order."""
 
     def __init__(self, addresses):
         self.addresses = list(addresses)
@@ -81,7 +81,7 @@
 
 
 class Answer:
-    """What a caller got."""
+    """The answer that a caller received."""
 
     def __init__(self, app, environ):
         body = app(environ, self.start)
@@ -102,7 +102,7 @@
 
 
 class Bench:
-    """An application, its engines and a scheduler's stand-in."""
+    """An application with its engines and a fake scheduler."""
 
     def __init__(self, stack, engines=1):
         self.engines = [start_engine() for _ in range(engines)]
@@ -169,10 +169,11 @@
 
 
 def test_an_engine_that_took_over_an_address_runs_nothing(stack):
-    """The engine of an address has ended; another service's has the address now.
+    """An engine that reuses the address of an ended one must not run its calls.
 
-    Hosts hear of it late. The call names the engine that it is meant for, so
-    the other one turns it away, and the caller is told that it has not run.
+    Hosts learn late that another service's engine has the address. The call names
+    the engine it is meant for, so the other one rejects it, and the caller learns
+    that it has not run.
     """
     bench = Bench(stack)
     for engine in bench.engines:
@@ -191,10 +192,11 @@
 
 
 def test_an_old_document_refuses_keys_and_tells_no_falsehood(stack):
-    """The store has been out of reach for longer than a key may be believed.
+    """Hosts must not judge keys and routes by an outdated document.
 
-    Keyed calls get 503 with a time to come back, not 401, and run nowhere;
-    a route that is not known may be there by now, so that is no 404 either.
+    The store was unreachable for longer than keys may be trusted. Calls with a key
+    get 503 with Retry-After instead of 401 and run nowhere. An unknown route may
+    exist by now, so it gets 503 instead of 404.
     """
     bench = Bench(stack)
     bench.currency.proved -= 10
@@ -235,9 +237,9 @@
 
 
 def test_an_answer_to_another_request_is_never_passed_on(stack):
-    """An engine hands out a late answer where this call's is expected.
+    """An engine returns the late answer of another call.
 
-    The charge may have run: the caller gets 502, which promises nothing, and
+    The charge may have run: the caller gets 502 with the outcome may_have_run, and
     the call is not sent again.
     """
     bench = Bench(stack, engines=2)
@@ -257,9 +259,9 @@
 
 
 def test_a_failure_that_was_tried_again_in_vain_is_passed_on(stack):
-    """The first target failed and there is no second: the caller gets that failure.
+    """The first target fails and there is no second: the caller gets that failure.
 
-    A 503 would promise that nothing ran.
+    A 503 would state that nothing ran.
     """
     bench = Bench(stack)
     bench.engines[0].standin.knobs.status = 500
@@ -292,7 +294,7 @@
 def test_a_stream_that_breaks_looks_broken(stack):
     """An engine stops in the middle of an event.
 
-    The caller gets whole events only, and an answer without an end.
+    The caller gets complete events only, and an answer without a regular end.
     """
     bench = Bench(stack, engines=2)
     bench.engines[0].standin.knobs.cut_after = 2
@@ -305,10 +307,10 @@
 
 
 def test_a_resumable_stream_goes_on_at_another_target(stack):
-    """An engine crashes in mid-stream; the route says that it may be resumed.
+    """An engine crashes in mid-stream on a route that allows resuming.
 
-    The caller sees one answer with the head of the first engine, no event
-    missing and none twice.
+    The caller gets one answer with the headers of the first engine, without missing
+    or repeated events.
     """
     bench = Bench(stack, engines=2)
     bench.engines[0].standin.knobs.cut_after = 2
@@ -327,9 +329,9 @@
 
 
 def test_the_time_of_a_route_ends_a_call(stack):
-    """The engine takes longer than the operator lets callers wait.
+    """The engine takes longer than the timeout of the route.
 
-    The call may run to its end there: the caller is told 504, not 503.
+    The call may run to its end there, so the caller gets 504, not 503.
     """
     bench = Bench(stack)
     bench.engines[0].standin.knobs.pause_s = 30.0
@@ -339,10 +341,10 @@
 
 
 def test_a_caller_that_leaves_takes_its_stream_along(stack):
-    """The caller closes its connection before the first event.
+    """The caller disconnects before the first event.
 
-    Its engine's connection is closed by the watcher, while the thread that
-    serves the call waits for that engine.
+    The watcher closes the connection to the engine while the thread that serves the
+    call waits for that engine.
     """
     bench = Bench(stack)
     engine = bench.engines[0].standin
@@ -357,10 +359,10 @@
 
 
 def test_a_call_that_three_targets_lost_is_held_back(stack):
-    """One call crashes each target that runs it, and comes again at any host.
+    """A call that crashes each target that runs it must not reach a fourth one.
 
-    Two other hosts tell of two targets, the third loss is seen here. Then the
-    call is refused before a fourth target, another call of its caller is not.
+    Other hosts report two lost answers, the third is observed here. The call is
+    then refused before it is sent; another call of the same caller is not.
     """
     bench = Bench(stack, engines=2)
     bench.engines[0].standin.knobs.foreign = True
--- a/tests/serving/test_relay.py
+++ b/tests/serving/test_relay.py
@@ -1,4 +1,4 @@
-"""A stream is passed on whole and in order, or its end is an explicit error."""
+"""A stream is passed on completely and in order, or ends in an explicit error."""
 
 import pytest
 from hypothesis import given
@@ -20,14 +20,14 @@
 
 
 class FakeClock(ManualClock):
-    """Time that moves on by itself when anybody sleeps."""
+    """A clock that advances when it is asked to sleep."""
 
     def sleep(self, seconds: float) -> None:
         self.now += seconds
 
 
 class FakeConnection:
-    """Yields what the script says, then breaks or ends."""
+    """Yields the given batches, then breaks or ends."""
 
     def __init__(self, batches, breaks=False):
         self.batches = batches
@@ -70,11 +70,11 @@
 
 @given(connections)
 def test_any_order_of_chunks_gives_the_whole_answer_or_an_error(plans):
-    """The caller sees its own chunks once each and in order, or an error.
+    """The caller gets its own chunks once each and in order, or an error.
 
-    Every connection repeats, swaps, loses and mixes in chunks at will, and
-    then sends some of what was asked for. Against the naive sequence the only
-    other end allowed is an explicit error after a sound beginning.
+    Each connection repeats, reorders, drops and mixes in chunks, and then sends
+    some of the requested ones. Compared with the plain sequence, the only other
+    result allowed is an explicit error after a correct beginning.
     """
     left = list(plans)
 
@@ -97,10 +97,10 @@
 
 
 def test_breaks_with_progress_between_them_never_end_a_stream(monkeypatch):
-    """A long answer gets through a network that breaks it again and again.
+    """Connections that break after each new chunk don't use up the attempts.
 
-    Each connection yields one chunk and breaks. There are more breaks than
-    tries, but only tries in vain count, so the caller has its answer.
+    Each connection yields one chunk and breaks. There are more breaks than resume
+    attempts, but only attempts without a new chunk count.
     """
 
     def resume(address, stream, sequence, idle_s):
@@ -111,10 +111,10 @@
 
 
 def test_a_lost_chunk_is_asked_for_again_at_the_next_heartbeat(monkeypatch):
-    """A chunk that a live connection swallowed doesn't stop the answer.
+    """A chunk that is lost on a live connection doesn't block the answer.
 
-    The connection goes on with later chunks and heartbeats, so it never
-    looks idle. The first heartbeat after the gap makes the host resume.
+    The connection goes on with later chunks and heartbeats, so it never counts as
+    idle. The first heartbeat after the gap makes the host resume the stream.
     """
     asked = []
 
@@ -124,7 +124,7 @@
 
     def beats():
         yield from (WHOLE[:3], WHOLE[4:6], [])
-        raise AssertionError("a second heartbeat was waited for")
+        raise AssertionError("the follower waited for a second heartbeat")
 
     endless = FakeConnection(beats())
     assert read(follow(monkeypatch, resume, opened=endless)) == WHOLE
@@ -132,10 +132,10 @@
 
 
 def test_done_without_a_reason_to_finish_is_not_whole(monkeypatch):
-    """An answer whose engine gave up must not end like a whole one.
+    """A truncated answer must not end like a complete one.
 
-    The engine drops the request and closes its stream tidily, with the usual
-    end mark but no reason to finish. The caller gets an error in its place.
+    An engine that drops a request closes its stream with the usual end marker but
+    without a finish reason. The caller gets an error instead of the end marker.
     """
     cut = [WHOLE[:4], [Chunk(MINE, 4, DONE)]]
     follower = follow(monkeypatch, None, opened=FakeConnection(cut))
@@ -145,10 +145,10 @@
 
 
 def test_the_deadline_ends_a_stream_that_sends_only_heartbeats(monkeypatch):
-    """An engine that is alive but makes nothing can't hold a caller for ever.
+    """An engine that sends heartbeats but no output can't block a caller forever.
 
-    Heartbeats come on time, so the connection never looks idle. The deadline
-    is looked at with each of them, and the caller is told of it.
+    Its connection never counts as idle. The deadline is therefore checked with
+    each heartbeat, and the caller gets an error that names it.
     """
     clock = FakeClock()
 
@@ -167,7 +167,7 @@
 
 
 def test_a_target_that_is_gone_ends_in_an_error(monkeypatch):
-    """The caller of a dead engine is told that its request may have run."""
+    """If the engine fails, the caller learns that its request may have run."""
 
     def resume(address, stream, sequence, idle_s):
         raise MayHaveRun("no route")
--- a/tests/serving/test_watch.py
+++ b/tests/serving/test_watch.py
@@ -1,4 +1,4 @@
-"""Calls that are ended from outside."""
+"""Calls that the watcher aborts."""
 
 import socket
 
@@ -26,7 +26,7 @@
 
 
 def test_a_caller_that_left_breaks_the_connection_to_the_target():
-    """The thread that serves the call waits for the target's next byte."""
+    """The thread that serves the call blocks on the target's next byte."""
     ours, theirs = socket.socketpair()
     with ours, theirs:
         call, withdrawn = make_call(gone=True)
