--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True)
-class Passer:
+class RoutedProxy:
     """Dependencies that all proxied calls share.
 
     Attributes
@@ -99,7 +99,7 @@
         The error of the last send whose answer was lost.
     """
 
-    def __init__(self, passer: Passer, call: RoutedCall, gone) -> None:
+    def __init__(self, passer: RoutedProxy, call: RoutedCall, gone) -> None:
         self.passer = passer
         self.call = call
         self.clock = passer.clock
