--- a/godwitladder/serving/repeats.py
+++ b/godwitladder/serving/repeats.py
@@ -51,7 +51,7 @@
             self.request = named.get("Request-Id", "")
             self.done.set()
 
-    def finish(self, answer: Iterable[bytes]) -> Iterable[bytes]:
+    def record_answer(self, answer: Iterable[bytes]) -> Iterable[bytes]:
         """Note the body of the answer, unless it is a stream; return it."""
         if isinstance(answer, list):
             self.body = b"".join(answer)
