--- a/godwitladder/serving/losses.py
+++ b/godwitladder/serving/losses.py
@@ -23,7 +23,7 @@
     target: TargetName
 
 
-class LossBook:
+class LossRegistry:
     """Lost answers that this host and its peers have reported.
 
     Parameters
