--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -28,7 +28,7 @@
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.streaming import StreamPassing
 from godwitladder.serving.upstream import NotRun, WholeAnswer, is_stream, read_whole
-from godwitladder.serving.watch import CallWatch, Cause, OpenCall
+from godwitladder.serving.watch import CallWatcher, Cause, OpenCall
 
 log = component_logger("passing")
 
@@ -36,7 +36,7 @@
 """Connecting within a region takes 1 to 5 ms. A target that does not accept in
 this time is overloaded or down, and another target can still meet the deadline."""
 IDLE_S = 60.0
-"""Maximum silence of a target on one connection, in seconds. `CallWatch` ends calls
+"""Maximum silence of a target on one connection, in seconds. `CallWatcher` ends calls
 at their own deadline long before."""
 LEAST_S = 0.02
 """Minimum remaining time for a send, in seconds. With less, no target can answer
@@ -65,7 +65,7 @@
     scheduler: pykka.ActorRef
     clock: Clock
     metrics: Metrics
-    watch: CallWatch
+    watch: CallWatcher
     budget: RetryBudget
     losses: LossRegistry
     hosts: Callable[[], int]
--- a/godwitladder/serving/watch.py
+++ b/godwitladder/serving/watch.py
@@ -86,7 +86,7 @@
             self.withdraw()
 
 
-class CallWatch:
+class CallWatcher:
     """The table of open calls and the thread that checks them."""
 
     def __init__(self, clock: Clock) -> None:
