--- a/godwitladder/serving/resuming.py
+++ b/godwitladder/serving/resuming.py
@@ -18,7 +18,7 @@
 from godwitladder.serving.joining import join_chunks
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.relay import AnswerCut, StreamFollower
-from godwitladder.serving.request_ids import ForgedId, RequestName, read_request
+from godwitladder.serving.request_ids import ForgedId, RequestLocator, read_request
 
 RESUME_TIMEOUT_S = 300.0
 # The finish reason is in one of the last chunks. These are read again, so that a
@@ -64,7 +64,7 @@
 
 def find_request(
     identity: str, caller: Caller, config: ConfigState, secret: str
-) -> tuple[RequestName, Target]:
+) -> tuple[RequestLocator, Target]:
     """Return the request that ``identity`` names and the target that holds its answer.
 
     Raises
