--- a/godwitladder/serving/upstream.py
+++ b/godwitladder/serving/upstream.py
@@ -12,7 +12,7 @@
     """The target stated that it did not run the request."""
 
 
-class StreamCut(GodwitladderError):
+class StreamTruncated(GodwitladderError):
     """The rest of a stream is not available; the caller must see a broken answer."""
 
     logged = True
