--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -27,7 +27,7 @@
 from godwitladder.serving.losses import LossRegistry
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.streaming import StreamPassing
-from godwitladder.serving.upstream import NotRun, WholeAnswer, is_stream, read_whole
+from godwitladder.serving.upstream import BufferedAnswer, NotRun, is_stream, read_whole
 from godwitladder.serving.watch import CallWatcher, Cause, OpenCall
 
 log = component_logger("passing")
@@ -91,7 +91,7 @@
     resume_from : str
         Id of the last event sent to the caller, from which another target
         resumes the stream.
-    kept : WholeAnswer or None
+    kept : BufferedAnswer or None
         A target's error answer (status 500 or above), returned if no retry succeeds.
     pause_s : float
         Longest time between two events of the stream, in seconds.
@@ -110,7 +110,7 @@
         self.connection = None
         self.running = False
         self.resume_from = ""
-        self.kept: WholeAnswer | None = None
+        self.kept: BufferedAnswer | None = None
         self.pause_s = 0.0
         self.lost: MayHaveRun | None = None
         passer.watch.add(self.open)
@@ -228,7 +228,9 @@
         body = read_whole(response)
         headers = self.passer.form.for_caller(response.headers.items())
         headers.append(("Content-Length", str(len(body))))
-        whole = WholeAnswer(f"{response.status} {response.reason or ''}", headers, body)
+        whole = BufferedAnswer(
+            f"{response.status} {response.reason or ''}", headers, body
+        )
         if response.status >= 500 and self.repeat():
             self.kept = whole
             return None
