--- a/godwitladder/serving/request_ids.py
+++ b/godwitladder/serving/request_ids.py
@@ -29,7 +29,7 @@
     stream: StreamId
 
 
-def sign_request(secret: str, name: RequestLocator) -> str:
+def sign_request_id(secret: str, name: RequestLocator) -> str:
     """Return the id of ``name``, safe in a URL."""
     text = json.dumps([name.workspace, name.target, name.stream]).encode()
     signature = _sign(secret, text)
