--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -276,7 +276,7 @@
             key_bytes(row.key),
             nonce_bytes(row.stream),
             body_bytes(row.body),
-            key_date(environ[KEY_HEADER]),
+            uuid7_time_s(environ[KEY_HEADER]),
             due,
         )
         reply: queue.SimpleQueue[Settled] = queue.SimpleQueue()
@@ -324,7 +324,7 @@
     }
 
 
-def key_date(text: str) -> float:
+def uuid7_time_s(text: str) -> float:
     """Return the time in a key that is a UUID of version 7; else 0.
 
     Such a key tells when it was made, in milliseconds since the epoch, so
