--- a/godwitladder/serving/ending.py
+++ b/godwitladder/serving/ending.py
@@ -16,7 +16,7 @@
 PROGRESS_TOKENS = 64
 
 
-class Ending:
+class DispatchReporter:
     """Reports one dispatch; only the first report of its end counts.
 
     A dispatch whose end is never reported holds its target's slot forever: the
