--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -67,7 +67,7 @@
     return [body]
 
 
-class KeyParts:
+class KeyComponents:
     """Claims, issued keys and forwarding of one host, started and stopped as one.
 
     Parameters
