--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -128,7 +128,7 @@
         )
         self.ticker: Ticker | None = None
 
-    def takers(self) -> dict[type, Callable[[Any, Any], None]]:
+    def message_handlers(self) -> dict[type, Callable[[Any, Any], None]]:
         """Return what takes the messages between hosts that are for keys."""
         return {
             ForwardedCall: self.forwarder.take,
