--- a/godwitladder/serving/forwarding.py
+++ b/godwitladder/serving/forwarding.py
@@ -130,7 +130,7 @@
         self.waiting: dict[str, queue.SimpleQueue[ForwardedAnswer]] = {}
         self.slots = threading.BoundedSemaphore(CALLS)
 
-    def ask(
+    def forward(
         self,
         host: HostId,
         incarnation: Incarnation,
--- a/tests/claims/test_forwarding.py
+++ b/tests/claims/test_forwarding.py
@@ -63,7 +63,7 @@
 
 def ask(host: Forwarder, to: str, incarnation: int = 1):
     deadline = host.clock.monotonic() + 20
-    return host.ask(to, incarnation, ENVIRON, b"one euro", deadline)
+    return host.forward(to, incarnation, ENVIRON, b"one euro", deadline)
 
 
 @pytest.mark.parametrize(
