--- a/godwitladder/serving/forwarding.py
+++ b/godwitladder/serving/forwarding.py
@@ -154,7 +154,9 @@
         finally:
             del self.waiting[call.query]
 
-    def take(self, link: Link, message: ForwardedCall | ForwardedAnswer) -> None:
+    def handle_message(
+        self, link: Link, message: ForwardedCall | ForwardedAnswer
+    ) -> None:
         """Handle a message from a peer."""
         if isinstance(message, ForwardedAnswer):
             self._take_answer(message)
--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -131,8 +131,8 @@
     def message_handlers(self) -> dict[type, Callable[[Any, Any], None]]:
         """Return what takes the messages between hosts that are for keys."""
         return {
-            ForwardedCall: self.forwarder.take,
-            ForwardedAnswer: self.forwarder.take,
+            ForwardedCall: self.forwarder.handle_message,
+            ForwardedAnswer: self.forwarder.handle_message,
             Crash: self.watch.take,
             Cleared: self.watch.take,
             Lifted: self.watch.take,
--- a/tests/claims/test_forwarding.py
+++ b/tests/claims/test_forwarding.py
@@ -36,7 +36,7 @@
         if self.lose:
             self.peers.clear()
         else:
-            self.forwarders[host].take(FakeLink(self.host), message)
+            self.forwarders[host].handle_message(FakeLink(self.host), message)
         return True
 
 
