--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -210,7 +210,7 @@
 
         The host that lost it has links to hubs alone; one of them tells the rest.
         """
-        self.losses.take(news)
+        self.losses.record_loss(news)
         hubs = self.hubs
         if link.peer in hubs or publisher_of(link.peer, hubs) != self.host:
             return
--- a/godwitladder/serving/losses.py
+++ b/godwitladder/serving/losses.py
@@ -44,10 +44,10 @@
     def note(self, digest: BodyDigest, target: TargetName) -> None:
         """Record a loss that this host observed, and send it to the peers."""
         message = AnswerLost(digest, target)
-        self.take(message)
+        self.record_loss(message)
         self.spread(message)
 
-    def take(self, message: AnswerLost) -> None:
+    def record_loss(self, message: AnswerLost) -> None:
         """Record a loss that this host or a peer observed."""
         with self.lock:
             now = self.clock.monotonic()
