--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -376,7 +376,7 @@
     def note_loss(self) -> None:
         """Record that the target lost the answer, unless this host aborted the call."""
         if self.open.cause is None:
-            self.passer.losses.note(self.call.row.body, self.target)
+            self.passer.losses.report_loss(self.call.row.body, self.target)
 
     def note_send(self, dispatch: Dispatch, left_s: float) -> None:
         """Log a send and record its queueing time."""
