--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -18,7 +18,7 @@
 from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
-from godwitladder.routing.calls import HeaderForm, RoutedCall, SendFacts
+from godwitladder.routing.calls import DispatchMetadata, HeaderCodec, RoutedCall
 from godwitladder.scheduler.messages import Returned, ReturnProof, Submit, Withdrawn
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.answers import internal_fault
@@ -58,7 +58,7 @@
 
     Attributes
     ----------
-    form : HeaderForm
+    form : HeaderCodec
         Header names of this platform.
     retry_budget : RetryBudget
         Limits the retries of each service.
@@ -66,7 +66,7 @@
         Returns the number of hosts that share the retry budget.
     """
 
-    form: HeaderForm
+    form: HeaderCodec
     scheduler: pykka.ActorRef
     clock: Clock
     metrics: Metrics
@@ -110,7 +110,7 @@
         self.clock = proxy.clock
         self.sends = 0
         self.target = ""
-        self.open_call = OpenCall(gone, call.until, self.withdraw)
+        self.open_call = OpenCall(gone, call.deadline, self.withdraw)
         self.reporter = DispatchReporter(
             call, proxy.scheduler, proxy.clock, proxy.metrics
         )
@@ -194,7 +194,7 @@
             raise NotSent("the call was aborted or its deadline is too close")
         self.open_call.attach(connection.sock)
         self.sends += 1
-        facts = SendFacts(
+        facts = DispatchMetadata(
             left_s, dispatch.target, self.call.workspace, self.resume_from
         )
         headers = self.proxy.form.for_target(self.call.headers, facts)
@@ -220,7 +220,7 @@
         if facts.not_run or response.status == HTTP_MISDIRECTED:
             raise NotRun(f"answered {response.status}")
         # A target may return the answer to another request; the attempt id reveals it.
-        if facts.attempt != self.call.facts.attempt:
+        if facts.attempt != self.call.metadata.attempt:
             raise MayHaveRun("the answer belongs to another request")
         if 200 <= response.status < 300 and not facts.signature:
             raise MayHaveRun("the answer bears no signature")
@@ -318,7 +318,7 @@
         """Return whether time, number of sends and retry budget allow one more send."""
         if self.open_call.cause is not None or self.left_s() < MIN_SEND_TIME_S:
             return False
-        if self.sends >= self.call.route.max_sends:
+        if self.sends >= self.call.route.max_attempts:
             return False
         now = self.clock.monotonic()
         return self.proxy.retry_budget.take(
@@ -348,7 +348,7 @@
 
     def left_s(self) -> float:
         """Return the time until the call's deadline in seconds."""
-        return self.call.until - self.clock.monotonic()
+        return self.call.deadline - self.clock.monotonic()
 
     def disconnect(self) -> None:
         """Close the connection to the target, if there is one."""
@@ -365,7 +365,7 @@
     def log_fields(self) -> dict[str, str]:
         """Return the log fields that identify the call and its target."""
         return {
-            "request": self.call.facts.attempt,
+            "request": self.call.metadata.attempt,
             "route": self.call.route.name,
             "target": self.target,
         }
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -13,8 +13,8 @@
 from godwitladder.outcomes import Reason, RequestState, refuse
 from godwitladder.platform.documents import decode_document
 from godwitladder.platform.headers import PlatformHeaders
-from godwitladder.routing.app import RoutedApp, put_in_force
-from godwitladder.routing.freshness import Currency
+from godwitladder.routing.app import RoutedApp, index_document
+from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.scheduler.messages import Finished, Returned, ReturnProof, Submit
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.call_watcher import CallWatcher
@@ -115,8 +115,8 @@
         stack.callback(self.watcher.stop)
         self.scheduler = FakeScheduler(engine.address for engine in self.engines)
         form = PlatformHeaders()
-        self.currency = Currency(5.0)
-        self.currency.confirm(self.clock.boottime())
+        self.freshness = DocumentFreshness(5.0)
+        self.freshness.confirm(self.clock.boottime())
         passer = RoutedProxy(
             form,
             self.scheduler,
@@ -127,9 +127,9 @@
             LossRegistry(self.clock, lambda message: None),
             lambda: 1,
         )
-        self.app = RoutedApp(form, passer, self.currency, self.clock, Metrics())
+        self.app = RoutedApp(form, passer, self.freshness, self.clock, Metrics())
         document = decode_document(json.dumps(CONFIG | {"routes": ROUTES}).encode())
-        self.app.in_force = put_in_force(document)
+        self.app.in_force = index_document(document)
 
     def call(self, path, method="POST", body=b"", gone=lambda: False, **headers):
         environ = {
@@ -199,7 +199,7 @@
     exist by now, so it gets 503 instead of 404.
     """
     bench = Bench(stack)
-    bench.currency.confirmed_at -= 10
+    bench.freshness.confirmed_at -= 10
     answer = bench.call("/charge/x")
     assert (answer.status, "Retry-After" in answer.headers) == (503, True)
     assert bench.call("/nowhere/x").status == 503
@@ -209,7 +209,7 @@
 
 def test_a_host_without_a_document_promises_nothing(stack):
     bench = Bench(stack)
-    bench.app.in_force = put_in_force(type(bench.app.in_force.document)())
+    bench.app.in_force = index_document(type(bench.app.in_force.document)())
     assert bench.call("/charge/x").status == 503
 
 
