--- a/godwitladder/serving/forwarding.py
+++ b/godwitladder/serving/forwarding.py
@@ -129,7 +129,7 @@
         self.mesh = mesh
         self.app = app
         self.clock = clock
-        self.waiting: dict[str, queue.SimpleQueue[ForwardedAnswer]] = {}
+        self.pending_replies: dict[str, queue.SimpleQueue[ForwardedAnswer]] = {}
         self.slots = threading.BoundedSemaphore(MAX_FORWARDED_CALLS)
 
     def forward(
@@ -149,12 +149,12 @@
             call may have been served there.
         """
         call = self._make_call(host, incarnation, environ, body, deadline)
-        replies = self.waiting[call.call_id] = queue.SimpleQueue()
+        replies = self.pending_replies[call.call_id] = queue.SimpleQueue()
         try:
             links = self._send(call)
             return self._await_reply(replies, links, deadline) if links else None
         finally:
-            del self.waiting[call.call_id]
+            del self.pending_replies[call.call_id]
 
     def handle_message(
         self, link: Link, message: ForwardedCall | ForwardedAnswer
@@ -227,7 +227,7 @@
         if message.origin != self.host:
             self.mesh.send(message.origin, message)
             return
-        replies = self.waiting.get(message.call_id)
+        replies = self.pending_replies.get(message.call_id)
         if replies:
             replies.put(message)
 
