--- a/godwitladder/serving/lateness.py
+++ b/godwitladder/serving/lateness.py
@@ -19,7 +19,7 @@
     PAUSE = "pause"
 
 
-def judge_lateness(
+def classify_lateness(
     row: RequestRow, first_at: float, pause_s: float, gap_s: float
 ) -> Lateness:
     """Return the first cause for which an answer was late.
