--- a/godwitladder/serving/lateness.py
+++ b/godwitladder/serving/lateness.py
@@ -1,8 +1,8 @@
 """Classifies why an answer was late, as far as the host can tell.
 
 The first output, or the complete answer of a plain service, is due at the row's
-`aim`. After that no pause within a stream may exceed the limit of its route.
-Time that the caller spent on earlier attempts at other hosts is not counted.
+`ttft_deadline`. After that no pause within a stream may exceed the limit of its
+route. Time that the caller spent on earlier attempts at other hosts is not counted.
 """
 
 import enum
@@ -27,7 +27,7 @@
     Parameters
     ----------
     row : RequestRow
-        The request's row, with the time of its dispatch and its `aim`.
+        The request's row, with the time of its dispatch and its `ttft_deadline`.
     first_at : float
         When the first output arrived, in seconds of the monotonic clock.
     pause_s : float
--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -58,15 +58,25 @@
 
     Attributes
     ----------
-    form : HeaderCodec
-        Header names of this platform.
+    header_codec : HeaderCodec
+        Reads and writes the headers of this platform.
+    scheduler : pykka.ActorRef
+        The scheduler's actor.
+    clock : Clock
+        The host's clock.
+    metrics : Metrics
+        The metrics to update.
+    watcher : CallWatcher
+        Aborts calls whose caller has disconnected or whose deadline has passed.
     retry_budget : RetryBudget
         Limits the retries of each service.
+    losses : LossRegistry
+        The lost answers that hosts share.
     count_hosts : callable
         Returns the number of hosts that share the retry budget.
     """
 
-    form: HeaderCodec
+    header_codec: HeaderCodec
     scheduler: pykka.ActorRef
     clock: Clock
     metrics: Metrics
@@ -76,7 +86,17 @@
     count_hosts: Callable[[], int]
 
     def serve(self, call: RoutedCall, gone, start_response) -> Iterable[bytes]:
-        """Proxy one call and return the body of its answer."""
+        """Proxy one call and return the body of its answer.
+
+        Parameters
+        ----------
+        call : RoutedCall
+            The call to proxy.
+        gone : callable
+            Returns whether the caller has disconnected.
+        start_response : callable
+            The WSGI callable that takes the status and headers.
+        """
         now = self.clock.monotonic()
         self.retry_budget.note_request(call.row.service, now)
         proxied_call = ProxiedCall(self, call, gone)
@@ -194,10 +214,10 @@
             raise NotSent("the call was aborted or its deadline is too close")
         self.open_call.attach(connection.sock)
         self.sends += 1
-        facts = DispatchMetadata(
+        metadata = DispatchMetadata(
             left_s, dispatch.target, self.call.workspace, self.resume_from
         )
-        headers = self.proxy.form.for_target(self.call.headers, facts)
+        headers = self.proxy.header_codec.for_target(self.call.headers, metadata)
         self.record_send(dispatch, left_s)
         response = send(
             connection, self.call.method, self.call.path, self.call.body, headers
@@ -216,13 +236,13 @@
         MayHaveRun
             The response belongs to another call, or a success is unsigned.
         """
-        facts = self.proxy.form.read_answer(response.headers)
-        if facts.not_run or response.status == HTTP_MISDIRECTED:
+        metadata = self.proxy.header_codec.read_answer(response.headers)
+        if metadata.not_run or response.status == HTTP_MISDIRECTED:
             raise NotRun(f"answered {response.status}")
-        # A target may return the answer to another request; the attempt id reveals it.
-        if facts.attempt != self.call.metadata.attempt:
+        # A target may return the answer to another request; its attempt id tells.
+        if metadata.attempt != self.call.metadata.attempt:
             raise MayHaveRun("the answer belongs to another request")
-        if 200 <= response.status < 300 and not facts.signature:
+        if 200 <= response.status < 300 and not metadata.signature:
             raise MayHaveRun("the answer bears no signature")
         return response
 
@@ -233,7 +253,7 @@
         if is_stream(response):
             return ProxiedStream(self, response).start(start_response)
         body = read_response_body(response)
-        headers = self.proxy.form.for_caller(response.headers.items())
+        headers = self.proxy.header_codec.for_caller(response.headers.items())
         headers.append(("Content-Length", str(len(body))))
         answer = BufferedAnswer(
             f"{response.status} {response.reason or ''}", headers, body
--- a/godwitladder/serving/streaming.py
+++ b/godwitladder/serving/streaming.py
@@ -45,7 +45,9 @@
     def start(self, start_response) -> "ProxiedStream":
         """Send the status and headers to the caller."""
         response = self.reader.response
-        headers = self.proxied_call.proxy.form.for_caller(response.headers.items())
+        headers = self.proxied_call.proxy.header_codec.for_caller(
+            response.headers.items()
+        )
         start_response(f"{response.status} {response.reason or ''}", headers)
         return self
 
--- a/tests/serving/test_dispatching.py
+++ b/tests/serving/test_dispatching.py
@@ -75,32 +75,32 @@
     found by a retry, so these run to their end.
     """
     app, engine = with_engine(stack)
-    left = []
-    environ = {"waitress.client_disconnected": lambda: bool(left)}
+    disconnected = []
+    environ = {"waitress.client_disconnected": lambda: bool(disconnected)}
     environ |= {"HTTP_IDEMPOTENCY_KEY": key} if key else {}
     dispatcher = app.app.dispatcher
     app.app.keyed = SimpleNamespace(serve=lambda *args: dispatcher.serve(*args[:3]))
-    leaving = make_leaving(engine, left)
+    disconnecting = start_disconnect(engine, disconnected)
     answer = app.chat(environ, stream=streamed, max_tokens=4000)
     if streamed:
         next(iter(answer.body))
     answer.body.close()
-    leaving.join()
+    disconnecting.join()
     app.wait_until_idle()
     assert [item.state for item in engine.sequences.values()] == [state]
 
 
-def make_leaving(engine, left):
+def start_disconnect(engine, disconnected):
     """Return a started thread that disconnects the caller at the first token."""
 
-    def leave():
+    def disconnect():
         with engine.changed:
             engine.changed.wait_for(
                 lambda: any(row.events for row in engine.sequences.values()), 10.0
             )
-        left.append(True)
+        disconnected.append(True)
 
-    thread = threading.Thread(target=leave)
+    thread = threading.Thread(target=disconnect)
     thread.start()
     return thread
 
--- a/tests/serving/test_ending.py
+++ b/tests/serving/test_ending.py
@@ -20,7 +20,7 @@
     return DispatchReporter(call, scheduler, ManualClock(), Metrics()), sent
 
 
-def test_two_ways_out_of_a_dispatch_tell_its_end_once():
+def test_two_exit_paths_report_the_end_of_a_dispatch_once():
     """A stream ends just as its caller disconnects: both exit paths report the end.
 
     A second report would break the request's state machine, and with it the
@@ -33,7 +33,7 @@
     assert reporter.metrics.requests.get({"rank": "0", "outcome": "completed"}) == 1
 
 
-def test_progress_is_told_at_the_first_token_and_then_in_steps():
+def test_progress_is_reported_at_the_first_token_and_then_in_steps():
     reporter, sent = make_reporter()
     for tokens in range(2 * PROGRESS_INTERVAL_TOKENS + 2):
         reporter.report_progress(tokens)
--- a/tests/serving/test_events.py
+++ b/tests/serving/test_events.py
@@ -16,7 +16,7 @@
         return self.blocks.pop(0) if self.blocks else b""
 
 
-def test_events_that_arrive_in_pieces_are_passed_on_whole():
+def test_events_that_arrive_in_pieces_are_yielded_complete():
     reader = EventReader(Blocks(b"id: 1\ndata", b": a\n\nid: 2\n", b"data: b\n\n"))
     assert list(reader) == [b"id: 1\ndata: a\n\n", b"id: 2\ndata: b\n\n"]
     assert (reader.take_count(), reader.last_id) == (2, "2")
--- a/tests/serving/test_lateness.py
+++ b/tests/serving/test_lateness.py
@@ -30,7 +30,7 @@
     assert classify_lateness(row, first_at, pause_s, gap_s=0.3) is cause
 
 
-def test_a_call_without_an_aim_is_late_by_pauses_alone():
+def test_a_call_without_a_ttft_deadline_is_late_by_pauses_alone():
     row = make_row(0.0, 5.0, ttft_deadline=0.0)
     assert classify_lateness(row, 9.0, 0.1, gap_s=0.3) is Lateness.IN_TIME
     assert classify_lateness(row, 9.0, 0.4, gap_s=0.0) is Lateness.IN_TIME
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -156,7 +156,7 @@
         yield owned
 
 
-def test_a_call_is_passed_on_unchanged(stack):
+def test_a_call_is_proxied_unchanged(stack):
     bench = Bench(stack)
     answer = bench.call("/charge/2f?x=%41", body=b"pay", HTTP_X_OWN="kept")
     (run,) = bench.runs()
@@ -184,14 +184,14 @@
     assert bench.runs() == []
 
 
-def test_an_unknown_key_and_an_unknown_route_are_told(stack):
+def test_an_unknown_key_and_an_unknown_route_are_refused(stack):
     bench = Bench(stack)
     assert bench.call("/charge/x", HTTP_AUTHORIZATION="Bearer no").status == 401
     assert bench.call("/nowhere/x").status == 404
     assert bench.call("/open/x", HTTP_AUTHORIZATION="").status == 200
 
 
-def test_an_old_document_refuses_keys_and_tells_no_falsehood(stack):
+def test_an_outdated_document_gives_503_for_keys_and_unknown_routes(stack):
     """Hosts must not judge keys and routes by an outdated document.
 
     The store was unreachable for longer than keys may be trusted. Calls with a key
@@ -207,20 +207,20 @@
     assert len(bench.runs()) == 1
 
 
-def test_a_host_without_a_document_promises_nothing(stack):
+def test_a_host_without_a_document_refuses_calls(stack):
     bench = Bench(stack)
     bench.app.in_force = index_document(type(bench.app.in_force.document)())
     assert bench.call("/charge/x").status == 503
 
 
-def test_a_refusal_by_the_target_goes_elsewhere_within_the_sends(stack):
+def test_a_call_that_a_target_refused_is_sent_to_another(stack):
     bench = Bench(stack, engines=2)
     bench.engines[0].standin.knobs.refuse = True
     assert bench.call("/twice/x").body == b"answer of a1"
     assert bench.scheduler.returned == [ReturnProof.TARGET_SAID]
 
 
-def test_a_refusal_by_the_only_target_allowed_is_told_as_not_run(stack):
+def test_a_refusal_on_the_last_attempt_is_reported_as_not_run(stack):
     bench = Bench(stack, engines=2)
     bench.engines[0].standin.knobs.refuse = True
     answer = bench.call("/charge/x")
@@ -229,14 +229,14 @@
     assert bench.runs() == []
 
 
-def test_a_target_that_can_not_be_reached_costs_no_send(stack):
+def test_an_unreachable_target_does_not_count_as_an_attempt(stack):
     bench = Bench(stack)
     bench.scheduler.addresses.insert(0, UNREACHABLE_ADDRESS)
     assert bench.call("/charge/x").body == b"answer of a1"
     assert bench.scheduler.returned == [ReturnProof.NOTHING_SENT]
 
 
-def test_an_answer_to_another_request_is_never_passed_on(stack):
+def test_an_answer_to_another_request_is_never_returned(stack):
     """An engine returns the late answer of another call.
 
     The charge may have run: the caller gets 502 with the outcome may_have_run, and
@@ -251,14 +251,14 @@
     assert bench.scheduler.finished == [RequestState.MAY_HAVE_RUN]
 
 
-def test_a_lost_answer_of_an_idempotent_call_is_fetched_elsewhere(stack):
+def test_an_idempotent_call_is_retried_after_its_answer_is_lost(stack):
     bench = Bench(stack, engines=2)
     bench.engines[0].standin.knobs.foreign = True
     assert bench.call("/lookup/x", method="GET").body == b"answer of a1"
     assert bench.scheduler.returned == [ReturnProof.IDEMPOTENT]
 
 
-def test_a_failure_that_was_tried_again_in_vain_is_passed_on(stack):
+def test_an_error_answer_is_returned_if_no_retry_is_possible(stack):
     """The first target fails and there is no second: the caller gets that failure.
 
     A 503 would state that nothing ran.
@@ -270,20 +270,20 @@
     assert answer.headers["Godwitladder-Response-Signature"] == "signed-a1"
 
 
-def test_a_lost_answer_with_no_second_target_promises_nothing(stack):
+def test_a_lost_answer_without_a_second_target_is_not_reported_as_not_run(stack):
     bench = Bench(stack)
     bench.engines[0].standin.knobs.foreign = True
     assert bench.call("/lookup/x", method="GET").status == 502
 
 
-def test_a_failure_of_what_may_not_repeat_is_passed_on(stack):
+def test_an_error_answer_of_a_non_idempotent_call_is_returned(stack):
     bench = Bench(stack, engines=2)
     bench.engines[0].standin.knobs.status = 500
     assert bench.call("/twice/x").status == 500
     assert len(bench.runs()) == 1
 
 
-def test_events_come_whole_and_in_order(stack):
+def test_events_arrive_complete_and_in_order(stack):
     bench = Bench(stack)
     answer = bench.call("/stream/x")
     assert answer.body.count(b"id: ") == 5
@@ -291,7 +291,7 @@
     assert bench.scheduler.finished == [RequestState.COMPLETED]
 
 
-def test_a_stream_that_breaks_looks_broken(stack):
+def test_a_broken_stream_is_visibly_truncated(stack):
     """An engine stops in the middle of an event.
 
     The caller gets complete events only, and an answer without a regular end.
@@ -306,7 +306,7 @@
     assert bench.scheduler.finished == [RequestState.FAILED]
 
 
-def test_a_resumable_stream_goes_on_at_another_target(stack):
+def test_a_resumable_stream_is_resumed_at_another_target(stack):
     """An engine crashes in mid-stream on a route that allows resuming.
 
     The caller gets one answer with the headers of the first engine, without missing
@@ -321,14 +321,14 @@
     assert bench.runs()[1].headers["last-event-id"] == "2"
 
 
-def test_a_resumable_stream_without_a_second_target_looks_broken(stack):
+def test_a_resumable_stream_without_a_second_target_is_truncated(stack):
     bench = Bench(stack)
     bench.engines[0].standin.knobs.cut_after = 2
     answer = bench.call("/resume/stream/x")
     assert answer.truncated and answer.body.count(b"id: ") == 2
 
 
-def test_the_time_of_a_route_ends_a_call(stack):
+def test_the_timeout_of_a_route_aborts_a_call(stack):
     """The engine takes longer than the timeout of the route.
 
     The call may run to its end there, so the caller gets 504, not 503.
@@ -340,7 +340,7 @@
     assert json.loads(answer.body)["outcome"] == "may_have_run"
 
 
-def test_a_caller_that_leaves_takes_its_stream_along(stack):
+def test_a_caller_that_disconnects_aborts_its_stream(stack):
     """The caller disconnects before the first event.
 
     The watcher closes the connection to the engine while the thread that serves the
@@ -350,9 +350,9 @@
     engine = bench.engines[0].standin
     engine.knobs.pause_s = 0.3
     engine.knobs.events = 100
-    left = threading.Event()
-    threading.Timer(0.4, left.set).start()
-    answer = bench.call("/stream/x", gone=left.is_set)
+    disconnected = threading.Event()
+    threading.Timer(0.4, disconnected.set).start()
+    answer = bench.call("/stream/x", gone=disconnected.is_set)
     assert answer.truncated
     wait_until(lambda: engine.broken == 1, "the stream to break")
     assert not bench.watcher.calls
@@ -374,7 +374,7 @@
     assert bench.call("/charge/good", body=b"x").status == 200
 
 
-def test_a_host_about_to_stop_sends_callers_elsewhere(stack):
+def test_a_stopping_host_refuses_calls(stack):
     bench = Bench(stack)
     bench.app.refusing = True
     answer = bench.call("/charge/x")
--- a/tests/serving/test_relay.py
+++ b/tests/serving/test_relay.py
@@ -76,7 +76,7 @@
 
 
 @given(connections)
-def test_any_order_of_chunks_gives_the_whole_answer_or_an_error(plans):
+def test_any_order_of_chunks_gives_the_complete_answer_or_an_error(plans):
     """The caller gets its own chunks once each and in order, or an error.
 
     Each connection repeats, reorders, drops and mixes in chunks, and then sends
@@ -119,7 +119,7 @@
     assert read_all(make_follower(monkeypatch, resume)) == ALL_CHUNKS
 
 
-def test_a_lost_chunk_is_asked_for_again_at_the_next_heartbeat(monkeypatch):
+def test_a_lost_chunk_is_requested_again_at_the_next_heartbeat(monkeypatch):
     """A chunk that is lost on a live connection doesn't block the answer.
 
     The connection goes on with later chunks and heartbeats, so it never counts as
@@ -140,7 +140,7 @@
     assert requested == [3]
 
 
-def test_done_without_a_reason_to_finish_is_not_whole(monkeypatch):
+def test_done_without_a_finish_reason_is_an_error(monkeypatch):
     """A truncated answer must not end like a complete one.
 
     An engine that drops a request closes its stream with the usual end marker but
@@ -175,7 +175,7 @@
     assert caught.value.refusal.outcome is RequestState.FAILED
 
 
-def test_a_target_that_is_gone_ends_in_an_error(monkeypatch):
+def test_a_failed_target_ends_in_an_error(monkeypatch):
     """If the engine fails, the caller learns that its request may have run."""
 
     def resume(address, stream, sequence, idle_s):
--- a/tests/serving/test_watch.py
+++ b/tests/serving/test_watch.py
@@ -19,13 +19,13 @@
     return watch
 
 
-def test_a_caller_that_left_takes_a_waiting_call_back():
+def test_a_queued_call_is_withdrawn_when_its_caller_disconnects():
     call, withdrawn = make_call(gone=True)
     watch_call(call, ManualClock())
     assert call.cause is AbortCause.CALLER_GONE and withdrawn
 
 
-def test_a_caller_that_left_breaks_the_connection_to_the_target():
+def test_the_connection_is_shut_down_when_the_caller_disconnects():
     """The thread that serves the call blocks on the target's next byte."""
     ours, theirs = socket.socketpair()
     with ours, theirs:
@@ -35,7 +35,7 @@
         assert ours.recv(1) == b"" and not withdrawn
 
 
-def test_time_that_is_up_breaks_it_too_and_leaves_a_waiting_call():
+def test_a_queued_call_past_its_deadline_is_aborted_but_not_withdrawn():
     clock = ManualClock()
     call, withdrawn = make_call()
     watch = watch_call(call, clock)
@@ -45,7 +45,7 @@
     assert call.cause is AbortCause.TIMEOUT and not withdrawn
 
 
-def test_a_connection_that_comes_too_late_is_broken_at_once():
+def test_a_connection_of_an_aborted_call_is_shut_down_at_once():
     ours, theirs = socket.socketpair()
     with ours, theirs:
         call, _ = make_call(gone=True)
@@ -54,7 +54,7 @@
         assert ours.recv(1) == b""
 
 
-def test_calls_that_have_ended_are_not_looked_at():
+def test_calls_that_have_ended_are_not_checked():
     call, _ = make_call(gone=True)
     watch = CallWatcher(ManualClock())
     watch.add(call)
