--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -239,7 +239,7 @@
         metadata = self.proxy.header_codec.read_answer(response.headers)
         if metadata.not_run or response.status == HTTP_MISDIRECTED:
             raise NotRun(f"answered {response.status}")
-        # A target may return the answer to another request; its attempt id tells.
+        # A target may return the answer to another request; its attempt id shows it.
         if metadata.attempt != self.call.metadata.attempt:
             raise MayHaveRun("the answer belongs to another request")
         if 200 <= response.status < 300 and not metadata.signature:
--- a/godwitladder/serving/relay.py
+++ b/godwitladder/serving/relay.py
@@ -22,8 +22,8 @@
 from godwitladder.ids import StreamId
 from godwitladder.outcomes import Reason, Refusal, RequestState
 
-# Engines send a heartbeat every second. Three missing ones mean that the
-# connection is dead, even if neither end was told so.
+# Engines send a heartbeat every second. Three missing ones mean that something
+# between the two ends has dropped the connection.
 IDLE_TIMEOUT_S = 3.0
 # Consecutive connections without a new chunk. With the backoff below they span
 # 3 s plus the connection timeouts, which covers the restart of a process.
--- a/tests/serving/test_watch.py
+++ b/tests/serving/test_watch.py
@@ -13,10 +13,10 @@
 
 
 def watch_call(call, clock):
-    watch = CallWatcher(clock)
-    watch.add(call)
-    watch.check_calls()
-    return watch
+    watcher = CallWatcher(clock)
+    watcher.add(call)
+    watcher.check_calls()
+    return watcher
 
 
 def test_a_queued_call_is_withdrawn_when_its_caller_disconnects():
@@ -38,10 +38,10 @@
 def test_a_queued_call_past_its_deadline_is_aborted_but_not_withdrawn():
     clock = ManualClock()
     call, withdrawn = make_call()
-    watch = watch_call(call, clock)
+    watcher = watch_call(call, clock)
     assert call.cause is None
     clock.advance(10.0)
-    watch.check_calls()
+    watcher.check_calls()
     assert call.cause is AbortCause.TIMEOUT and not withdrawn
 
 
@@ -56,8 +56,8 @@
 
 def test_calls_that_have_ended_are_not_checked():
     call, _ = make_call(gone=True)
-    watch = CallWatcher(ManualClock())
-    watch.add(call)
-    watch.remove(call)
-    watch.check_calls()
+    watcher = CallWatcher(ManualClock())
+    watcher.add(call)
+    watcher.remove(call)
+    watcher.check_calls()
     assert call.cause is None
