--- a/godwitladder/membership/gossip.py
+++ b/godwitladder/membership/gossip.py
@@ -163,7 +163,7 @@
             return
         self.reported = now
         for row in rows:
-            self.members.hear(as_member(row, now))
+            self.members.record_heartbeat(as_member(row, now))
 
     def expire_directory(self) -> None:
         """Forget the reports of a hub that can report no more, or need not.
--- a/godwitladder/membership/members.py
+++ b/godwitladder/membership/members.py
@@ -95,7 +95,7 @@
     seldom: frozenset[HostId] = frozenset()
     reported: set[HostId] = field(default_factory=set)
 
-    def hear(self, member: Member) -> bool:
+    def record_heartbeat(self, member: Member) -> bool:
         """Take in a heartbeat; return False if it is of an older incarnation.
 
         A delayed heartbeat of a process that is gone must not make it look
