--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -1,6 +1,6 @@
-"""One host's side of a pool: what it may use there, and what it reports.
+"""State of one host in a pool: its allowances, its grants and its reports.
 
-Pure: times are handed in.
+Pure: times are passed as arguments.
 """
 
 import enum
@@ -20,27 +20,28 @@
 from godwitladder.scheduler.pools import Pool
 
 REACH_S = 3.0
-"""Silence of an allocator after which a host goes by its fixed share. Longer
-than a grant lives, so that the allocator has stopped counting the host's
-grants, and has given the capacity to others, before the host helps itself."""
+"""Time without an answer after which a host falls back to its fixed share. It is
+longer than the lifetime of a grant: the allocator has then reclaimed the host's
+grants and given the capacity to others before the host uses its share."""
 
 
 UNANSWERED_S = 0.4
-"""Time after which a host with requests waiting takes its allocator for out of
-reach: two answers are missing. A silent cut is known for one after 1.5 s only, and
-what waits for so long is late. What hosts take meanwhile is within their fixed
-shares, beside what the allocator may have given others: for a second a target
-queues a few more."""
+"""Time after which a host with waiting requests considers its allocator
+unreachable: two answers are then missing. A network partition that drops packets
+silently is detected only after 1.5 s, which would make the waiting requests late.
+Until then hosts dispatch within their fixed shares, in addition to what the
+allocator may have given to others, so a target may queue a few more requests for
+about a second."""
 
 
 WHOLE_S = 1.0
-"""Between two reports that tell an allocator all, also what it has missed."""
+"""Interval between full reports, which also restore what an allocator missed."""
 MOST_OUTSTANDING = 64
-"""Unanswered reports that a host remembers."""
+"""Maximum number of unanswered reports that a host tracks."""
 
 
 class GrantFate(enum.Enum):
-    """What became of a grant that this host was given."""
+    """Outcome of a grant that this host received."""
 
     USED = "used"
     GIVEN_BACK = "given_back"
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True)
 class HeldGrant:
-    """A grant and the time at which it lapses here."""
+    """A grant and its expiry on the clock of this host."""
 
     grant: Grant
     until: float
@@ -57,16 +58,17 @@
 
 @dataclass(frozen=True)
 class DemandNews:
-    """What a report tells of the requests that wait.
+    """Waiting requests to list in a report.
 
     Attributes
     ----------
     lines : tuple of RequestId
-        Those that need a line.
+        Requests to list.
     gone : tuple of RequestId
-        Those that the allocator may know of and that wait no longer.
+        Requests that the allocator may still list and that no longer wait.
     changes : bool
-        Whether that is what has changed; else the lines are all there are.
+        Whether ``lines`` and ``gone`` are changes since the last report. If not,
+        ``lines`` contains all requests.
     """
 
     lines: tuple[RequestId, ...]
@@ -76,40 +78,63 @@
 
 @dataclass
 class PoolAccess:
-    """What this host knows of and holds in one pool.
+    """State of this host in one pool.
 
     Attributes
     ----------
     home : bool
-        Whether the pool is in this host's own zone.
+        Whether the pool is in the zone of this host.
     allocator : HostId or None
-        Whom to report to; None where no host is known.
+        Host that receives the reports; None if no host is known.
+    holder : HostId or None
+        Allocator that sent the offers in use; None before the first offer.
+    term : int
+        Term of ``holder``.
+    seen : int
+        Number of the last offer received from ``holder``.
+    number : int
+        Number of the last report sent.
     answered : float
-        When the last offer came, or asking began.
+        Time of the last offer, or of the first report after a pause in reporting
+        if that is later.
     echoed : int
-        Number of the last report that an offer has answered.
+        Number of the last report that an offer has acknowledged.
     unanswered : tuple of int and float
-        Number and time of the first report since then that asked for requests;
-        0 for none.
+        Number and time of the first report since ``echoed`` that requested
+        grants; the number is 0 if there is none.
     silent_since : float or None
-        Since when the allocator is taken for silent; None while it is not.
+        Time since which the allocator counts as silent; None if it answers.
     dirty : bool
-        Whether something has changed that the allocator should know at once.
+        Whether a change should be reported to the allocator immediately.
     reported : float
-        When the last report was sent.
+        Time of the last report.
     outstanding : deque of tuple of int and float
-        Number and time of each report that asked for requests and is not
-        answered yet, the oldest first.
+        Number and time of each unanswered report that requested grants, oldest
+        first.
+    allowances : dict
+        Allowance on each target, from the last offer.
+    allowed_until : float
+        Expiry of the allowances.
+    grants : dict
+        Unused grants by request.
+    completions : list of Completion
+        Requests completed since the last report.
+    throughput_samples : dict
+        Samples since the last report, by target and by whether they include a
+        prefill.
+    asked : dict
+        Requests for which grants are requested, each with the number of the first
+        report that listed it.
     told : set of RequestId
-        Requests of which the allocator holds a line, as far as this host knows.
+        Requests that the allocator lists, as far as this host knows.
     settled : set of RequestId
         Requests that it has granted or shed since the last report.
     told_whole : float
-        When it was last told of all requests.
+        Time of the last full report.
     fates : Counter
-        Grants by what became of them, since they were last counted.
+        Number of grants by outcome since the metrics were last updated.
     history : SpendingHistory
-        Tokens of workspaces that were spent here.
+        Tokens that workspaces have spent through this host.
     """
 
     pool: Pool
@@ -143,10 +168,10 @@
     history: SpendingHistory = field(default_factory=SpendingHistory)
 
     def ask(self, allocator: HostId | None, now: float) -> None:
-        """Report to ``allocator`` from now on.
+        """Send reports to ``allocator`` from now on.
 
-        What another one gave is dropped: the new one must be able to count
-        on hearing of everything that this host can still use.
+        Grants and allowances of another allocator are dropped: the reports must
+        tell the new one about everything that this host can still use.
         """
         if allocator == self.allocator:
             return
@@ -158,14 +183,21 @@
         self.drop()
 
     def drop(self) -> None:
-        """Give up everything held."""
+        """Drop all grants and allowances."""
         self.holder, self.term, self.seen = None, 0, 0
         self.allowances = {}
         self.grants = {}
         self.told_whole = float("-inf")
 
     def take(self, offer: GrantOffer, now: float) -> bool:
-        """Take in an offer; return False for one that is late or foreign."""
+        """Apply an offer.
+
+        Returns
+        -------
+        bool
+            False if the offer is outdated, or is not from the allocator that
+            this host reports to.
+        """
         if self.home and self.allocator not in (offer.allocator, offer.via):
             return False
         if (offer.allocator, offer.term) != (self.holder, self.term):
@@ -185,13 +217,13 @@
         for grant in offer.grants:
             self.grants[grant.request] = HeldGrant(grant, offer.expires_s)
         self.dirty |= offer.report_now or bool(offer.grants)
-        # The allocator has dropped their lines, whatever becomes of them here.
+        # The allocator no longer lists these, whatever happens to them here.
         self.settled.update(grant.request for grant in offer.grants)
         self.settled.update(shed.request for shed in offer.sheds)
         return True
 
     def next_number(self, now: float) -> int:
-        """Return the number of a report that is sent now."""
+        """Return the number of the report to send now, and mark it as sent."""
         if now - self.reported > REACH_S:
             self.answered = now
         self.number += 1
@@ -200,11 +232,11 @@
         return self.number
 
     def lapse(self, now: float) -> None:
-        """Drop what may no longer be used.
+        """Drop expired grants and allowances.
 
-        A grant that was held up on its way, or taken in after a pause of this
-        process, is void: the allocator takes it that a report sent from now
-        on leaves it out, and gives the slot to another host.
+        A grant that was delayed in transit, or received after a pause of this
+        process, is void: the allocator expects that a report sent after the
+        expiry no longer includes it, and gives the slot to another host.
         """
         if self.allowed_until <= now:
             self.allowances = {}
@@ -217,14 +249,15 @@
     def is_alone(self, now: float) -> bool:
         """Return whether no allocator can be reached.
 
-        One that was not asked for a while has had no reason to answer.
+        An allocator that has received no report for a while has no reason to
+        answer, so its silence doesn't count.
         """
         silent = now - self.answered > REACH_S
         asking = now - self.reported <= REACH_S
         return self.allocator is None or (silent and asking)
 
     def tell(self, requests: Collection[RequestId], now: float) -> DemandNews:
-        """Note that a report tells of ``requests``, and return what it has to hold."""
+        """Record that a report covers ``requests``, and return what it must list."""
         known = self.told | self.settled
         held = self.told - self.settled
         lines = tuple(request for request in requests if request not in held)
@@ -236,9 +269,9 @@
         return DemandNews(lines, gone, changes=True)
 
     def note_asked(self, now: float) -> None:
-        """A report is sent that asks for the requests in ``asked``."""
+        """Record that a report is sent that requests grants for ``asked``."""
         if not self.asked:
-            # What was asked for is settled, and nobody owes an answer.
+            # All requests have been granted or shed, so no answer is expected.
             self.outstanding.clear()
             self.unanswered = (0, 0.0)
             return
@@ -247,14 +280,14 @@
             self.unanswered = (self.number, now)
 
     def behind_s(self, now: float) -> float:
-        """Return for how long the oldest unanswered report has been on its way."""
+        """Return the age of the oldest unanswered report, in seconds."""
         return now - self.outstanding[0][1] if self.outstanding else 0.0
 
     def is_unanswered(self, now: float) -> bool:
-        """Return whether the allocator has missed to answer for a moment."""
+        """Return whether the allocator's answer to a report is overdue."""
         number, asked_at = self.unanswered
         return number > 0 and now - asked_at > UNANSWERED_S
 
     def answers(self, request: RequestId) -> bool:
-        """Return whether the allocator has answered a report of ``request``."""
+        """Return whether the allocator has answered a report that lists ``request``."""
         return request in self.asked and self.echoed >= self.asked[request]
--- a/godwitladder/scheduler/actor.py
+++ b/godwitladder/scheduler/actor.py
@@ -1,4 +1,4 @@
-"""The actor that owns a host's tables and runs the systems over them."""
+"""Actor that owns the tables of a host and runs the systems on them."""
 
 import functools
 from collections.abc import Callable
@@ -55,20 +55,20 @@
 
 
 class Scheduler(pykka.ThreadingActor):
-    """Owns the tables and runs the systems once the messages at hand are in.
+    """Owns the tables and runs the systems after each batch of messages.
 
     Parameters
     ----------
     tables : Tables
-        The host's tables; nothing else may touch them.
+        Tables of the host; only this actor may access them.
     clock : Clock
-        The host's clock.
+        Clock of the host.
     metrics : Metrics
-        Where to count.
+        Counters and gauges to update.
     ticker : Ticker
-        Asked for a tick when a report had to wait.
+        Schedules a tick when a report has to wait.
     send : callable
-        Called with a host and a report for it.
+        Called with the host to send to and the report.
     """
 
     def __init__(
@@ -88,11 +88,11 @@
         self.ran = float("-inf")
 
     def on_receive(self, message) -> None:
-        """Take ``message`` in, and run the systems if no other is at hand.
+        """Handle ``message``, and run the systems if the inbox is empty.
 
-        With a run for each message, a burst makes the queue of messages grow
-        faster than it is worked off; the bound keeps a steady stream of
-        messages from putting the run off for ever.
+        If the systems ran after each message, the inbox would grow during a
+        burst faster than it is processed. The maximum delay prevents a steady
+        stream of messages from postponing the run indefinitely.
         """
         self.take(message)
         now = self.clock.monotonic()
@@ -100,7 +100,7 @@
             self.run(now)
 
     def run(self, now: float) -> None:
-        """Run the systems and send what they have for allocators."""
+        """Run the systems, send the reports that are due and update the metrics."""
         self.ran = now
         run_systems(self.tables, now)
         for host, report in due_reports(self.tables, now):
@@ -113,7 +113,7 @@
         self.metrics.running.set({}, len(self.tables.running))
 
     def count_grants(self) -> None:
-        """Count what became of the grants that were given to this host."""
+        """Add the outcomes of grants to the metrics and reset their counts."""
         for access in self.tables.pools.values():
             for fate, count in access.fates.items():
                 self.metrics.grants.add({"fate": fate.value}, count)
@@ -121,14 +121,15 @@
 
     @functools.singledispatchmethod
     def take(self, message) -> None:
-        """Take one message into the tables."""
+        """Apply one message to the tables."""
         raise TypeError(f"unknown message {message!r}")
 
     @take.register
     def _(self, message: Tick) -> None:
-        # Hosts are told of only when they change. Noted then alone, those that
-        # a cut takes away after a calm minute would count as long gone, and
-        # their part of the quotas be given out here too.
+        # HostsChanged arrives only on changes. If hosts were recorded only then,
+        # hosts lost in a network partition would count as long gone when the last
+        # change was a minute ago, and this host would take their share of the
+        # quotas as well.
         self.tables.seen.note(self.tables.hosts, self.clock.monotonic())
 
     @take.register
--- a/godwitladder/scheduler/gate.py
+++ b/godwitladder/scheduler/gate.py
@@ -1,6 +1,7 @@
-"""Refuses calls that an allocator would hardly serve, before it is asked for them.
+"""Admission control that refuses calls before they are reported to an allocator.
 
-Any thread may ask; what the allocator of a pool says is replaced as a whole.
+Refused are calls that the allocator is unlikely to serve. Any thread may call the
+gate; the shares of a pool are replaced as a whole.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,31 +14,32 @@
 from godwitladder.outcomes import Reason, Refusal, refuse
 
 VALID_S = 1.0
-"""An allocator that is silent for longer closes nothing: what it said may be over."""
+"""Time for which admission shares are valid. After that, the overload that they
+reflect may be over, so nothing is refused."""
 CLOSED = "More calls come than can be served."
 
 
 @dataclass(frozen=True)
 class SaidShares:
-    """What one allocator said, and until when that holds."""
+    """Admission shares received from one allocator, and their expiry."""
 
     shares: Mapping[Flow, AdmissionShare]
     until: float
 
 
 class AdmissionGate:
-    """What allocators say of the calls that are worth asking for."""
+    """Holds the admission shares of all pools and refuses calls beyond them."""
 
     def __init__(self) -> None:
         self.pools: dict[PoolName, SaidShares] = {}
 
     def set(self, pool: PoolName, shares: Iterable[AdmissionShare], now: float) -> None:
-        """Take in what the allocator of ``pool`` says now."""
+        """Replace the admission shares of ``pool``."""
         rows = {(row.service, row.workspace): row for row in shares}
         self.pools[pool] = SaidShares(rows, now + VALID_S)
 
     def share(self, flow: Flow, now: float) -> AdmissionShare | None:
-        """Return the part of the calls of ``flow`` to ask for; None for all."""
+        """Return the valid admission share of ``flow``; None admits all calls."""
         for said in list(self.pools.values()):
             if flow in said.shares and now <= said.until:
                 return said.shares[flow]
@@ -46,12 +48,12 @@
     def refusal(
         self, flow: Flow, request: RequestId, draw: float, now: float
     ) -> Refusal | None:
-        """Return why a call is not to be asked for, if so.
+        """Return the refusal of a call, or None if it is admitted.
 
         Parameters
         ----------
         draw : float
-            A number from 0 to 1 that nothing else depends on.
+            Random number in [0, 1), drawn independently for each call.
         """
         row = self.share(flow, now)
         if row is None or draw < row.share:
--- a/godwitladder/scheduler/messages.py
+++ b/godwitladder/scheduler/messages.py
@@ -1,4 +1,4 @@
-"""Messages to the scheduler actor."""
+"""Messages to the scheduler actor and the allocator actor."""
 
 import enum
 from collections.abc import Mapping
@@ -12,13 +12,23 @@
 
 @dataclass(frozen=True)
 class Submit:
-    """A caller's request has arrived."""
+    """A request of a caller has arrived."""
 
     row: RequestRow
 
 
 class ReturnProof(enum.Enum):
-    """Why a request that was dispatched may wait for another target."""
+    """Why a dispatched request may be queued again.
+
+    Attributes
+    ----------
+    NOTHING_SENT
+        Nothing was sent to the target.
+    TARGET_SAID
+        The target stated that it did not run the request.
+    IDEMPOTENT
+        The request is idempotent and may run twice.
+    """
 
     NOTHING_SENT = "nothing_sent"
     TARGET_SAID = "target_said"
@@ -27,15 +37,14 @@
 
 @dataclass(frozen=True)
 class Returned:
-    """A dispatched request waits again.
+    """A dispatched request is to be queued again.
 
     Attributes
     ----------
     proof : ReturnProof
-        Nothing was written, the target said that it ran nothing, or the
-        request may run twice.
+        Why this can't lead to an unwanted second run.
     avoid : bool
-        Whether this host should leave the target alone for a moment.
+        Whether this host should avoid the target for a while.
     """
 
     request: RequestId
@@ -52,7 +61,13 @@
 
 @dataclass(frozen=True)
 class Progress:
-    """Output tokens seen so far."""
+    """A dispatched request has produced more output.
+
+    Attributes
+    ----------
+    tokens : int
+        Number of output tokens so far.
+    """
 
     request: RequestId
     tokens: int
@@ -70,14 +85,14 @@
 
 @dataclass(frozen=True)
 class Withdrawn:
-    """The caller of a waiting request is gone."""
+    """The caller of a waiting request has disconnected."""
 
     request: RequestId
 
 
 @dataclass(frozen=True)
 class MakeRoom:
-    """The host has no thread left for one more request that waits."""
+    """The host has no free thread for another waiting request."""
 
 
 @dataclass(frozen=True)
@@ -89,18 +104,18 @@
 
 @dataclass(frozen=True)
 class HostsChanged:
-    """The live hosts have changed.
+    """The live hosts or the links to them have changed.
 
     Attributes
     ----------
     hosts : tuple of HostId
-        Those of this zone that are not leaving, this one among them.
+        Live hosts of this zone that are not leaving, including this one.
     linked : dict
-        Those of each other zone to which there is a link.
+        Live hosts of each other zone to which this host has a link.
     able : tuple of HostId or None
         Hosts of this zone that may be allocators; None if all may.
     hubs : frozenset of HostId
-        Those to which all others are linked; empty if all are linked to all.
+        Hosts to which all others are linked; empty in a full mesh.
     """
 
     hosts: tuple[HostId, ...]
@@ -123,7 +138,7 @@
 
 @dataclass(frozen=True)
 class TargetLoad:
-    """Requests on a target, as its own lagging report says."""
+    """Number of requests on a target, from its own delayed load report."""
 
     target: TargetName
     requests: int
@@ -131,9 +146,9 @@
 
 @dataclass(frozen=True)
 class Stop:
-    """Take nothing new; finish what was taken."""
+    """Refuse new requests, and finish those that were accepted."""
 
 
 @dataclass(frozen=True)
 class Tick:
-    """Run the systems."""
+    """Run what is due at regular intervals."""
--- a/godwitladder/scheduler/pools.py
+++ b/godwitladder/scheduler/pools.py
@@ -1,4 +1,4 @@
-"""Pools: the targets of one zone that share services."""
+"""Pools: targets of one zone that share services."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class Pool:
-    """Targets of one zone, linked by the services they share."""
+    """Targets of one zone that are connected by common services."""
 
     name: PoolName
     targets: frozenset[TargetName]
@@ -20,9 +20,9 @@
 def make_pools(targets: Mapping[TargetName, Target]) -> dict[PoolName, Pool]:
     """Return the pools of a configuration.
 
-    Two targets of a zone that serve a common service are in one pool, so that
-    each service has one pool in each zone, and whoever hands out a pool sees
-    all demand that competes for any of its slots.
+    Two targets of a zone with a common service are in the same pool. Each service
+    therefore has one pool in each zone, and the allocator of a pool knows all demand
+    that competes for its slots.
     """
     groups: dict[Zone, list[tuple[set[TargetName], set[ServiceName]]]] = {}
     for name, target in sorted(targets.items()):
@@ -40,7 +40,7 @@
     name: TargetName,
     services: set[ServiceName],
 ) -> None:
-    """Merge every group that shares a service with the target ``name``."""
+    """Add the target ``name`` and merge all groups that share a service with it."""
     names = {name}
     linked = [group for group in groups if group[1] & services]
     for group in linked:
@@ -55,5 +55,5 @@
 
 
 def pool_key(pool: PoolName) -> str:
-    """Return the key by which hosts choose the allocator of ``pool``."""
+    """Return the rendezvous hashing key for the allocator of ``pool``."""
     return f"{pool.zone}/{pool.service}"
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -1,6 +1,6 @@
-"""The systems that talk to allocators: reports out, offers in.
+"""Systems that make reports for allocators and apply their offers.
 
-Pure: what is to be sent is returned, and the actor sends it.
+Pure: reports are returned, and the actor sends them.
 """
 
 import math
@@ -23,33 +23,37 @@
 from godwitladder.scheduler.systems import refuse_request, waiting_order
 
 HEARTBEAT_S = 1.0
-"""Longest time between two reports on a pool that is in use."""
+"""Maximum time between two reports on a pool that is in use."""
 
 FIRST_LINES = 24
 LAST_LINES = 8
-"""Requests of a host that an allocator sees one by one; the others are
-counted by tier. The first are more than one host can be granted in a round
-trip. The last are there for shedding: an allocator that saw only the first of
-each host would shed from those, while less important work is kept unseen."""
+"""Number of requests that a report lists one by one; the others are counted by
+tier. The first are more than a host can be granted in one round trip. The last are
+listed for shedding: an allocator that knew only the first requests of each host
+would shed those while less important requests go on waiting."""
 
 GAP_S = 0.002
 GAP_PER_LINE_S = 0.001
-"""Shortest time between two reports. It grows with what the last one held, so
-that a long queue with many arrivals costs no more than a short one."""
+"""Minimum time between two reports: a constant part and a part for each request in
+the last report. It grows with the report, so that a long queue with many arrivals
+causes no more load than a short one."""
 
 SLOW_S = 0.5
-"""An allocator that keeps up answers what asks for requests within a fifth of a
-second and a tick of its own. One that does not is sent less."""
+"""Age of an unanswered report at which the allocator counts as slow. An allocator
+that keeps up answers within a fifth of a second plus one tick of its own; a slow one
+is sent fewer reports."""
 SLOW_SHARE = 0.5
-"""Of the time for which it is behind: about two reports of a host are on their way
-then, however slow the allocator or its link."""
+"""Interval between reports to a slow allocator, as a fraction of the age of the
+oldest unanswered report. It keeps about two reports of a host in transit, no matter
+how slow the allocator or its link is."""
 
 SPILL_AFTER_S = 1.0
-"""A request that waited so long is asked for in other zones in any case."""
+"""Waiting time after which a request is always reported to other zones as well."""
 
 CALLER_DIGITS = 12
-"""Of a body's digest in a demand line: two of 25,000 callers are mistaken for each
-other once in a million times, and lines cost bytes between zones."""
+"""Number of digits of the body's digest in a demand. The probability that any two
+of 25,000 callers collide is one in a million, and each digit adds to the traffic
+between zones."""
 
 SHED_REASONS = {
     ShedReason.OVERLOAD: Reason.SHED,
@@ -65,7 +69,7 @@
 
 
 def update_targets(tables: Tables) -> None:
-    """Bring targets and pools in line with the configuration."""
+    """Update targets and pools to match the configuration."""
     rows = tables.targets
     for name, target in tables.config.targets.items():
         row = rows.setdefault(name, TargetRow(name, target))
@@ -87,10 +91,10 @@
 
 
 def choose_allocators(tables: Tables, now: float) -> None:
-    """Choose for each pool the host to report to.
+    """Choose the host to which the reports on each pool are sent.
 
-    In another zone that is any host there that this one has a link to; it
-    knows its zone's allocator and passes messages on.
+    For a pool of another zone this is any host of that zone with a link to this
+    host; it knows the allocator of its zone and forwards messages.
     """
     for name, access in tables.pools.items():
         hosts = tables.allocators if access.home else tables.linked.get(name.zone, ())
@@ -99,7 +103,7 @@
 
 
 def due_reports(tables: Tables, now: float) -> list[tuple[HostId, PoolReport]]:
-    """Return the reports that are due, each with the host to send it to."""
+    """Return the reports that are due, each with its destination host."""
     spill_requests(tables, now)
     mark_fresh(tables)
     reports = []
@@ -111,7 +115,7 @@
 
 
 def next_due_s(tables: Tables, now: float) -> float | None:
-    """Return the seconds until a report that had to wait for its gap."""
+    """Return the seconds until the next delayed report is due; None without one."""
     waits = [
         access.reported + gap_s(access, now) - now
         for access in tables.pools.values()
@@ -121,11 +125,11 @@
 
 
 def gap_s(access: PoolAccess, now: float) -> float:
-    """Return the shortest time until the next report on a pool.
+    """Return the minimum time between two reports on a pool, in seconds.
 
-    Reports that an allocator can't take in would wait on the way. It would grant
-    to calls that have left, which leaves more waiting and so more to report: an
-    overload that lasts when its cause is gone.
+    Reports that an allocator can't process in time would queue up on the way. It
+    would then grant requests that are already gone, which leaves more requests
+    waiting and more to report: the overload would outlast its cause.
     """
     shortest_s = GAP_S + GAP_PER_LINE_S * len(access.asked)
     behind_s = access.behind_s(now)
@@ -135,7 +139,7 @@
 
 
 def is_due(tables: Tables, access: PoolAccess, now: float) -> bool:
-    """Return whether a report on a pool is to be sent now."""
+    """Return whether a report on a pool should be sent now."""
     waited = now - access.reported
     if access.dirty:
         return waited >= gap_s(access, now)
@@ -143,11 +147,12 @@
 
 
 def in_use(tables: Tables, access: PoolAccess) -> bool:
-    """Return whether this host is to keep in touch with a pool's allocator.
+    """Return whether this host should send heartbeats to a pool's allocator.
 
-    Where nothing is allowed unasked, a host that neither runs nor wants anything
-    is silent: hundreds of idle hosts would take most of their allocator's time.
-    One that was not answered yet says again what its workspaces have spent.
+    If the allocator gives no standing allowances, a host without running and
+    waiting requests sends nothing: heartbeats of hundreds of idle hosts would take
+    most of the allocator's time. A host that has not been answered yet keeps
+    reporting what its workspaces have spent.
     """
     if access.home and (tables.standing or access.holder is None):
         return True
@@ -157,7 +162,7 @@
 
 
 def mark_fresh(tables: Tables) -> None:
-    """Note which pools have requests that no report has told of yet."""
+    """Mark the pools with requests that no report has listed yet as dirty."""
     for request in tables.fresh:
         row = tables.waiting.get(request)
         if row:
@@ -167,13 +172,13 @@
 
 
 def asked_pools(tables: Tables, row: RequestRow) -> list[PoolAccess]:
-    """Return the pools whose allocators are asked for ``row``."""
+    """Return the pools on which ``row`` is reported."""
     pools = tables.by_service.get(row.service, [])
     return pools if row.spilled else pools[:1]
 
 
 def spill_requests(tables: Tables, now: float) -> None:
-    """Ask other zones for requests that the first pool keeps waiting."""
+    """Report requests to other zones if they wait too long in their first pool."""
     late = {
         service: now if pools[0].is_alone(now) else now - SPILL_AFTER_S
         for service, pools in tables.by_service.items()
@@ -187,13 +192,13 @@
 
 
 def spill(tables: Tables, row: RequestRow) -> None:
-    """Ask other zones for ``row`` too."""
+    """Report ``row`` to other zones as well."""
     row.spilled = True
     tables.fresh.append(row.request)
 
 
 def make_report(tables: Tables, access: PoolAccess, now: float) -> PoolReport:
-    """Return this host's next report on a pool."""
+    """Return the next report of this host on a pool."""
     rows = demand(tables, access)
     number = access.next_number(now)
     head, middle, tail = split_lines(rows)
@@ -228,7 +233,7 @@
 
 
 def demand(tables: Tables, access: PoolAccess) -> list[RequestRow]:
-    """Return the requests to ask a pool's allocator for, in order."""
+    """Return the requests to report to a pool's allocator, in dispatch order."""
     waiting, services, granted = (
         RequestState.WAITING,
         access.pool.services,
@@ -250,13 +255,13 @@
 def split_lines(
     rows: list[RequestRow],
 ) -> tuple[list[RequestRow], list[RequestRow], list[RequestRow]]:
-    """Return the first rows, those in the middle without a line, and the last."""
+    """Split ``rows`` into the first, the unlisted middle, and the last ones."""
     end = max(FIRST_LINES, len(rows) - LAST_LINES)
     return rows[:FIRST_LINES], rows[FIRST_LINES:end], rows[end:]
 
 
 def report_uses(access: PoolAccess, targets: list[TargetRow]) -> tuple[TargetUse, ...]:
-    """Return what runs, and what grants are held for."""
+    """Return the use of each target by running requests and held grants."""
     uses = []
     for row in targets:
         held = [
@@ -276,7 +281,7 @@
 
 
 def report_workspaces(tables: Tables, access: PoolAccess) -> tuple[WorkspaceUse, ...]:
-    """Return what workspaces with a quota run in a pool."""
+    """Return the running requests in a pool of each workspace with a quota."""
     workspaces = tables.config.workspaces
     counts = Counter(
         row.workspace
@@ -289,7 +294,7 @@
 
 
 def make_line(tables: Tables, row: RequestRow, now: float) -> RequestDemand:
-    """Return the line of one waiting request."""
+    """Return the entry of one waiting request in a report."""
     return RequestDemand(
         request=row.request,
         workspace=row.workspace,
@@ -312,15 +317,16 @@
 
 
 def caller_digest(row: RequestRow) -> BodyDigest:
-    """Return by what the caller of ``row`` is known again.
+    """Return the digest that identifies the caller of ``row`` in later requests.
 
-    Calls of plain services often have no body, or the same; prompts differ.
+    Empty for requests without a prompt: calls of plain services often have no
+    body or identical ones, whereas prompts differ.
     """
     return BodyDigest(row.body[:CALLER_DIGITS] if row.prompt_tokens else "")
 
 
 def take_offer(tables: Tables, offer: GrantOffer, now: float) -> None:
-    """Take in an allocator's offer."""
+    """Apply an offer of an allocator."""
     access = tables.pools.get(offer.pool)
     if access is None or offer.incarnation != tables.incarnation:
         return
@@ -341,11 +347,11 @@
 def take_shed(
     tables: Tables, access: PoolAccess, row: RequestRow, shed: Shed, now: float
 ) -> None:
-    """Refuse a request that its allocator gives up, unless others may take it.
+    """Refuse a request that its allocator sheds, unless another zone may take it.
 
-    Only the first pool's allocator sheds. Without the round through the other
-    zones a request would be refused here while targets stand idle there, and
-    a tier be shed while a lower one is kept in the next zone.
+    Only the allocator of the first pool may shed. If the other zones were not
+    asked first, a request would be refused here while targets are idle there, and
+    a tier would be shed while a lower one is still served in another zone.
     """
     if access is not tables.by_service[row.service][0]:
         return
@@ -362,10 +368,11 @@
 
 
 def least_important(tables: Tables, access: PoolAccess, row: RequestRow) -> RequestRow:
-    """Return ``row``, or a less important one that waits here for its pool.
+    """Return the least important request waiting for the pool; ``row`` if none is.
 
-    The order to shed was made from an older report, and from a part of the
-    queue; a lower tier that came since, or had no line, goes first.
+    The decision to shed ``row`` was based on an older report that listed only a
+    part of the queue. A request of a lower tier that arrived since, or was not
+    listed, is shed first.
     """
     rows = [
         other
@@ -378,7 +385,7 @@
 
 
 def has_open_pool(tables: Tables, row: RequestRow, now: float) -> bool:
-    """Return whether an allocator of another zone has yet to answer ``row``."""
+    """Return whether an allocator of another zone may still answer ``row``."""
     for pool in tables.by_service[row.service][1:]:
         if pool.is_alone(now) or pool.answers(row.request):
             continue
--- a/godwitladder/scheduler/rows.py
+++ b/godwitladder/scheduler/rows.py
@@ -1,4 +1,4 @@
-"""The rows of one host's tables."""
+"""Tables of one host and their rows."""
 
 import enum
 import math
@@ -31,11 +31,11 @@
 
 
 class IllegalTransition(GodwitladderError):
-    """A request was to change into a state that its own does not allow."""
+    """Raised if a request can't change from its current state to the requested one."""
 
 
 class ClaimState(enum.Enum):
-    """Whether a request's key must be claimed before its dispatch."""
+    """Whether the key of a request has to be claimed before its dispatch."""
 
     NOT_NEEDED = "not_needed"
     NEEDED = "needed"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Dispatch:
-    """Leave to write one request to one target, once."""
+    """Permission to send one request to one target once."""
 
     request: RequestId
     stream: StreamId
@@ -54,47 +54,49 @@
 
 @dataclass
 class RequestRow:
-    """One request from its arrival to its end.
+    """State of one request from its arrival to its end.
 
     Attributes
     ----------
     tier_rank : int
-        0 matters most.
+        0 is the most important tier.
     prompt_tokens, declared_tokens, predicted_tokens, produced_tokens : int
-        Length of the prompt; output declared, predicted and seen so far.
+        Length of the prompt, and declared, predicted and produced output. The
+        predicted output is what is reserved.
     likely_tokens : int
-        Output that is as often exceeded as not; the predicted one is reserved.
+        Predicted median of the output.
     held_tokens : int
-        Tokens counted against its target since it was dispatched.
+        Tokens reserved on the target since the dispatch.
     arrived, deadline, dispatched, first_token, progressed : float
-        Monotonic seconds of this host's clock; 0 for not yet. The last one is
-        when more output was last heard of.
+        Times in seconds on the monotonic clock of this host, 0 if not reached yet.
+        ``progressed`` is the time of the most recent output.
     queued : bool
-        Whether the table's queue holds it.
+        Whether the request is in the queue of the tables.
     aim : float
-        Until when its first output counts as in time; 0 for its deadline.
+        Deadline of the first token; 0 if it is the deadline of the request.
     start_by : float
-        Until when it has to be dispatched to be of use to its caller.
+        Latest time at which a dispatch is still useful to the caller.
     gap_s : float
-        Longest pause that its answer may have, in seconds; 0 for no bound.
+        Maximum pause between two outputs, in seconds; 0 for no limit.
     event_tokens : int
-        Output tokens that come to its caller at once.
+        Number of output tokens that the caller receives in one event.
     charge : int
-        Tokens that it counts for in its workspace's quota.
+        Number of tokens charged to the quota of the workspace.
     order : tuple
-        Where it stands among the waiting ones: by tier, then by deadline.
+        Sort key of the queue: tier, then deadline.
     spilled : bool
-        Whether other zones are asked for it too.
+        Whether the request is also reported to other zones.
     claim : ClaimState
-        Whether its key is claimed.
+        Whether the key has been claimed.
     key : KeyDigest or None
         Digest of workspace, service and the caller's idempotency key.
     body : BodyDigest
-        Digest of the body, by which a crashing request is known again.
+        Digest of the body, which identifies a request that crashes targets.
     prefix : str
-        Digest of the start of the prompt, for placement near its cache.
+        Digest of the start of the prompt, for placement on targets that have it in
+        their cache.
     decisions : queue
-        Where the thread that serves the caller waits for what to do.
+        Queue on which the thread of the caller waits for a decision.
     """
 
     request: RequestId
@@ -136,16 +138,25 @@
 
     @property
     def reserved_tokens(self) -> int:
-        """Tokens of a target's memory that it is taken to need."""
+        """Estimated number of tokens of a target's memory that the request needs."""
         expected = self.predicted_tokens or self.declared_tokens
         return self.prompt_tokens + max(expected, self.produced_tokens)
 
     def change(self, state: RequestState) -> None:
-        """Go to ``state``, if the current one allows it."""
+        """Change to ``state``.
+
+        Raises
+        ------
+        IllegalTransition
+            If the current state doesn't permit it, or if the request is to be
+            dispatched without the claim that it needs.
+        """
         if state not in TRANSITIONS[self.state]:
-            raise IllegalTransition(f"{self.request}: {self.state} to {state}")
-        # Whatever path leads to a dispatch, one without the claim that it
-        # needs would let two hosts run the same order.
+            raise IllegalTransition(
+                f"{self.request} can't change from {self.state} to {state}"
+            )
+        # Checked here for all ways to a dispatch: without the claim, two hosts
+        # could run the same request.
         unclaimed = self.claim is ClaimState.NEEDED
         if state is RequestState.DISPATCHED and unclaimed:
             raise IllegalTransition(f"{self.request} has not claimed its key")
@@ -154,15 +165,18 @@
 
 @dataclass
 class TargetRow:
-    """What this host knows of, and runs on, one target.
+    """State of one target, and the use that this host makes of it.
 
     Attributes
     ----------
     unread_tokens, unread_requests : int
-        Prompt tokens of requests there that have made no output yet, and
-        how many these are.
+        Prompt tokens and number of the requests on the target that have produced
+        no output yet.
+    avoided_until : float
+        Time until which this host sends nothing to the target.
     answers : bool
-        False from a request that it did not take until one that it completed.
+        Whether the target accepts requests. Set to False when it doesn't accept
+        one, and to True when it completes one.
     """
 
     name: TargetName
@@ -184,34 +198,35 @@
     hosts : tuple of HostId
         Live hosts of this zone that are not leaving.
     able : tuple of HostId or None
-        Those of them that may be allocators; None if all may.
+        Hosts of this zone that may be allocators; None if all may.
     linked : dict
-        Live hosts of each other zone that this host has a link to.
+        Live hosts of each other zone to which this host has a link.
     leaving : frozenset of str
         Addresses that the platform's list shows as leaving.
     pools : dict
-        This host's side of every pool, those of its own zone first.
+        State of this host in each pool; the pools of its own zone come first.
     by_service : dict
-        The pools of each service, in the same order.
+        Pools of each service, in the same order.
     pool_of : dict
-        The pool of each target.
+        Pool of each target.
     queue : list of RequestRow
-        The waiting requests in order; see `systems.waiting_order`.
+        Waiting requests in dispatch order; see `systems.waiting_order`.
     fresh : list of RequestId
-        Requests that began to wait since the last reports were made.
+        Requests queued since the last reports were made.
     place : str
-        The availability zone of this host, where that is a part of ``zone``.
+        Availability zone of this host; empty unless it is a part of ``zone``.
     quotas : TokenQuotas
-        What workspaces may have run by this host while it has no allocator.
+        Token quotas that this host enforces while it has no allocator.
     seen : SeenHosts
-        The hosts that such a book shares the quotas with.
+        Hosts with which it shares the quotas then.
     gate : AdmissionGate
-        Which calls are worth asking for; any thread may ask it.
+        Admission shares received from allocators. May be called by any thread.
     standing : bool
-        Whether allocators allow some requests unasked while nothing waits.
+        Whether allocators give standing allowances while nothing waits.
     helps_itself : bool
-        Whether this host uses its fixed share of near targets as soon as its
-        allocator misses to answer, beside what that may have given others.
+        Whether this host uses its fixed share of targets in its availability zone
+        as soon as an answer of its allocator is overdue, in addition to what the
+        allocator may have given to others.
     """
 
     host: HostId = HostId("")
--- a/godwitladder/scheduler/silence.py
+++ b/godwitladder/scheduler/silence.py
@@ -1,6 +1,6 @@
-"""Tells when allocators fall silent, and when they answer again.
+"""Logs when allocators stop answering and when they answer again.
 
-Pure: times are handed in.
+Times are passed as arguments.
 """
 
 from godwitladder.logs import component_logger
@@ -12,7 +12,7 @@
 
 
 def note_silence(tables: Tables, now: float) -> None:
-    """Log which allocators have fallen silent, and which answer again."""
+    """Log which allocators have stopped answering and which answer again."""
     for access in tables.pools.values():
         silent = is_silent(access, now)
         if silent and access.silent_since is None:
@@ -22,18 +22,18 @@
             silent_s = round(now - access.silent_since, 3)
             access.silent_since = None
             extra = state_of(access) | {"silent_s": silent_s}
-            log.info("The allocator answers", extra=extra)
+            log.info("The allocator answers again", extra=extra)
 
 
 def is_silent(access: PoolAccess, now: float) -> bool:
-    """Return whether the allocator that this host asks does not answer."""
+    """Return whether the allocator that this host reports to doesn't answer."""
     if access.allocator is None:
         return False
     return access.is_unanswered(now) or access.is_alone(now)
 
 
 def state_of(access: PoolAccess) -> dict[str, object]:
-    """Return what a log line says of a host's exchange with an allocator."""
+    """Return the log fields that describe the exchange with an allocator."""
     return {
         "pool": pool_key(access.pool.name),
         "allocator": access.allocator,
--- a/godwitladder/scheduler/stretches.py
+++ b/godwitladder/scheduler/stretches.py
@@ -1,9 +1,9 @@
-"""How fast targets work while requests run, for the allocator to see.
+"""Throughput samples of running requests, for reports to allocators.
 
-Completions alone show a slow target only when its requests end, which may be
-minutes after it slowed down, and a target that stands still completes nothing.
+Completions show that a target is slow only when its requests end, which may be
+minutes after it slowed down. A target that has stalled completes nothing at all.
 
-Pure: times are handed in.
+Pure: times are passed as arguments.
 """
 
 from godwitladder.ids import TargetName
@@ -12,15 +12,15 @@
 from godwitladder.scheduler.rows import RequestRow, Tables
 
 AWAITED_TOKENS = 64
-"""Output that a running stream reports at once; the next report is due after
-so many tokens."""
+"""Number of output tokens between two progress messages of a running stream."""
 
 OPEN_S = 1.0
-"""Waits shorter than this say nothing: a prefill may stand behind others."""
+"""Minimum wait that is reported. A shorter one shows nothing about the target, since
+a prefill may be queued behind others."""
 
 
 def note_progress(tables: Tables, row: RequestRow, tokens: int, now: float) -> None:
-    """Take in that ``row`` has produced ``tokens`` by ``now``."""
+    """Record that ``row`` has produced ``tokens`` output tokens by ``now``."""
     access = tables.pool_of.get(row.target)
     if access:
         prompt = 0 if row.first_token else row.prompt_tokens
@@ -32,11 +32,11 @@
 
 
 def keep(access: PoolAccess, done: ThroughputSample) -> None:
-    """Keep what the next report is to tell of ``done``.
+    """Merge ``done`` into the samples for the next report.
 
-    First tokens are added up. Of running streams the fastest is kept: each is
-    slow when its target is, but also when its own caller reads slowly, and
-    one such caller must not take slots from all others.
+    Samples with a prefill are summed. Of the others, the fastest is kept: a stream
+    is slow if its target is slow, but also if its caller reads slowly, and one such
+    caller must not reduce the slots of all others.
     """
     key = done.target, done.prompt_tokens > 0
     held = access.throughput_samples.get(key)
@@ -48,21 +48,21 @@
 
 
 def is_faster(one: ThroughputSample, other: ThroughputSample) -> bool:
-    """Return whether ``one`` made more output in a second than ``other``."""
+    """Return whether ``one`` has a higher output rate than ``other``."""
     return one.output_tokens * other.taken_s > other.output_tokens * one.taken_s
 
 
 def take_stretches(
     tables: Tables, access: PoolAccess, now: float
 ) -> tuple[ThroughputSample, ...]:
-    """Return what to report, and start anew."""
+    """Return the samples for the next report, and clear them."""
     done, access.throughput_samples = access.throughput_samples, {}
     waited: dict[TargetName, ThroughputSample] = {}
     for row in tables.running.values():
         if row.target not in access.pool.targets or not row.declared_tokens:
             continue
         stretch = awaited(row, now)
-        # The shortest wait of all, for the same reason as in `keep`.
+        # The shortest wait counts, for the same reason as in `keep`.
         held = waited.get(row.target)
         if held is None or stretch.taken_s < held.taken_s:
             waited[row.target] = stretch
@@ -71,7 +71,7 @@
 
 
 def awaited(row: RequestRow, now: float) -> ThroughputSample:
-    """Return what ``row`` is waiting for."""
+    """Return a sample of the output that ``row`` is waiting for."""
     if not row.first_token:
         taken_s = now - row.dispatched
         return ThroughputSample(
@@ -83,7 +83,7 @@
 
 
 def join(one: ThroughputSample, other: ThroughputSample) -> ThroughputSample:
-    """Return both as one."""
+    """Return the sum of two samples."""
     return ThroughputSample(
         one.target,
         one.prompt_tokens + other.prompt_tokens,
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -1,7 +1,7 @@
-"""Systems that run over a host's tables on each tick.
+"""Systems that run on the tables of a host at each tick.
 
-Each takes the tables and the time and changes rows; what is to be told to
-callers goes into the rows' own queues, so that the systems touch no network.
+Each takes the tables and the time and modifies rows. Decisions for callers are put
+into the queues of the rows, so that the systems perform no network I/O.
 """
 
 from bisect import insort
@@ -34,14 +34,15 @@
 EXPIRED_RETRY_S = 1.0
 GRANT_WAY_S = 0.25
 GRANT_WAY_SHARE = 0.1
-"""For so long, and no more than this part of the rest of its time, a call waits for
-a grant that may have been given in the last moment."""
+"""Time after its latest start for which a request still waits for a grant that may
+be in transit: the constant, but at most this fraction of the time that remains until
+its deadline."""
 OVER_QUOTA = "The workspace has had its tokens for now."
 NO_ROOM = "This host has no room for more requests that wait."
 
 
 def run_systems(tables: Tables, now: float) -> None:
-    """Run every system once, in order."""
+    """Run all systems once, in order."""
     expire_requests(tables, now)
     note_silence(tables, now)
     lapse_grants(tables, now)
@@ -50,10 +51,10 @@
 
 
 def expire_requests(tables: Tables, now: float) -> None:
-    """Refuse what can no longer be answered in time.
+    """Refuse requests that can no longer be answered in time.
 
-    The allocator does so too, but one that is far behind would leave callers
-    without an answer until they have no time left to turn elsewhere.
+    The allocator refuses them too, but if it is far behind, callers would get no
+    answer until it is too late for them to try elsewhere.
     """
     for row in list(tables.waiting.values()):
         if is_too_late(row, now) and row.state is RequestState.WAITING:
@@ -63,7 +64,7 @@
 
 
 def is_too_late(row: RequestRow, now: float) -> bool:
-    """Return whether ``row`` is of no use any more, and no grant on its way."""
+    """Return whether it is too late to start ``row`` and no grant is in transit."""
     if row.start_by >= row.deadline:
         return now >= row.deadline
     rest_s = row.deadline - row.start_by
@@ -71,16 +72,17 @@
 
 
 def lapse_grants(tables: Tables, now: float) -> None:
-    """Drop grants and allowances that may no longer be used."""
+    """Drop expired grants and allowances."""
     for access in tables.pools.values():
         access.lapse(now)
 
 
 def use_grants(tables: Tables, now: float) -> None:
-    """Dispatch the requests that grants were given for.
+    """Dispatch the requests that have been granted.
 
-    A grant whose request is gone is dropped, and the report that follows
-    gives it back; one whose request is about to go is kept until it lapses.
+    The grant of a request that no longer waits is dropped, and the next report
+    returns it. The grant of a request whose key is still being claimed is kept until
+    it expires.
     """
     for access in tables.pools.values():
         for request, held in list(access.grants.items()):
@@ -97,7 +99,7 @@
 
 
 def place_requests(tables: Tables, now: float) -> None:
-    """Dispatch waiting requests within allowances, the lowest rank first."""
+    """Dispatch waiting requests within allowances, in dispatch order."""
     services = {row.service for row in tables.waiting.values()}
     open_services = {name for name in services if has_room(tables, name, now)}
     if not open_services:
@@ -116,10 +118,10 @@
 
 
 def waiting_order(tables: Tables) -> list[RequestRow]:
-    """Return the waiting requests, the most urgent first.
+    """Return the waiting requests in dispatch order.
 
-    The list is kept in order as requests come, and may still hold some that
-    have gone: what reads it looks at their state.
+    Requests are inserted in order as they arrive. The list may still contain some
+    that no longer wait, so readers have to check the state.
     """
     if len(tables.queue) > 2 * len(tables.waiting) + SPARE_ROWS:
         for row in tables.queue:
@@ -129,7 +131,7 @@
 
 
 def has_room(tables: Tables, service: str, now: float) -> bool:
-    """Return whether this host may dispatch any request of ``service`` now."""
+    """Return whether a request of ``service`` may be dispatched without a grant."""
     return any(
         may_add(tables, access, tables.targets[name], 0, now)
         for access in tables.by_service.get(service, ())
@@ -139,17 +141,17 @@
 
 
 def may_use_unasked(tables: Tables, access: PoolAccess, now: float) -> bool:
-    """Return whether this host may use any target of a pool without a grant."""
+    """Return whether this host may use the targets of a pool without a grant."""
     if access.allowances or access.is_alone(now):
         return True
     return is_left_alone(tables, access, now)
 
 
 def choose_target(tables: Tables, row: RequestRow, now: float) -> TargetRow | None:
-    """Return the least used target that this host may use unasked, if any.
+    """Return the least used target that ``row`` may use without a grant, if any.
 
-    A workspace with a quota always asks: only the allocator sees how much of
-    it runs on other hosts.
+    Requests of a workspace with a quota always need a grant: only the allocator
+    knows how many of them run on other hosts.
     """
     workspace = tables.config.workspaces.get(row.workspace)
     bounded = workspace is not None and (workspace.quota or workspace.token_rate)
@@ -169,11 +171,11 @@
 
 
 def within_quota(tables: Tables, row: RequestRow, now: float) -> bool:
-    """Count ``row`` in its workspace's tokens, or refuse it.
+    """Charge ``row`` to the token quota of its workspace, or refuse it.
 
-    Only a host without an allocator gets here with a workspace that has a
-    bound. It has a book of its own, with its part of the whole: without one,
-    each host that is cut off would let a workspace have all it asks for.
+    A workspace with a quota gets here only while the host has no allocator. The
+    host then enforces its own share of the quota; otherwise, each host that is cut
+    off would give a workspace everything it requests.
     """
     book = tables.quotas
     book.share = 1.0 / tables.seen.count_recent(now)
@@ -187,11 +189,11 @@
 
 
 def usable(tables: Tables, target: TargetRow, row: RequestRow, now: float) -> bool:
-    """Return whether ``target`` may be sent ``row`` by any grant at all.
+    """Return whether ``target`` may receive ``row``, with or without a grant.
 
-    The allocator gives nothing on a target that is leaving, but grants that
-    it gave before it had the news are still out: without this second check
-    they would bring the target new work until they lapse or are renewed.
+    The allocator grants nothing on a leaving target, but grants that it gave
+    before it knew are still outstanding. Without this second check they would send
+    new work to the target until they expire or are renewed.
     """
     return (
         row.service in target.target.services
@@ -204,7 +206,7 @@
 def may_add(
     tables: Tables, access: PoolAccess, target: TargetRow, tokens: int, now: float
 ) -> bool:
-    """Return whether an allowance or the fixed share leaves room for one more."""
+    """Return whether an allowance or the fixed share permits one more request."""
     allowance = access.allowances.get(target.name)
     if allowance and target.running < allowance.running:
         held = target.reserved_tokens + tokens
@@ -222,23 +224,23 @@
 ) -> bool:
     """Return whether a host may use ``target`` while its allocator is silent.
 
-    Only targets of its own availability zone: of the others it can't tell whether
-    they are beyond the same cut.
+    Only targets in the host's own availability zone qualify: the others may be on
+    the other side of the same network partition.
     """
     near = target.target.place == tables.place
     return near and is_left_alone(tables, access, now)
 
 
 def is_left_alone(tables: Tables, access: PoolAccess, now: float) -> bool:
-    """Return whether the allocator of this host's zone is silent for a moment."""
+    """Return whether fixed shares may be used because the local allocator is silent."""
     return tables.helps_itself and access.home and access.is_unanswered(now)
 
 
 def sharing(tables: Tables, access: PoolAccess) -> tuple[HostId, ...]:
-    """Return the hosts among which a pool without an allocator is shared.
+    """Return the hosts that share a pool without an allocator.
 
-    A pool of another zone is used unasked only where this zone has none of
-    its own and no host of the other zone is in sight.
+    A pool of another zone is used without grants only if this zone has no pool for
+    its services and there is no link to a host of the other zone.
     """
     if access.home:
         return tables.hosts or (tables.host,)
@@ -251,7 +253,7 @@
 
 
 def plain_view(target: TargetRow) -> TargetView:
-    """Return a target as its configuration states it."""
+    """Return a view of a target with its configured values."""
     stated = target.target
     return TargetView(
         name=target.name,
@@ -267,10 +269,11 @@
 def dispatch_request(
     tables: Tables, row: RequestRow, target: TargetRow, now: float
 ) -> None:
-    """Give leave to write ``row`` to ``target``: the one place that does.
+    """Permit the caller's thread to send ``row`` to ``target``.
 
-    The state changes before anything is written, so that whatever happens
-    next, the request can't be dispatched a second time.
+    This is the only function that does so. The state changes before anything is
+    sent, so that the request can't be dispatched a second time, whatever happens
+    next.
     """
     row.change(RequestState.DISPATCHED)
     row.target = target.name
@@ -300,14 +303,21 @@
     repeat: bool = False,
     avoid: bool = True,
 ) -> None:
-    """Let a request wait again that its target did not run, or may run twice.
+    """Queue a dispatched request again.
+
+    The target must not have run the request, or the request must be idempotent.
 
     Parameters
     ----------
     repeat : bool
         Whether the target may have run it.
     avoid : bool
-        Whether this host leaves the target alone for a moment.
+        Whether this host should avoid the target for a while.
+
+    Raises
+    ------
+    IllegalTransition
+        If the target may have run the request and it is not idempotent.
     """
     if repeat and not row.idempotent:
         raise IllegalTransition(f"{row.request} may have run and is not idempotent")
@@ -320,27 +330,27 @@
 
 
 def leave_alone(target: TargetRow, now: float) -> None:
-    """Send nothing to a target for a moment: it took no request."""
+    """Avoid a target for a while because it accepted no request."""
     target.avoided_until = now + AVOID_S
     if target.answers:
         target.answers = False
-        log.info("A target takes no requests", extra=names_of(target))
+        log.info("A target accepts no requests", extra=names_of(target))
 
 
 def note_answer(target: TargetRow) -> None:
-    """Take in that a target answers, again if it took nothing before."""
+    """Record that a target answers, and log it if it did not before."""
     if not target.answers:
         target.answers = True
         log.info("A target answers again", extra=names_of(target))
 
 
 def names_of(target: TargetRow) -> dict[str, str]:
-    """Return what a log line says of which target it is about."""
+    """Return the log fields that identify a target."""
     return {"target": target.name, "address": target.target.address}
 
 
 def add_request(tables: Tables, row: RequestRow) -> None:
-    """Let a request wait; if it still does after this tick, it is reported."""
+    """Queue a request; it is reported if it is not dispatched in this tick."""
     tables.waiting[row.request] = row
     tables.fresh.append(row.request)
     if not row.queued:
@@ -349,7 +359,7 @@
 
 
 def note_read(tables: Tables, row: RequestRow) -> None:
-    """Take in that a target has read a prompt, which the allocator waits for."""
+    """Record that a target has finished a prefill, and report it to the allocator."""
     target = tables.targets.get(row.target)
     if target and not row.first_token:
         target.unread_tokens -= row.prompt_tokens
@@ -360,7 +370,7 @@
 
 
 def grow_request(tables: Tables, row: RequestRow, tokens: int) -> None:
-    """Take in the output so far, and hold more memory if it needs more."""
+    """Record the output so far, and reserve more tokens if it needs them."""
     row.produced_tokens = tokens
     expected = row.predicted_tokens or row.declared_tokens
     row.predicted_tokens = grow_reservation(expected, tokens, row.declared_tokens)
@@ -373,7 +383,13 @@
 
 
 def learn_length(tables: Tables, row: RequestRow, cut: bool) -> None:
-    """Learn from the output of a request; ``cut`` if there is more to it."""
+    """Update the output predictor from a request.
+
+    Parameters
+    ----------
+    cut : bool
+        Whether the output is incomplete, so that its length is a lower bound.
+    """
     tables.predictor.observe(
         row.workspace, row.service, row.declared_tokens, row.produced_tokens, cut
     )
@@ -382,7 +398,7 @@
 def finish_request(
     tables: Tables, row: RequestRow, state: RequestState, now: float
 ) -> None:
-    """End a dispatched request, and learn from one that was completed."""
+    """End a dispatched request, and record its completion for the next report."""
     _leave_target(tables, row)
     row.change(state)
     completed = state is RequestState.COMPLETED
@@ -409,7 +425,7 @@
 
 
 def refuse_request(tables: Tables, row: RequestRow, refusal: Refusal) -> None:
-    """End a waiting request with ``refusal``, at once."""
+    """End a waiting request with ``refusal``."""
     del tables.waiting[row.request]
     row.change(refusal.outcome)
     note_answered(tables, row)
@@ -417,11 +433,11 @@
 
 
 def make_room(tables: Tables) -> None:
-    """Refuse the last of the least important requests that wait.
+    """Refuse the most recent of the least important waiting requests.
 
-    A request that waits holds one of its host's threads. Were the next one left
-    without any, it would wait in the server's queue before its tier is known,
-    behind all that matters less.
+    Each waiting request occupies a thread of the host. If no thread were free, the
+    next request would wait in the server's queue, where its tier is not known yet,
+    behind less important requests.
     """
     rows = [row for row in tables.waiting.values() if row.state is RequestState.WAITING]
     if rows:
@@ -430,14 +446,17 @@
 
 
 def note_answered(tables: Tables, row: RequestRow) -> None:
-    """Let the allocators that were asked for ``row`` know that it is answered."""
+    """Tell the allocators that list ``row`` that it no longer waits."""
     for access in tables.by_service.get(row.service, ()):
         if access.asked.pop(row.request, None) is not None:
             access.dirty = True
 
 
 def note_use(tables: Tables, target: TargetRow) -> None:
-    """Report at once where no allowance is left over; else a heartbeat will do."""
+    """Report a change of use immediately if the allowance is used up.
+
+    Otherwise the next heartbeat is early enough.
+    """
     access = tables.pool_of.get(target.name)
     if access is None:
         return
--- a/godwitladder/scheduler/ticker.py
+++ b/godwitladder/scheduler/ticker.py
@@ -1,4 +1,4 @@
-"""Ticks for an actor: at a slow period, and sooner when it asks for one."""
+"""Sends ticks to an actor periodically, and earlier on request."""
 
 import threading
 
@@ -9,14 +9,14 @@
 
 
 class Ticker:
-    """Sends a tick to an actor every ``period_s`` seconds, in a thread.
+    """Thread that sends a tick to an actor every ``period_s`` seconds.
 
     Parameters
     ----------
     clock : Clock
-        The host's clock.
+        Clock of the host.
     period_s : float
-        Longest time between two ticks, in seconds.
+        Maximum time between two ticks, in seconds.
     """
 
     def __init__(self, clock: Clock, period_s: float) -> None:
@@ -27,23 +27,23 @@
         self.stopping = threading.Event()
 
     def start(self, actor: pykka.ActorRef) -> None:
-        """Start to tick."""
+        """Start sending ticks to ``actor``."""
         threading.Thread(
             target=self.run, args=(actor,), name="ticker", daemon=True
         ).start()
 
     def stop(self) -> None:
-        """Stop ticking."""
+        """Stop sending ticks."""
         self.stopping.set()
         self.woken.set()
 
     def tick_in(self, seconds: float) -> None:
-        """Ask for a tick in ``seconds``, if that is before the next."""
+        """Request a tick in ``seconds`` if the next periodic one is later."""
         self.sooner_s = seconds
         self.woken.set()
 
     def run(self, actor: pykka.ActorRef) -> None:
-        """Tick until stopped."""
+        """Send ticks until stopped."""
         while not self.stopping.is_set():
             if self.clock.wait(self.woken, self.period_s):
                 self.woken.clear()
--- a/tests/scheduler/desk.py
+++ b/tests/scheduler/desk.py
@@ -1,4 +1,4 @@
-"""Hosts and allocators in one process, with links that a test works by hand."""
+"""Hosts and allocators in one process, with message delivery driven by the test."""
 
 import queue
 from collections import deque
@@ -26,7 +26,7 @@
 
 
 def make_config(slots: dict[str, int], zone: str = "a", **fields) -> ConfigState:
-    """Return a configuration with one engine for each name, of so many slots."""
+    """Return a configuration with one target for each name and number of slots."""
     targets = {
         name: Target(f"10.0.0.{index}:1", Zone(zone), (LETTERS,), count, **fields)
         for index, (name, count) in enumerate(slots.items())
@@ -41,7 +41,7 @@
 def make_tables(
     host: str, hosts: tuple[str, ...], config: ConfigState, zone: str = "a"
 ) -> Tables:
-    """Return the tables of a host that knows ``hosts`` of its zone."""
+    """Return the tables of a host whose zone contains ``hosts``."""
     tables = Tables(HostId(host), Zone(zone), Incarnation(1), config, hosts=hosts)
     update_targets(tables)
     choose_allocators(tables, 0.0)
@@ -49,7 +49,7 @@
 
 
 def make_role(host: str, config: ConfigState, now: float, term: int = 1) -> PoolRole:
-    """Return a role for the only pool of ``config``."""
+    """Return the allocator role for the only pool of ``config``."""
     (pool,) = make_pools(config.targets).values()
     role = PoolRole(pool, HostId(host), term, now)
     role.configure(pool, config, frozenset())
@@ -72,13 +72,13 @@
 
 
 def submit(tables: Tables, row: RequestRow) -> RequestRow:
-    """Let ``row`` wait."""
+    """Queue ``row`` and return it."""
     add_request(tables, row)
     return row
 
 
 def decision(row: RequestRow) -> Dispatch | Refusal | None:
-    """Return what the caller's thread would be told next."""
+    """Return the next decision for the caller's thread; None if there is none."""
     try:
         return row.decisions.get_nowait()
     except queue.Empty:
@@ -87,7 +87,7 @@
 
 @dataclass
 class Desk:
-    """Hosts, the allocators they may ask, and what is on its way between."""
+    """Hosts, the allocators they may report to, and the messages in transit."""
 
     config: ConfigState
     hosts: dict[str, Tables]
@@ -101,30 +101,30 @@
         return next(iter(make_pools(self.config.targets)))
 
     def tick(self, host: str, now: float) -> None:
-        """Run one host's systems and put its reports on their way."""
+        """Run the systems of one host and queue its reports."""
         run_systems(self.hosts[host], now)
         for to, report in due_reports(self.hosts[host], now):
             self.reports.setdefault((host, to), deque()).append(report)
 
     def decide(self, holder: str, now: float) -> None:
-        """Run one allocator and put its offers on their way."""
+        """Run one allocator and queue its offers."""
         for offer in self.roles[holder].run(tuple(self.hosts), now):
             self.offers.setdefault((offer.host, holder), deque()).append(offer)
 
     def deliver_report(self, host: str, holder: str, now: float) -> None:
-        """Deliver the oldest report of a host."""
+        """Deliver the oldest queued report of a host."""
         waiting = self.reports.get((host, holder))
         if waiting:
             self.roles[holder].take_report(waiting.popleft(), now)
 
     def deliver_offer(self, host: str, holder: str, now: float) -> None:
-        """Deliver the oldest offer to a host."""
+        """Deliver the oldest queued offer to a host."""
         waiting = self.offers.get((host, holder))
         if waiting:
             take_offer(self.hosts[host], waiting.popleft(), now)
 
     def settle(self, now: float) -> None:
-        """Deliver everything until nothing more is said."""
+        """Run and deliver everything for eight rounds, until nothing changes."""
         for _ in range(8):
             now += 0.1
             for host in self.hosts:
@@ -139,13 +139,13 @@
                     self.deliver_offer(host, holder, now)
 
     def point(self, host: str, holder: str, now: float) -> None:
-        """Let a host take ``holder`` for the allocator."""
+        """Let a host use ``holder`` as its allocator."""
         access = self.hosts[host].pools[self.pool]
         access.ask(HostId(holder), now)
 
 
 def make_desk(slots: dict[str, int], hosts: tuple[str, ...], holders=("h0",)) -> Desk:
-    """Return hosts of one zone that ask the first holder."""
+    """Return hosts of one zone that report to the first holder."""
     config = make_config(slots)
     desk = Desk(
         config,
@@ -161,20 +161,20 @@
 
 
 def hosts_changed(tables: Tables, message: HostsChanged, now: float) -> None:
-    """Let a host know who is live."""
+    """Update the live hosts that a host knows."""
     tables.hosts, tables.linked = message.hosts, message.linked
     choose_allocators(tables, now)
 
 
 def settled(slots, hosts=("h0", "h1")):
-    """Return a desk whose idle hosts hold allowances, and the time."""
+    """Return a desk whose idle hosts hold allowances, and the current time."""
     desk = make_desk(slots, hosts)
     desk.settle(START)
     return desk, START + 0.8
 
 
 def run_for(desk, now, seconds, each):
-    """Let time pass, with ``each`` called and all reports delivered."""
+    """Advance the time in steps; call ``each`` and deliver all messages in each."""
     for _ in range(int(seconds / 0.5)):
         now += 0.5
         each(now)
--- a/tests/scheduler/test_changes.py
+++ b/tests/scheduler/test_changes.py
@@ -1,4 +1,4 @@
-"""Reports that tell an allocator what has changed of a host's demand."""
+"""Incremental reports of a host's demand to its allocator."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
 
 
 class Pair:
-    """A host and its allocator, with a way between them that may lose messages."""
+    """A host and its allocator, connected by a link that may lose messages."""
 
     def __init__(self) -> None:
         self.tables, self.role = make_host_and_role()
@@ -26,7 +26,7 @@
 
     def submit(self) -> None:
         self.count += 1
-        # Each third one leaves soon.
+        # Every third request expires soon.
         timeout_s = 0.2 if self.count % 3 == 0 else 60.0
         row = make_request(f"r{self.count}", self.now, timeout_s=timeout_s)
         submit(self.tables, row)
@@ -59,7 +59,7 @@
 
 
 def test_a_report_among_many_waiting_requests_is_small():
-    """Guards against reports that grow with all that waits, in an overload."""
+    """Guards against reports that grow with the queue during an overload."""
     pair = Pair()
     for _ in range(30):
         pair.submit()
@@ -74,7 +74,11 @@
 
 
 def test_a_request_that_was_granted_and_waits_again_is_told_anew():
-    """Guards against one that its allocator has forgotten and its host has not."""
+    """Guards against a waiting request that the allocator no longer lists.
+
+    The allocator removes a request when it grants it. The host avoids the target, so
+    it returns the grant and has to report the request again.
+    """
     pair = Pair()
     pair.report(), pair.decide()
     pair.now += ROUND_S
@@ -94,7 +98,7 @@
 
 @given(st.lists(st.sampled_from(EVENTS), max_size=60))
 def test_an_allocator_knows_what_waits_after_any_losses(events):
-    """Guards against requests that wait unknown, and lines of those that have left."""
+    """Guards against unlisted waiting requests and listed ones that no longer wait."""
     pair = Pair()
     pair.report()
     for event in events:
--- a/tests/scheduler/test_failures.py
+++ b/tests/scheduler/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of hosts and targets, with entry hosts as processes of their own."""
+"""Failures of hosts and targets, with each entry host in its own process."""
 
 import json
 import re
@@ -16,7 +16,7 @@
 
 
 def start_zone(fleet, **knobs):
-    """Start a zone of three hosts before one engine of four slots."""
+    """Start a zone of three hosts and one engine with four slots."""
     engine = fleet.add_engine("engine-a1", load_lag_s=0.0, slots=50, **knobs)
     for name in HOSTS:
         fleet.add_host(name, "a")
@@ -30,14 +30,14 @@
 
 
 def links(fleet, host):
-    """Return the links that are up, as the host's metrics show."""
+    """Return the number of established links from the host's metrics."""
     text = fleet.http.request("GET", f"http://{host.operators}/metrics").data
     found = re.search(rb"^godwitladder_peer_links(?:{})? (\d+)", text, re.M)
     return int(found[1]) if found else 0
 
 
 class Watch:
-    """Watches how many requests an engine has at once."""
+    """Polls an engine for the maximum number of concurrent requests."""
 
     def __init__(self, fleet, engine):
         self.most = 0
@@ -59,7 +59,7 @@
 
 
 def chat_many(fleet, hosts, count, **body):
-    """Send requests to the hosts in turn; return what answers them."""
+    """Send requests to the hosts round-robin; return futures of the answers."""
     pool = ThreadPoolExecutor(count)
     return [
         pool.submit(fleet.chat, hosts[n % len(hosts)], f"question {n}", **body)
@@ -73,12 +73,12 @@
 
 
 def test_the_death_of_an_allocator_costs_capacity_and_no_request(fleet):
-    """Callers of the other hosts get their answers, each run once.
+    """Callers of the other hosts get answers, and each request runs once.
 
-    The allocator dies with grants out and requests waiting. The others take
-    it for dead, one of them becomes allocator, and until it has heard from
-    all of them each goes by what it holds and then by its fixed share. The
-    engine never has more than twice its slots.
+    The allocator is killed while grants are outstanding and requests wait. The
+    others detect its death and one of them becomes the allocator. Until all have
+    reported to it, each host uses the grants that it holds and then its fixed share.
+    The engine never has more requests than twice its slots.
     """
     engine, holder, others = start_zone(fleet, decode_tps=20)
     watch = Watch(fleet, engine)
@@ -92,11 +92,10 @@
 
 
 def test_an_allocator_that_stands_still_and_wakes_breaks_no_promise(fleet):
-    """Two hosts take themselves for the allocator; nothing runs twice.
+    """Guards against double execution while two hosts act as allocator.
 
-    The allocator is stopped for longer than its peers wait, another takes
-    over, and then it goes on as if nothing had happened, with grants in its
-    queues that have lapsed.
+    The allocator process is stopped until its peers time out and another host takes
+    over. It then resumes with expired grants in its queues.
     """
     engine, holder, others = start_zone(fleet, decode_tps=20)
     watch = Watch(fleet, engine)
@@ -112,10 +111,10 @@
 
 
 def test_a_target_that_the_list_shows_leaving_gets_no_new_work(fleet):
-    """Two seconds after the lagging list has the news, nothing new goes there.
+    """Nothing new is sent to the target two seconds after the list is updated.
 
-    Its hosts hold allowances and have requests waiting when the news comes.
-    What runs there already is finished.
+    The list lags. The hosts hold allowances and have waiting requests when the
+    update arrives. Requests that already run on the target are finished.
     """
     leaving, _, hosts = start_zone(fleet, decode_tps=20)
     staying = fleet.add_engine("engine-a2", decode_tps=200)
@@ -137,11 +136,11 @@
 
 
 def test_work_spills_to_another_zone_and_goes_on_without_it(fleet):
-    """A full zone uses the free slots of the next, until that is cut off.
+    """A full zone uses free slots of another zone until that zone fails.
 
-    Zone a has one slot, so its host asks zone b, whose allocator grants. Then
-    zone b's host is gone with grants out; what waits goes on in zone a, and
-    nothing has run twice.
+    Zone a has one slot, so its host also reports to zone b and gets grants. Then
+    the host of zone b is killed while grants are outstanding. The waiting requests
+    run in zone a, and none runs twice.
     """
     home = fleet.add_engine("engine-a1", decode_tps=40)
     away = fleet.add_engine("engine-b1", decode_tps=40)
--- a/tests/scheduler/test_gate.py
+++ b/tests/scheduler/test_gate.py
@@ -1,4 +1,4 @@
-"""Calls that are refused before an allocator is asked for them."""
+"""Calls that are refused before they are reported to an allocator."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 def test_a_part_of_the_calls_is_refused_truly_with_a_time_to_come_back(gate):
-    """Guards against callers who wait for what an allocator would refuse anyway."""
+    """Guards against callers that wait although an allocator would refuse them."""
     assert gate.refusal(FLOW, "r", 0.2, 10.5) is None
     refusal = gate.refusal(FLOW, "r", 0.3, 10.5)
     assert (refusal.reason, refusal.outcome) == (Reason.SHED, RequestState.NOT_RUN)
@@ -28,7 +28,7 @@
 
 
 def test_a_silent_allocator_closes_nothing(gate):
-    """Guards against refusals by what was true before an allocator was lost."""
+    """Guards against refusals by outdated shares after an allocator is lost."""
     assert gate.refusal(FLOW, "r", 0.9, 10.0 + VALID_S + 0.1) is None
 
 
--- a/tests/scheduler/test_grant_machine.py
+++ b/tests/scheduler/test_grant_machine.py
@@ -1,4 +1,4 @@
-"""Grants under any order of events, against a ledger of what really runs."""
+"""Grants under any order of events, checked against a record of what runs."""
 
 from collections import Counter
 from functools import partial
@@ -24,12 +24,12 @@
 
 
 class GrantMachine(RuleBasedStateMachine):
-    """Two hosts may act as allocator at once, and each host asks either.
+    """Two hosts may act as allocator at once, and each host reports to either.
 
-    The caller must never have its request run twice, a target never gets more
-    than its slots from each allocator, nothing goes to a target that a host
-    knows to be leaving, and nothing by leave that has lapsed. Messages come
-    late or not at all, hosts die, requests end at any time.
+    No request runs twice, no target gets more requests than its slots from each
+    allocator, nothing is sent to a target that a host knows to be leaving, and
+    nothing is dispatched on an expired grant or allowance. Messages are delayed or
+    lost, hosts die, and requests end at any time.
     """
 
     holders = ("h0", "h1")
@@ -130,7 +130,7 @@
 
     @rule(seconds=SECONDS, late=HOST)
     def round(self, seconds, late=None):
-        """Let messages through, but for the offers to one host that is late."""
+        """Deliver all messages except the offers to the host ``late``."""
         self.now += seconds
         for host in HOSTS:
             self.tick(host)
@@ -148,7 +148,7 @@
                     self.offer(host, index, False)
 
     def storm(self, random):
-        """Run many events in random order."""
+        """Run many random events, alternating between busy and quiet phases."""
         for index in range(300):
             quiet = index // 30 % 2
             host, holder = random.choice(HOSTS), random.randrange(2)
@@ -228,7 +228,7 @@
 
 
 class OneAllocatorMachine(GrantMachine):
-    """With one allocator, a target never gets more than its slots."""
+    """With one allocator, a target never gets more requests than its slots."""
 
     holders = ("h0",)
 
@@ -243,5 +243,5 @@
 @given(seed=st.integers(0, 2**32))
 @settings(max_examples=60)
 def test_grants_hold_in_long_random_runs(kind, seed):
-    """The machine's own short runs seldom use a pool up; these always do."""
+    """Long runs always exhaust the pool; the short runs of the machine rarely do."""
     kind().storm(Random(seed))
--- a/tests/scheduler/test_idle.py
+++ b/tests/scheduler/test_idle.py
@@ -1,4 +1,4 @@
-"""Hosts of a routed region that neither run nor want anything."""
+"""Hosts of a routed region without running or waiting requests."""
 
 from godwitladder.decisions.types import PoolName
 from godwitladder.ids import HostId, Incarnation
@@ -46,10 +46,10 @@
 
 
 def test_an_idle_host_that_was_answered_is_silent_and_asks_when_a_call_comes():
-    """A host says what it has spent until its allocator answers, then nothing.
+    """An idle host reports its spending until it is answered, then nothing.
 
-    Minutes later a call comes: the host asks at once, and doesn't take the
-    allocator for gone because it has had nothing to answer.
+    When a call arrives minutes later, the host reports immediately. It doesn't
+    consider the allocator unreachable, since there was no report to answer.
     """
     tables = make_host()
     assert due_reports(tables, START)
@@ -76,10 +76,10 @@
 
 
 def test_a_target_that_one_busy_host_cannot_reach_is_kept_for_the_silent_ones():
-    """The way of one host to a target is broken, while the others are idle.
+    """One host can't reach a target while the other hosts are idle.
 
-    They have nothing to report. Judged by those that do, all would lose the
-    target; it is left out only once half of all hosts can't reach it.
+    Idle hosts send no reports. If only reporting hosts counted, all hosts would lose
+    the target; it is excluded only when half of all hosts can't reach it.
     """
     role = make_role()
     role.take_report(report_of("h1", 1, START, avoided=("e0",)), START)
--- a/tests/scheduler/test_silence.py
+++ b/tests/scheduler/test_silence.py
@@ -1,4 +1,4 @@
-"""A host whose allocator falls silent without a sign."""
+"""Hosts whose allocator stops answering without a connection reset."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 
 
 def make_cut_off():
-    """Return a host of zone b, with a target there and one in zone a."""
+    """Return a host of availability zone b, with targets in zones a and b."""
     config = make_config({"e0": 4, "e1": 4})
     near = replace(config.targets["e1"], place="b")
     far = replace(config.targets["e0"], place="a")
@@ -26,10 +26,10 @@
 
 
 def test_a_call_is_served_nearby_while_the_allocator_is_silent():
-    """A zone is cut off without a reset; the allocator stands on the other side.
+    """A partition separates the zone from its allocator without a connection reset.
 
-    The call asks it and gets no answer. After two answers are missing the host
-    uses its part of the target in its own zone, and none beyond.
+    The host reports the call and gets no answer. When two answers are missing, it
+    uses its fixed share of the target in its own zone, and no target beyond.
     """
     tables = make_cut_off()
     row = submit(tables, make_request("r", START))
@@ -45,7 +45,7 @@
 
 
 def test_a_host_stays_within_its_part_while_the_allocator_is_silent():
-    """Twenty calls wait; two hosts share a target of four places in their zone."""
+    """Twenty calls wait; two hosts share a target with four slots in their zone."""
     tables = make_cut_off()
     rows = [submit(tables, make_request(f"r{n}", START)) for n in range(20)]
     due_reports(tables, START)
@@ -55,7 +55,7 @@
 
 
 def test_an_allocator_answers_a_host_whose_calls_go_on_waiting():
-    """All places are taken for seconds; the host still knows it is in touch."""
+    """All slots are in use for seconds, and the host still gets answers in time."""
     tables, role = make_host_and_role()
     now = START + 1.0
     for number in range(3):
@@ -85,7 +85,7 @@
 
 
 def test_a_silence_of_the_allocator_is_told_of_once_and_so_is_its_end(caplog):
-    """On-call engineers see from when to when a host went without its allocator."""
+    """The log shows from when to when a host had no answers from its allocator."""
     tables, role = make_host_and_role()
     caplog.set_level("INFO")
     now = START + 1.0
@@ -101,13 +101,14 @@
     for offer in role.run(("h0",), now):
         take_offer(tables, offer, now)
     run_systems(tables, now)
-    assert caplog.text.count("The allocator answers") == 1
+    assert caplog.text.count("The allocator answers again") == 1
 
 
 def test_an_allocator_that_was_asked_for_nothing_more_owes_no_answer():
-    """Guards against a host that takes its allocator for silent when all is settled.
+    """Guards against an allocator that counts as silent when nothing is requested.
 
-    The last report that asked is on its way when the offer comes that settles it.
+    The last report with requests is still in transit when the offer arrives that
+    grants or sheds all of them.
     """
     tables, role = make_host_and_role()
     now = START + 1.0
--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -1,4 +1,4 @@
-"""Targets that are lost, slow or hold a prefix, as hosts and allocators see them."""
+"""Lost targets, slow targets and prefix caches, on hosts and allocators."""
 
 import logging
 
@@ -28,17 +28,17 @@
 
 
 def dispatch(tables, name, now):
-    """Let a request run on the only target."""
+    """Dispatch a request to the only target."""
     row = submit(tables, make_request(name, now))
     dispatch_request(tables, row, tables.targets["e0"], now)
     return row
 
 
 def test_a_lost_target_is_told_once_and_so_is_its_return(caplog):
-    """Several requests find a target gone; a later one is answered there.
+    """Several requests find a target gone; a later one completes on it.
 
-    Whoever looks for the cause of a late answer finds from when to when the
-    host could not use the target, without a line for each request.
+    The log shows from when to when the host could not use the target, with one
+    line at each end instead of a line for each request.
     """
     caplog.set_level(logging.INFO)
     tables = make_tables("h0", ("h0",), make_config({"e0": 4}))
@@ -50,7 +50,7 @@
         finish_request(tables, row, RequestState.COMPLETED, 3.1)
     told = [(r.message.split(": ")[-1], r.target) for r in caplog.records]
     assert told == [
-        ("A target takes no requests", "e0"),
+        ("A target accepts no requests", "e0"),
         ("A target answers again", "e0"),
     ]
 
@@ -62,11 +62,11 @@
 
 @pytest.mark.parametrize("speed", [0.0, 0.2])
 def test_a_target_that_slows_down_gets_less_before_any_request_ends(speed):
-    """A target's limit falls while its requests still run.
+    """The limit of a target falls while its requests still run.
 
-    It stands still, or produces a fifth of what it did; the request would
-    take minutes to end, and until then completions show nothing. Once its
-    tokens come as before, the limit rises again.
+    The target stalls, or produces a fifth of its former rate. The request takes
+    minutes to end, and completions show nothing until then. When the rate recovers,
+    the limit rises again.
     """
     desk, now = settled({"e0": 8})
     role, tps = desk.roles["h0"], desk.config.targets["e0"].decode_tps
@@ -92,10 +92,11 @@
 
 @pytest.mark.parametrize("factor", [0.0, 0.1], ids=["silent", "slow"])
 def test_a_caller_that_reads_slowly_takes_no_slots_from_others(factor):
-    """Two callers read as the engine writes, a third hardly reads.
+    """Guards against a lower limit of an engine because one caller reads slowly.
 
-    The third one's stream is as slow as on a slow engine. The engine's limit
-    stays whole, since the other streams show that it is well.
+    Two callers read at the rate of the engine, the third one far slower. Its stream
+    looks like one on a slow engine, but the other streams show that the engine is
+    not slow.
     """
     desk, now = settled({"e0": 8})
     role, tps = desk.roles["h0"], desk.config.targets["e0"].decode_tps
@@ -120,9 +121,10 @@
 
 
 def test_a_target_of_unknown_speed_is_not_called_slow():
-    """The configured speeds are guesses, and too high for a new engine.
+    """Guards against throttling a new engine whose configured speed is too high.
 
-    It would be eased off from its first request on, though it does its best.
+    Configured speeds are guesses. The engine would be throttled from its first
+    request on, although it works at its full speed.
     """
     desk, now = settled({"e0": 8})
     role = desk.roles["h0"]
@@ -133,7 +135,7 @@
 
 
 def test_grants_follow_the_prefix_that_a_target_was_sent():
-    """Two engines are alike; the second letter shares the start of the first."""
+    """A dispatched prefix is recorded for its target only, not for an equal one."""
     desk, now = settled({"e0": 1, "e1": 1})
     role = desk.roles["h0"]
     role.hints.record_dispatch("e1", "start", now)
@@ -142,7 +144,7 @@
 
 
 def test_a_granted_request_marks_its_prefix_at_the_target():
-    """The next request with the same start is to find the first one's cache."""
+    """Lets the next request with the same prefix use the cache of the first one."""
     desk, now = settled({"e0": 1})
     submit(desk.hosts["h1"], make_request("first", now))
     desk.settle(now)
@@ -156,11 +158,11 @@
 
 
 def test_a_target_that_refuses_connections_holds_up_no_request():
-    """A caller's letter waited for its whole deadline beside idle engines.
+    """Guards against a request that waits until its deadline beside idle engines.
 
-    The engine that has the start of its prompt is gone. The host says that it
-    can't connect to it; the allocator chose it again in each run, for its
-    prefix, and then granted nothing.
+    The engine that has cached the prefix of the prompt is gone, and the host reports
+    that it can't connect to it. The allocator chose that engine again in each run
+    because of the prefix, and then granted nothing.
     """
     desk, now = settled({"e0": 1, "e1": 1}, hosts=("h0", "h1", "h2"))
     desk.roles["h0"].hints.record_dispatch("e0", "start", now)
