--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -24,7 +24,7 @@
 from godwitladder.serving.answers import internal_fault
 from godwitladder.serving.ending import Ending
 from godwitladder.serving.lateness import judge_lateness
-from godwitladder.serving.losses import LossBook
+from godwitladder.serving.losses import LossRegistry
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.streaming import StreamPassing
 from godwitladder.serving.upstream import NotRun, WholeAnswer, is_stream, read_whole
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class Passer:
+class RoutedProxy:
     """What every call needs.
 
     Attributes
@@ -64,7 +64,7 @@
     metrics: Metrics
     watch: CallWatch
     budget: RetryBudget
-    losses: LossBook
+    losses: LossRegistry
     hosts: Callable[[], int]
 
     def serve(self, call: RoutedCall, gone, start_response) -> Iterable[bytes]:
@@ -93,7 +93,7 @@
         Longest time between two events of a stream.
     """
 
-    def __init__(self, passer: Passer, call: RoutedCall, gone) -> None:
+    def __init__(self, passer: RoutedProxy, call: RoutedCall, gone) -> None:
         self.passer = passer
         self.call = call
         self.clock = passer.clock
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -17,8 +17,8 @@
 from godwitladder.routing.currency import Currency
 from godwitladder.scheduler.messages import Finished, Returned, ReturnProof, Submit
 from godwitladder.scheduler.rows import Dispatch
-from godwitladder.serving.losses import AnswerLost, LossBook, digest_call
-from godwitladder.serving.passing import Passer
+from godwitladder.serving.losses import AnswerLost, LossRegistry, digest_call
+from godwitladder.serving.passing import RoutedProxy
 from godwitladder.serving.upstream import StreamCut
 from godwitladder.serving.watch import CallWatch
 from godwitladder.standins.ingress import start_engine
@@ -117,14 +117,14 @@
         form = PlatformHeaders()
         self.currency = Currency(5.0)
         self.currency.prove(self.clock.boottime())
-        passer = Passer(
+        passer = RoutedProxy(
             form,
             self.desk,
             self.clock,
             Metrics(),
             self.watch,
             RetryBudget(RetryLimits()),
-            LossBook(self.clock, lambda message: None),
+            LossRegistry(self.clock, lambda message: None),
             lambda: 1,
         )
         self.app = RoutedApp(form, passer, self.currency, self.clock, Metrics())
