--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -35,7 +35,7 @@
 from godwitladder.discovery.targets import TargetTable
 from godwitladder.ids import HostId, TargetName
 from godwitladder.logs import component_logger
-from godwitladder.routing.currency import Currency
+from godwitladder.routing.freshness import Currency
 from godwitladder.routing.model import Document
 
 log = component_logger("feed")
@@ -400,7 +400,7 @@
             keep_newest(self.newest_documents, documents)
             changed |= self.take_documents(documents)
             changed |= self.desk.take(documents, self.clock.boottime())
-            self.currency.prove(began)
+            self.currency.confirm(began)
         if entries.next >= self.next_entry:
             self.next_entry = entries.next
             keep_newest(self.newest_entries, entries)
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -38,7 +38,7 @@
 from godwitladder.metrics import Metrics
 from godwitladder.routing.app import ReadinessApp, RoutedApp, put_in_force
 from godwitladder.routing.calls import HeaderForm
-from godwitladder.routing.currency import Currency
+from godwitladder.routing.freshness import Currency
 from godwitladder.routing.settings import RoutedSettings, read_routed_settings
 from godwitladder.routing.state import state_of
 from godwitladder.routing.status import StatusApp
@@ -48,8 +48,8 @@
 from godwitladder.scheduler.rows import Tables
 from godwitladder.scheduler.ticker import Ticker
 from godwitladder.serving.losses import AnswerLost, LossRegistry
-from godwitladder.serving.passing import RoutedProxy
-from godwitladder.serving.watch import CallWatch
+from godwitladder.serving.proxying import RoutedProxy
+from godwitladder.serving.watch import CallWatcher
 from godwitladder.supervision import watch_threads
 
 log = component_logger("daemon")
@@ -179,7 +179,7 @@
         self.router.takers[FeedWanted] = self.tell_newcomer
         self.losses = LossRegistry(clock, self.mesh.broadcast)
         self.router.takers[AnswerLost] = self.take_loss
-        self.watch = CallWatch(clock)
+        self.watch = CallWatcher(clock)
         self.app = RoutedApp(
             form,
             self.make_passer(form),
@@ -210,7 +210,7 @@
 
         The host that lost it has links to hubs alone; one of them tells the rest.
         """
-        self.losses.take(news)
+        self.losses.record_loss(news)
         hubs = self.hubs
         if link.peer in hubs or publisher_of(link.peer, hubs) != self.host:
             return
--- a/godwitladder/routing/currency.py
+++ b/godwitladder/routing/freshness.py
@@ -30,7 +30,7 @@
     bound_s: float
     proved: float = float("-inf")
 
-    def prove(self, at: float) -> None:
+    def confirm(self, at: float) -> None:
         """Take in a proof; an older one changes nothing."""
         self.proved = max(self.proved, at)
 
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -30,7 +30,7 @@
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
 from godwitladder.scheduler.rows import ClaimState, RequestRow
 from godwitladder.serving.calls import Call, CallRefused
-from godwitladder.serving.forwarding import FORWARDED, Forwarder
+from godwitladder.serving.forwarding import FORWARDED_KEY, Forwarder
 from godwitladder.serving.retries import JoinableRequests, OriginalRequest
 from godwitladder.settings import Settings
 
@@ -276,7 +276,7 @@
             key_bytes(row.key),
             nonce_bytes(row.stream),
             body_bytes(row.body),
-            key_date(environ[KEY_HEADER]),
+            uuid7_time_s(environ[KEY_HEADER]),
             due,
         )
         reply: queue.SimpleQueue[Settled] = queue.SimpleQueue()
@@ -291,8 +291,8 @@
             self.issued.host,
             self.issued.incarnation,
         )
-        if not own and not environ.get(FORWARDED):
-            answer = self.forwarder.ask(
+        if not own and not environ.get(FORWARDED_KEY):
+            answer = self.forwarder.forward(
                 holder.host,
                 holder.incarnation,
                 environ,
@@ -324,7 +324,7 @@
     }
 
 
-def key_date(text: str) -> float:
+def uuid7_time_s(text: str) -> float:
     """Return the time in a key that is a UUID of version 7; else 0.
 
     Such a key tells when it was made, in milliseconds since the epoch, so
