--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -19,7 +19,7 @@
 )
 from godwitladder.scheduler.pools import Pool
 
-REACH_S = 3.0
+ALLOCATOR_TIMEOUT_S = 3.0
 """Time without an answer after which a host falls back to its fixed share. It is
 longer than the lifetime of a grant: the allocator has then reclaimed the host's
 grants and given the capacity to others before the host uses its share."""
@@ -224,7 +224,7 @@
 
     def next_number(self, now: float) -> int:
         """Return the number of the report to send now, and mark it as sent."""
-        if now - self.reported > REACH_S:
+        if now - self.reported > ALLOCATOR_TIMEOUT_S:
             self.answered = now
         self.number += 1
         self.reported = now
@@ -252,8 +252,8 @@
         An allocator that has received no report for a while has no reason to
         answer, so its silence doesn't count.
         """
-        silent = now - self.answered > REACH_S
-        asking = now - self.reported <= REACH_S
+        silent = now - self.answered > ALLOCATOR_TIMEOUT_S
+        asking = now - self.reported <= ALLOCATOR_TIMEOUT_S
         return self.allocator is None or (silent and asking)
 
     def tell(self, requests: Collection[RequestId], now: float) -> DemandNews:
