--- a/godwitladder/routing/freshness.py
+++ b/godwitladder/routing/freshness.py
@@ -28,15 +28,15 @@
     """
 
     bound_s: float
-    proved: float = float("-inf")
+    confirmed_at: float = float("-inf")
 
     def confirm(self, at: float) -> None:
         """Take in a proof; an older one changes nothing."""
-        self.proved = max(self.proved, at)
+        self.confirmed_at = max(self.confirmed_at, at)
 
     def age_s(self, now: float) -> float:
         """Return the seconds since the document was proved."""
-        return now - self.proved
+        return now - self.confirmed_at
 
     def holds(self, now: float) -> bool:
         """Return whether keys may be believed now."""
