--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -246,7 +246,7 @@
                 self.dirty = True
                 self.fates[GrantFate.LAPSED] += 1
 
-    def is_alone(self, now: float) -> bool:
+    def is_cut_off(self, now: float) -> bool:
         """Return whether no allocator can be reached.
 
         An allocator that has received no report for a while has no reason to
