--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -177,7 +177,7 @@
         route = in_force.routes.find(
             host_of(environ.get("HTTP_HOST", "")), path.partition("?")[0]
         )
-        current = self.currency.holds(self.clock.boottime())
+        current = self.currency.is_fresh(self.clock.boottime())
         if route is None:
             # An older document may lack a route that is there by now.
             self.need_current(current)
--- a/godwitladder/routing/freshness.py
+++ b/godwitladder/routing/freshness.py
@@ -38,6 +38,6 @@
         """Return the seconds since the document was proved."""
         return now - self.confirmed_at
 
-    def holds(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Return whether keys may be believed now."""
         return self.age_s(now) <= self.bound_s - MARGIN_S
