--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -324,7 +324,7 @@
             log.warning("New settings are refused", extra={"error": str(error)})
             return
         self.mesh.seeds = frozenset(settings.peers.seeds) - {self.mesh.address}
-        self.currency.bound_s = settings.bounds.revoke_s
+        self.currency.max_age_s = settings.bounds.revoke_s
         self.settings = settings
         log.info("Settings were read again", extra={"host": settings.host})
 
