--- a/godwitladder/scheduler/rows.py
+++ b/godwitladder/scheduler/rows.py
@@ -223,7 +223,7 @@
         Admission shares received from allocators. May be called by any thread.
     standing : bool
         Whether allocators give standing allowances while nothing waits.
-    helps_itself : bool
+    early_fallback : bool
         Whether this host uses its fixed share of targets in its availability zone
         as soon as an answer of its allocator is overdue, in addition to what the
         allocator may have given to others.
@@ -252,7 +252,7 @@
     seen: SeenHosts = field(default_factory=SeenHosts)
     gate: AdmissionGate = field(default_factory=AdmissionGate)
     standing: bool = True
-    helps_itself: bool = False
+    early_fallback: bool = False
 
     @property
     def allocators(self) -> tuple[HostId, ...]:
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -233,7 +233,7 @@
 
 def is_left_alone(tables: Tables, access: PoolAccess, now: float) -> bool:
     """Return whether fixed shares may be used because the local allocator is silent."""
-    return tables.helps_itself and access.home and access.is_unanswered(now)
+    return tables.early_fallback and access.home and access.is_unanswered(now)
 
 
 def sharing(tables: Tables, access: PoolAccess) -> tuple[HostId, ...]:
