--- a/godwitladder/routing/freshness.py
+++ b/godwitladder/routing/freshness.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class Currency:
+class DocumentFreshness:
     """When the document in force was last proved to be the newest.
 
     Parameters
