--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -432,7 +432,7 @@
     row.decisions.put(refusal)
 
 
-def make_room(tables: Tables) -> None:
+def refuse_least_important(tables: Tables) -> None:
     """Refuse the most recent of the least important waiting requests.
 
     Each waiting request occupies a thread of the host. If no thread were free, the
