--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -107,7 +107,7 @@
         self.span = Zone(settings.region)
         self.hosts: tuple[HostId, ...] = (settings.host,)
         self.hubs: frozenset[HostId] = frozenset()
-        self.currency = DocumentFreshness(settings.bounds.revoke_s)
+        self.freshness = DocumentFreshness(settings.bounds.revoke_s)
         self.router = Router(settings.host)
         self.ticker = Ticker(clock, IDLE_TICK_S)
         tables = Tables(
@@ -143,7 +143,7 @@
             settings.host,
             source,
             clock,
-            self.currency,
+            self.freshness,
             self.publish_view,
             reads_first=not settings.first_start or settings.listen.peers in seeds,
         )
@@ -183,7 +183,7 @@
         self.app = RoutedApp(
             form,
             self.make_passer(form),
-            self.currency,
+            self.freshness,
             clock,
             self.metrics,
             settings.limits.threads,
@@ -274,7 +274,7 @@
     def ready(self) -> bool:
         """Return whether callers should be sent here."""
         known = self.app.in_force.document.version >= 0
-        current = self.currency.is_fresh(self.clock.boottime())
+        current = self.freshness.is_fresh(self.clock.boottime())
         return (
             known
             and current
@@ -324,7 +324,7 @@
             log.warning("New settings are refused", extra={"error": str(error)})
             return
         self.mesh.seeds = frozenset(settings.peers.seeds) - {self.mesh.address}
-        self.currency.max_age_s = settings.bounds.revoke_s
+        self.freshness.max_age_s = settings.bounds.revoke_s
         self.settings = settings
         log.info("Settings were read again", extra={"host": settings.host})
 
