--- a/godwitladder/scheduler/messages.py
+++ b/godwitladder/scheduler/messages.py
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True)
-class MakeRoom:
+class NoFreeThread:
     """The host has no free thread for another waiting request."""
 
 
