--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -28,10 +28,10 @@
 from godwitladder.routing.matching import RouteTable, choose_split, host_of
 from godwitladder.routing.model import (
     Document,
-    Repeat,
     Route,
     RoutedService,
     RoutedWorkspace,
+    RouteKind,
     TokenQuota,
 )
 from godwitladder.scheduler.gate import AdmissionGate
@@ -297,7 +297,7 @@
 
     A caller leaves a stream after a silence, before its first event too.
     """
-    if route.kind is Repeat.STREAM:
+    if route.kind is RouteKind.STREAM:
         silence_s = max(LEAST_SILENCE_S, AIMS * route.aim_s, GAPS * route.gap_s)
         wait_s = min(wait_s, silence_s)
     return wait_s * START_PART
@@ -305,7 +305,7 @@
 
 def may_repeat(route: Route) -> bool:
     """Return whether a request may run more than once."""
-    return route.kind is Repeat.IDEMPOTENT or route.resumable
+    return route.kind is RouteKind.IDEMPOTENT or route.resumable
 
 
 def shared_start(parts: Sequence[PromptPart]) -> str:
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -11,7 +11,7 @@
 from godwitladder.ids import KeyDigest, RouteName, ServiceName, WorkspaceName
 
 
-class Repeat(enum.Enum):
+class RouteKind(enum.Enum):
     """What may be repeated of a route's requests."""
 
     IDEMPOTENT = "idempotent"
@@ -57,7 +57,7 @@
     name: RouteName
     host: str
     prefix: str
-    kind: Repeat
+    kind: RouteKind
     splits: tuple[Split, ...]
     timeout_s: float
     aim_s: float
