--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -115,7 +115,7 @@
             self.span,
             self.incarnation,
             hosts=(settings.host,),
-            place=settings.zone,
+            availability_zone=settings.zone,
             standing=False,
             early_fallback=True,
         )
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -227,7 +227,7 @@
     Only targets in the host's own availability zone qualify: the others may be on
     the other side of the same network partition.
     """
-    near = target.target.place == tables.place
+    near = target.target.place == tables.availability_zone
     return near and is_left_alone(tables, access, now)
 
 
