--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -44,7 +44,7 @@
         in time.
     gap_s : float
         Longest pause between events that counts as in time; 0 for none.
-    max_sends : int
+    max_attempts : int
         Targets that one request may be sent to.
     rank : int
         0 matters most.
@@ -61,7 +61,7 @@
     splits: tuple[Split, ...]
     timeout_s: float
     aim_s: float
-    max_sends: int
+    max_attempts: int
     rank: int
     public: bool = False
     resumable: bool = False
