--- a/godwitladder/scheduler/stretches.py
+++ b/godwitladder/scheduler/stretches.py
@@ -19,7 +19,7 @@
 a prefill may be queued behind others."""
 
 
-def note_progress(tables: Tables, row: RequestRow, tokens: int, now: float) -> None:
+def record_progress(tables: Tables, row: RequestRow, tokens: int, now: float) -> None:
     """Record that ``row`` has produced ``tokens`` output tokens by ``now``."""
     access = tables.pool_of.get(row.target)
     if access:
