--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -358,7 +358,7 @@
         insort(tables.queue, row, key=attrgetter("order"))
 
 
-def note_read(tables: Tables, row: RequestRow) -> None:
+def record_first_output(tables: Tables, row: RequestRow) -> None:
     """Record that a target has finished a prefill, and report it to the allocator."""
     target = tables.targets.get(row.target)
     if target and not row.first_token:
