--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -9,12 +9,12 @@
 
 from godwitladder.ids import KeyDigest, RouteName, ServiceName, WorkspaceName
 from godwitladder.routing.model import (
-    CallerBounds,
-    Document,
+    CallerLimits,
     Route,
     RoutedService,
     RoutedWorkspace,
     RouteKind,
+    RoutingDocument,
     Split,
     TokenQuota,
 )
@@ -28,31 +28,31 @@
 NO_TIMEOUT_S = 3_600.0
 
 
-class BadDocument(ValueError):
+class InvalidDocument(ValueError):
     """The bytes are no configuration."""
 
 
-def decode_document(data: bytes) -> Document:
+def decode_document(data: bytes) -> RoutingDocument:
     """Return the configuration in ``data``.
 
     Raises
     ------
-    BadDocument
+    InvalidDocument
         It can't be read as one.
     """
     try:
         raw = json.loads(data)
         services = map(_service, raw.get("services") or ())
         workspaces = map(_workspace, raw.get("tenants") or ())
-        return Document(
+        return RoutingDocument(
             version=int(raw["version"]),
             routes=tuple(map(_route, raw.get("routes") or ())),
             services={row.name: row for row in services},
             workspaces={row.name: row for row in workspaces},
-            bounds=_bounds(raw.get("limits") or {}),
+            limits=_bounds(raw.get("limits") or {}),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise BadDocument(f"no configuration: {error!r}") from error
+        raise InvalidDocument(f"no configuration: {error!r}") from error
 
 
 def _route(raw: dict[str, Any]) -> Route:
@@ -103,9 +103,9 @@
     )
 
 
-def _bounds(raw: dict[str, Any]) -> CallerBounds:
-    default = CallerBounds()
-    return CallerBounds(
+def _bounds(raw: dict[str, Any]) -> CallerLimits:
+    default = CallerLimits()
+    return CallerLimits(
         header_bytes=int(raw.get("maxHeaderBytes") or default.header_bytes),
         body_bytes=int(raw.get("maxBodyBytes") or default.body_bytes),
         idle_s=_seconds(raw.get("idleTimeoutMs")) or default.idle_s,
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -27,11 +27,11 @@
 from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.matching import RouteTable, choose_split, host_of
 from godwitladder.routing.model import (
-    Document,
     Route,
     RoutedService,
     RoutedWorkspace,
     RouteKind,
+    RoutingDocument,
     TokenQuota,
 )
 from godwitladder.scheduler.gate import AdmissionGate
@@ -67,16 +67,16 @@
 
 
 @dataclass(frozen=True)
-class InForce:
+class IndexedDocument:
     """A document with its routes sorted for look-ups."""
 
-    document: Document
+    document: RoutingDocument
     routes: RouteTable
 
 
-def put_in_force(document: Document) -> InForce:
+def index_document(document: RoutingDocument) -> IndexedDocument:
     """Return ``document`` ready for use."""
-    return InForce(document, RouteTable(document.routes))
+    return IndexedDocument(document, RouteTable(document.routes))
 
 
 class RoutedApp(CountedApp):
@@ -97,7 +97,7 @@
 
     Attributes
     ----------
-    in_force : InForce
+    in_force : IndexedDocument
         Replaced as a whole.
     refusing : bool
         Whether new calls are turned away, since the host is about to stop.
@@ -121,7 +121,7 @@
         self.freshness = freshness
         self.clock = clock
         self.metrics = metrics
-        self.in_force = put_in_force(Document())
+        self.in_force = index_document(RoutingDocument())
         self.refusing = False
 
     def answer(self, environ: Mapping, start_response) -> Iterable[bytes]:
@@ -185,7 +185,7 @@
         workspace = self.find_workspace(document, route, facts, current)
         service = choose_split(route.splits, random.random()).service
         self.need_open((service, workspace.name), facts)
-        body = read_body(environ, document.bounds.body_bytes)
+        body = read_body(environ, document.limits.body_bytes)
         digest = digest_call(workspace.name, path, body)
         held_s = self.passer.losses.held_s(digest)
         if held_s > 0:
@@ -218,14 +218,14 @@
             raise _refused(Reason.NO_CONFIG, text, UNKNOWN_RETRY_S)
 
     def find_workspace(
-        self, document: Document, route: Route, facts: CallFacts, current: bool
+        self, document: RoutingDocument, route: Route, facts: CallFacts, current: bool
     ) -> RoutedWorkspace:
         """Return whose key a call bears.
 
         A key may have been taken away since the document was last proved to
         be the newest; beyond a bound it is believed no more.
         """
-        if route.public or not document.keyed:
+        if route.public or not document.requires_keys:
             return NO_WORKSPACE
         self.need_current(current)
         workspace = document.workspace_of.get(key_digest(facts.key))
