--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -144,7 +144,7 @@
     term: int = 0
     seen: int = 0
     number: int = 0
-    answered: float = 0.0
+    answered_at: float = 0.0
     echoed: int = 0
     unanswered: tuple[int, float] = (0, 0.0)
     silent_since: float | None = None
@@ -176,7 +176,7 @@
         if allocator == self.allocator:
             return
         self.allocator = allocator
-        self.answered = now
+        self.answered_at = now
         self.unanswered = (0, 0.0)
         self.outstanding.clear()
         self.dirty = True
@@ -206,7 +206,7 @@
         if offer.number <= self.seen:
             return False
         self.seen = offer.number
-        self.answered = now
+        self.answered_at = now
         self.echoed = max(self.echoed, offer.acked_report)
         if self.echoed >= self.unanswered[0]:
             self.unanswered = (0, 0.0)
@@ -225,7 +225,7 @@
     def next_number(self, now: float) -> int:
         """Return the number of the report to send now, and mark it as sent."""
         if now - self.reported > ALLOCATOR_TIMEOUT_S:
-            self.answered = now
+            self.answered_at = now
         self.number += 1
         self.reported = now
         self.dirty = False
@@ -252,7 +252,7 @@
         An allocator that has received no report for a while has no reason to
         answer, so its silence doesn't count.
         """
-        silent = now - self.answered > ALLOCATOR_TIMEOUT_S
+        silent = now - self.answered_at > ALLOCATOR_TIMEOUT_S
         asking = now - self.reported <= ALLOCATOR_TIMEOUT_S
         return self.allocator is None or (silent and asking)
 
