--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -90,7 +90,7 @@
         Sends calls on.
     currency : Currency
         How long the document may be used.
-    most_calls : int
+    max_open_calls : int
         Calls that may be open at once; some threads beyond them refuse the rest.
     gate : AdmissionGate or None
         Which calls are worth asking an allocator for; None for all.
@@ -110,11 +110,11 @@
         freshness: DocumentFreshness,
         clock: Clock,
         metrics: Metrics,
-        most_calls: int = UNBOUNDED,
+        max_open_calls: int = UNBOUNDED,
         gate: AdmissionGate | None = None,
     ) -> None:
         super().__init__()
-        self.most_calls = most_calls
+        self.max_open_calls = max_open_calls
         self.gate = gate or AdmissionGate()
         self.form = form
         self.passer = passer
@@ -169,7 +169,7 @@
             raise _refused(Reason.STOPPING, "This host is stopping.", STOPPING_RETRY_S)
         # Without a thread left a call would wait unread, and its caller would
         # be told nothing until its time is up.
-        if self.open_calls > self.most_calls:
+        if self.open_calls > self.max_open_calls:
             raise _refused(Reason.SHED, "This host is full.", FULL_RETRY_S)
         if document.version < 0:
             raise _refused(Reason.NO_CONFIG, "No document is known.", UNKNOWN_RETRY_S)
