--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -97,8 +97,10 @@
     host; it knows the allocator of its zone and forwards messages.
     """
     for name, access in tables.pools.items():
-        hosts = tables.allocators if access.home else tables.linked.get(name.zone, ())
-        key = pool_key(name) if access.home else tables.host
+        hosts = (
+            tables.allocators if access.is_local else tables.linked.get(name.zone, ())
+        )
+        key = pool_key(name) if access.is_local else tables.host
         access.ask(choose_host(hosts, key), now)
 
 
@@ -154,7 +156,7 @@
     most of the allocator's time. A host that has not been answered yet keeps
     reporting what its workspaces have spent.
     """
-    if access.home and (tables.standing or access.holder is None):
+    if access.is_local and (tables.standing or access.holder is None):
         return True
     if access.asked or access.grants:
         return True
@@ -332,7 +334,7 @@
         return
     if not access.take(offer, now):
         return
-    if access.home:
+    if access.is_local:
         tables.gate.set(offer.pool, offer.shares, now)
     for request in offer.spill:
         row = tables.waiting.get(request)
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -235,7 +235,7 @@
 
 def is_left_alone(tables: Tables, access: PoolAccess, now: float) -> bool:
     """Return whether fixed shares may be used because the local allocator is silent."""
-    return tables.early_fallback and access.home and access.is_unanswered(now)
+    return tables.early_fallback and access.is_local and access.is_unanswered(now)
 
 
 def sharing(tables: Tables, access: PoolAccess) -> tuple[HostId, ...]:
@@ -244,11 +244,11 @@
     A pool of another zone is used without grants only if this zone has no pool for
     its services and there is no link to a host of the other zone.
     """
-    if access.home:
+    if access.is_local:
         return tables.hosts or (tables.host,)
     if tables.linked.get(access.pool.name.zone):
         return ()
-    if any(tables.by_service[name][0].home for name in access.pool.services):
+    if any(tables.by_service[name][0].is_local for name in access.pool.services):
         return ()
     others = [host for hosts in tables.linked.values() for host in hosts]
     return tuple({tables.host, *tables.hosts, *others})
