--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -167,7 +167,7 @@
     fates: Counter[GrantFate] = field(default_factory=Counter)
     history: SpendingHistory = field(default_factory=SpendingHistory)
 
-    def ask(self, allocator: HostId | None, now: float) -> None:
+    def set_allocator(self, allocator: HostId | None, now: float) -> None:
         """Send reports to ``allocator`` from now on.
 
         Grants and allowances of another allocator are dropped: the reports must
