--- a/godwitladder/routing/calls.py
+++ b/godwitladder/routing/calls.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class CallFacts:
+class CallMetadata:
     """What a caller's headers say.
 
     Attributes
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class SendFacts:
+class DispatchMetadata:
     """What the system tells a target with a call.
 
     Attributes
@@ -91,10 +91,12 @@
 class HeaderForm(Protocol):
     """The names under which a platform's headers carry all this."""
 
-    def read_call(self, headers: Headers) -> CallFacts:
+    def read_call(self, headers: Headers) -> CallMetadata:
         """Return what a caller's headers say."""
 
-    def for_target(self, headers: Headers, send: SendFacts) -> list[tuple[str, str]]:
+    def for_target(
+        self, headers: Headers, send: DispatchMetadata
+    ) -> list[tuple[str, str]]:
         """Return the headers to send to a target."""
 
     def read_answer(self, headers: Mapping[str, str]) -> AnswerFacts:
@@ -123,7 +125,7 @@
 
     row: RequestRow
     route: Route
-    metadata: CallFacts
+    metadata: CallMetadata
     method: str
     path: str
     headers: Headers
