--- a/godwitladder/routing/calls.py
+++ b/godwitladder/routing/calls.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerFacts:
+class AnswerMetadata:
     """What the headers of a target's answer say.
 
     Attributes
@@ -99,7 +99,7 @@
     ) -> list[tuple[str, str]]:
         """Return the headers to send to a target."""
 
-    def read_answer(self, headers: Mapping[str, str]) -> AnswerFacts:
+    def read_answer(self, headers: Mapping[str, str]) -> AnswerMetadata:
         """Return what a target's headers say."""
 
     def for_caller(self, headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
