--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -19,7 +19,7 @@
 from godwitladder.outcomes import Reason, refuse
 from godwitladder.routing.calls import (
     CallMetadata,
-    HeaderForm,
+    HeaderCodec,
     Headers,
     PromptPart,
     RoutedCall,
@@ -84,7 +84,7 @@
 
     Parameters
     ----------
-    form : HeaderForm
+    form : HeaderCodec
         Names of headers on this platform.
     passer : Passer
         Sends calls on.
@@ -105,7 +105,7 @@
 
     def __init__(
         self,
-        form: HeaderForm,
+        form: HeaderCodec,
         passer: RoutedProxy,
         freshness: DocumentFreshness,
         clock: Clock,
--- a/godwitladder/routing/calls.py
+++ b/godwitladder/routing/calls.py
@@ -1,7 +1,7 @@
 """Routed calls: what headers say of them, and what is kept while they run.
 
 The names of headers belong to whatever platform the host runs on; an adapter
-implements `HeaderForm`.
+implements `HeaderCodec`.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -88,7 +88,7 @@
     not_run: bool
 
 
-class HeaderForm(Protocol):
+class HeaderCodec(Protocol):
     """The names under which a platform's headers carry all this."""
 
     def read_call(self, headers: Headers) -> CallMetadata:
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -37,7 +37,7 @@
 from godwitladder.membership.router import Router
 from godwitladder.metrics import Metrics
 from godwitladder.routing.app import ReadinessApp, RoutedApp, index_document
-from godwitladder.routing.calls import HeaderForm
+from godwitladder.routing.calls import HeaderCodec
 from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.settings import RoutedSettings, read_routed_settings
 from godwitladder.routing.state import state_of
@@ -80,7 +80,7 @@
         What it holds now.
     source : Source
         The platform's store.
-    form : HeaderForm
+    form : HeaderCodec
         The platform's names of headers.
     clock : Clock
         Handed to every part that needs the time.
@@ -91,7 +91,7 @@
         path: Path,
         settings: RoutedSettings,
         source: Source,
-        form: HeaderForm,
+        form: HeaderCodec,
         clock: Clock,
     ) -> None:
         super().__init__(settings.host, clock, settings.limits)
@@ -231,7 +231,7 @@
             cores=self.settings.processor.cores,
         )
 
-    def make_passer(self, form: HeaderForm) -> RoutedProxy:
+    def make_passer(self, form: HeaderCodec) -> RoutedProxy:
         """Return what sends calls on."""
         bounds = self.settings.bounds
         budget = RetryBudget(
@@ -388,7 +388,7 @@
     path: Path,
     settings: RoutedSettings,
     make_source: Callable[[RoutedSettings], Source],
-    form: HeaderForm,
+    form: HeaderCodec,
 ) -> None:
     """Run one host until SIGTERM or SIGINT, then stop as planned."""
     host = RoutingHost(path, settings, make_source(settings), form, Clock())
