--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -40,7 +40,7 @@
 from godwitladder.routing.calls import HeaderCodec
 from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.settings import RoutedSettings, read_routed_settings
-from godwitladder.routing.state import state_of
+from godwitladder.routing.state import make_config_state
 from godwitladder.routing.status import StatusApp
 from godwitladder.scheduler.actor import Scheduler
 from godwitladder.scheduler.allocator import Allocator, AllocatorTables
@@ -339,7 +339,7 @@
 
     def publish_view(self, view: StoreView) -> None:
         """Put what the store says now in force on this host."""
-        state = state_of(view, self.span)
+        state = make_config_state(view, self.span)
         # Targets first: a call on a new route may come as soon as it is there.
         self.scheduler.tell(NewConfig(state))
         self.allocator.tell(NewConfig(state))
--- a/godwitladder/routing/state.py
+++ b/godwitladder/routing/state.py
@@ -25,7 +25,7 @@
 NO_SERVICE = RoutedService("")
 
 
-def state_of(view: StoreView, span: Zone) -> ConfigState:
+def make_config_state(view: StoreView, span: Zone) -> ConfigState:
     """Return the scheduler's configuration; all targets are in ``span``."""
     document = view.document
     return ConfigState(
