--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -20,9 +20,9 @@
 from tests.scheduler.harness import (
     make_config,
     make_request,
+    make_settled_harness,
     make_tables,
     run_for,
-    settled,
     submit,
 )
 
@@ -68,7 +68,7 @@
     minutes to end, and completions show nothing until then. When the rate recovers,
     the limit rises again.
     """
-    harness, now = settled({"e0": 8})
+    harness, now = make_settled_harness({"e0": 8})
     role, tps = harness.roles["h0"], harness.config.targets["e0"].decode_tps
     row = submit(harness.hosts["h1"], make_request("r", now, declared_tokens=100_000))
     run_systems(harness.hosts["h1"], now)
@@ -98,7 +98,7 @@
     looks like one on a slow engine, but the other streams show that the engine is
     not slow.
     """
-    harness, now = settled({"e0": 8})
+    harness, now = make_settled_harness({"e0": 8})
     role, tps = harness.roles["h0"], harness.config.targets["e0"].decode_tps
     role.speeds.learned["e0"].count = MIN_OBSERVATIONS
     lengths = {"declared_tokens": 9000, "predicted_tokens": 900, "likely_tokens": 90}
@@ -126,7 +126,7 @@
     Configured speeds are guesses. The engine would be throttled from its first
     request on, although it works at its full speed.
     """
-    harness, now = settled({"e0": 8})
+    harness, now = make_settled_harness({"e0": 8})
     role = harness.roles["h0"]
     for _ in range(MIN_OBSERVATIONS - 1):
         role.observe_completion(Completion("e0", "w", "chat", 10, 10, 5.0, 50.0))
@@ -136,7 +136,7 @@
 
 def test_grants_follow_the_prefix_that_a_target_was_sent():
     """A dispatched prefix is recorded for its target only, not for an equal one."""
-    harness, now = settled({"e0": 1, "e1": 1})
+    harness, now = make_settled_harness({"e0": 1, "e1": 1})
     role = harness.roles["h0"]
     role.hints.record_dispatch("e1", "start", now)
     assert target_views(role, now)["e1"].prefixes == {"start"}
@@ -145,7 +145,7 @@
 
 def test_a_granted_request_marks_its_prefix_at_the_target():
     """Lets the next request with the same prefix use the cache of the first one."""
-    harness, now = settled({"e0": 1})
+    harness, now = make_settled_harness({"e0": 1})
     submit(harness.hosts["h1"], make_request("first", now))
     harness.settle(now)
     submit(harness.hosts["h1"], make_request("second", now, prefix="start"))
@@ -164,7 +164,7 @@
     that it can't connect to it. The allocator chose that engine again in each run
     because of the prefix, and then granted nothing.
     """
-    harness, now = settled({"e0": 1, "e1": 1}, hosts=("h0", "h1", "h2"))
+    harness, now = make_settled_harness({"e0": 1, "e1": 1}, hosts=("h0", "h1", "h2"))
     harness.roles["h0"].hints.record_dispatch("e0", "start", now)
     host = harness.hosts["h1"]
     for name in ("e0", "e1"):
