--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -46,7 +46,7 @@
 
 log = component_logger("routing")
 
-ROUTE_STEP = 2
+ROUTE_RANK_WEIGHT = 2
 """Ranks of workspaces that weigh as much as one rank of routes."""
 UNKNOWN_RETRY_S = 0.5
 """A host without a document, or with one that is too old, asks again so soon:
@@ -295,7 +295,7 @@
     On one route a workspace of a higher rank goes first. Ordered by workspace
     alone, the longest letters of one wait behind the least of another's requests.
     """
-    return ROUTE_STEP * route.rank + (workspace.rank or 0)
+    return ROUTE_RANK_WEIGHT * route.rank + (workspace.rank or 0)
 
 
 def start_within_s(route: Route, wait_s: float) -> float:
