--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -55,7 +55,7 @@
 """Callers leave a stream after the longest of this silence and these multiples
 of the route's aim and of its longest pause: what the users say of theirs."""
 UNBOUNDED = 1 << 30
-START_PART = 0.7
+MAX_START_FRACTION = 0.7
 """Part of a caller's patience in which its call has to start; the rest is for
 the prompt to be read, or for the work of a plain service."""
 FULL_RETRY_S = 0.5
@@ -268,7 +268,7 @@
             deadline=now + wait_s,
             idempotent=may_repeat(route),
             body=digest,
-            prefix=shared_start(facts.parts),
+            prefix=shared_prefix_name(facts.parts),
         )
         row.start_by = now + start_within_s(route, wait_s)
         if route.ttft_budget_s:
@@ -306,7 +306,7 @@
     if route.kind is RouteKind.STREAM:
         silence_s = max(LEAST_SILENCE_S, AIMS * route.ttft_budget_s, GAPS * route.gap_s)
         wait_s = min(wait_s, silence_s)
-    return wait_s * START_PART
+    return wait_s * MAX_START_FRACTION
 
 
 def may_repeat(route: Route) -> bool:
@@ -314,7 +314,7 @@
     return route.kind is RouteKind.IDEMPOTENT or route.resumable
 
 
-def shared_start(parts: Sequence[PromptPart]) -> str:
+def shared_prefix_name(parts: Sequence[PromptPart]) -> str:
     """Return by what the start of a prompt is known that others have too.
 
     The last part belongs to the request alone. A target that keeps the part before
