--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -198,7 +198,7 @@
             False if the offer is outdated, or is not from the allocator that
             this host reports to.
         """
-        if self.home and self.allocator not in (offer.allocator, offer.via):
+        if self.is_local and self.allocator not in (offer.allocator, offer.via):
             return False
         if (offer.allocator, offer.term) != (self.holder, self.term):
             self.drop()
