--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -25,7 +25,7 @@
 grants and given the capacity to others before the host uses its share."""
 
 
-UNANSWERED_S = 0.4
+ANSWER_TIMEOUT_S = 0.4
 """Time after which a host with waiting requests considers its allocator
 unreachable: two answers are then missing. A network partition that drops packets
 silently is detected only after 1.5 s, which would make the waiting requests late.
@@ -34,9 +34,9 @@
 about a second."""
 
 
-WHOLE_S = 1.0
+FULL_REPORT_INTERVAL_S = 1.0
 """Interval between full reports, which also restore what an allocator missed."""
-MOST_OUTSTANDING = 64
+MAX_OUTSTANDING_REPORTS = 64
 """Maximum number of unanswered reports that a host tracks."""
 
 
@@ -53,27 +53,27 @@
     """A grant and its expiry on the clock of this host."""
 
     grant: Grant
-    until: float
+    expires_at: float
 
 
 @dataclass(frozen=True)
-class DemandNews:
+class DemandUpdate:
     """Waiting requests to list in a report.
 
     Attributes
     ----------
-    lines : tuple of RequestId
+    requests : tuple of RequestId
         Requests to list.
-    gone : tuple of RequestId
+    removed : tuple of RequestId
         Requests that the allocator may still list and that no longer wait.
-    changes : bool
-        Whether ``lines`` and ``gone`` are changes since the last report. If not,
-        ``lines`` contains all requests.
+    incremental : bool
+        Whether ``requests`` and ``removed`` are changes since the last report. If not,
+        ``requests`` contains all of them.
     """
 
-    lines: tuple[RequestId, ...]
-    gone: tuple[RequestId, ...] = ()
-    changes: bool = False
+    requests: tuple[RequestId, ...]
+    removed: tuple[RequestId, ...] = ()
+    incremental: bool = False
 
 
 @dataclass
@@ -82,7 +82,7 @@
 
     Attributes
     ----------
-    home : bool
+    is_local : bool
         Whether the pool is in the zone of this host.
     allocator : HostId or None
         Host that receives the reports; None if no host is known.
@@ -92,21 +92,21 @@
         Term of ``holder``.
     seen : int
         Number of the last offer received from ``holder``.
-    number : int
+    last_report : int
         Number of the last report sent.
-    answered : float
+    answered_at : float
         Time of the last offer, or of the first report after a pause in reporting
         if that is later.
-    echoed : int
+    acked_report : int
         Number of the last report that an offer has acknowledged.
-    unanswered : tuple of int and float
-        Number and time of the first report since ``echoed`` that requested
+    first_unanswered : tuple of int and float
+        Number and time of the first report since ``acked_report`` that requested
         grants; the number is 0 if there is none.
     silent_since : float or None
         Time since which the allocator counts as silent; None if it answers.
     dirty : bool
         Whether a change should be reported to the allocator immediately.
-    reported : float
+    reported_at : float
         Time of the last report.
     outstanding : deque of tuple of int and float
         Number and time of each unanswered report that requested grants, oldest
@@ -122,14 +122,14 @@
     throughput_samples : dict
         Samples since the last report, by target and by whether they include a
         prefill.
-    asked : dict
+    requested : dict
         Requests for which grants are requested, each with the number of the first
         report that listed it.
-    told : set of RequestId
+    listed : set of RequestId
         Requests that the allocator lists, as far as this host knows.
-    settled : set of RequestId
+    decided : set of RequestId
         Requests that it has granted or shed since the last report.
-    told_whole : float
+    full_report_at : float
         Time of the last full report.
     fates : Counter
         Number of grants by outcome since the metrics were last updated.
@@ -143,15 +143,15 @@
     holder: HostId | None = None
     term: int = 0
     seen: int = 0
-    number: int = 0
+    last_report: int = 0
     answered_at: float = 0.0
-    echoed: int = 0
-    unanswered: tuple[int, float] = (0, 0.0)
+    acked_report: int = 0
+    first_unanswered: tuple[int, float] = (0, 0.0)
     silent_since: float | None = None
     dirty: bool = True
-    reported: float = float("-inf")
+    reported_at: float = float("-inf")
     outstanding: deque[tuple[int, float]] = field(
-        default_factory=lambda: deque(maxlen=MOST_OUTSTANDING)
+        default_factory=lambda: deque(maxlen=MAX_OUTSTANDING_REPORTS)
     )
     allowances: dict[TargetName, Allowance] = field(default_factory=dict)
     allowances_expire_at: float = 0.0
@@ -160,10 +160,10 @@
     throughput_samples: dict[tuple[TargetName, bool], ThroughputSample] = field(
         default_factory=dict
     )
-    asked: dict[RequestId, int] = field(default_factory=dict)
-    told: set[RequestId] = field(default_factory=set)
-    settled: set[RequestId] = field(default_factory=set)
-    told_whole: float = float("-inf")
+    requested: dict[RequestId, int] = field(default_factory=dict)
+    listed: set[RequestId] = field(default_factory=set)
+    decided: set[RequestId] = field(default_factory=set)
+    full_report_at: float = float("-inf")
     fates: Counter[GrantFate] = field(default_factory=Counter)
     history: SpendingHistory = field(default_factory=SpendingHistory)
 
@@ -177,7 +177,7 @@
             return
         self.allocator = allocator
         self.answered_at = now
-        self.unanswered = (0, 0.0)
+        self.first_unanswered = (0, 0.0)
         self.outstanding.clear()
         self.dirty = True
         self.drop()
@@ -187,9 +187,9 @@
         self.holder, self.term, self.seen = None, 0, 0
         self.allowances = {}
         self.grants = {}
-        self.told_whole = float("-inf")
+        self.full_report_at = float("-inf")
 
-    def take(self, offer: GrantOffer, now: float) -> bool:
+    def apply_offer(self, offer: GrantOffer, now: float) -> bool:
         """Apply an offer.
 
         Returns
@@ -207,10 +207,10 @@
             return False
         self.seen = offer.number
         self.answered_at = now
-        self.echoed = max(self.echoed, offer.acked_report)
-        if self.echoed >= self.unanswered[0]:
-            self.unanswered = (0, 0.0)
-        while self.outstanding and self.outstanding[0][0] <= self.echoed:
+        self.acked_report = max(self.acked_report, offer.acked_report)
+        if self.acked_report >= self.first_unanswered[0]:
+            self.first_unanswered = (0, 0.0)
+        while self.outstanding and self.outstanding[0][0] <= self.acked_report:
             self.outstanding.popleft()
         self.allowances = {row.target: row for row in offer.allowances}
         self.allowances_expire_at = offer.expires_s
@@ -218,20 +218,20 @@
             self.grants[grant.request] = HeldGrant(grant, offer.expires_s)
         self.dirty |= offer.report_now or bool(offer.grants)
         # The allocator no longer lists these, whatever happens to them here.
-        self.settled.update(grant.request for grant in offer.grants)
-        self.settled.update(shed.request for shed in offer.sheds)
+        self.decided.update(grant.request for grant in offer.grants)
+        self.decided.update(shed.request for shed in offer.sheds)
         return True
 
     def next_number(self, now: float) -> int:
         """Return the number of the report to send now, and mark it as sent."""
-        if now - self.reported > ALLOCATOR_TIMEOUT_S:
+        if now - self.reported_at > ALLOCATOR_TIMEOUT_S:
             self.answered_at = now
-        self.number += 1
-        self.reported = now
+        self.last_report += 1
+        self.reported_at = now
         self.dirty = False
-        return self.number
+        return self.last_report
 
-    def lapse(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drop expired grants and allowances.
 
         A grant that was delayed in transit, or received after a pause of this
@@ -241,7 +241,7 @@
         if self.allowances_expire_at <= now:
             self.allowances = {}
         for request, held in list(self.grants.items()):
-            if held.until <= now:
+            if held.expires_at <= now:
                 del self.grants[request]
                 self.dirty = True
                 self.fates[GrantFate.LAPSED] += 1
@@ -253,41 +253,45 @@
         answer, so its silence doesn't count.
         """
         silent = now - self.answered_at > ALLOCATOR_TIMEOUT_S
-        asking = now - self.reported <= ALLOCATOR_TIMEOUT_S
+        asking = now - self.reported_at <= ALLOCATOR_TIMEOUT_S
         return self.allocator is None or (silent and asking)
 
-    def tell(self, requests: Collection[RequestId], now: float) -> DemandNews:
+    def record_listed(
+        self, requests: Collection[RequestId], now: float
+    ) -> DemandUpdate:
         """Record that a report covers ``requests``, and return what it must list."""
-        known = self.told | self.settled
-        held = self.told - self.settled
-        lines = tuple(request for request in requests if request not in held)
-        self.told, self.settled = set(requests), set()
-        if now - self.told_whole >= WHOLE_S:
-            self.told_whole = now
-            return DemandNews(tuple(requests))
-        gone = tuple(sorted(known - self.told))
-        return DemandNews(lines, gone, changes=True)
-
-    def note_asked(self, now: float) -> None:
-        """Record that a report is sent that requests grants for ``asked``."""
-        if not self.asked:
+        known = self.listed | self.decided
+        held = self.listed - self.decided
+        added = tuple(request for request in requests if request not in held)
+        self.listed, self.decided = set(requests), set()
+        if now - self.full_report_at >= FULL_REPORT_INTERVAL_S:
+            self.full_report_at = now
+            return DemandUpdate(tuple(requests))
+        removed = tuple(sorted(known - self.listed))
+        return DemandUpdate(added, removed, incremental=True)
+
+    def record_requested(self, now: float) -> None:
+        """Record that a report is sent that requests grants for ``requested``."""
+        if not self.requested:
             # All requests have been granted or shed, so no answer is expected.
             self.outstanding.clear()
-            self.unanswered = (0, 0.0)
+            self.first_unanswered = (0, 0.0)
             return
-        self.outstanding.append((self.number, now))
-        if not self.unanswered[0]:
-            self.unanswered = (self.number, now)
+        self.outstanding.append((self.last_report, now))
+        if not self.first_unanswered[0]:
+            self.first_unanswered = (self.last_report, now)
 
-    def behind_s(self, now: float) -> float:
+    def oldest_report_age_s(self, now: float) -> float:
         """Return the age of the oldest unanswered report, in seconds."""
         return now - self.outstanding[0][1] if self.outstanding else 0.0
 
-    def is_unanswered(self, now: float) -> bool:
+    def is_answer_overdue(self, now: float) -> bool:
         """Return whether the allocator's answer to a report is overdue."""
-        number, asked_at = self.unanswered
-        return number > 0 and now - asked_at > UNANSWERED_S
+        number, asked_at = self.first_unanswered
+        return number > 0 and now - asked_at > ANSWER_TIMEOUT_S
 
-    def answers(self, request: RequestId) -> bool:
+    def has_answered(self, request: RequestId) -> bool:
         """Return whether the allocator has answered a report that lists ``request``."""
-        return request in self.asked and self.echoed >= self.asked[request]
+        return (
+            request in self.requested and self.acked_report >= self.requested[request]
+        )
--- a/godwitladder/scheduler/actor.py
+++ b/godwitladder/scheduler/actor.py
@@ -50,7 +50,7 @@
 
 log = component_logger("scheduler")
 
-RUN_AT_LEAST_S = 0.02
+MAX_BATCH_DELAY_S = 0.02
 STOPPED_RETRY_S = 1.0
 
 
@@ -85,7 +85,7 @@
         self.tables = tables
         self.ticker = ticker
         self.send = send
-        self.ran = float("-inf")
+        self.last_run_at = float("-inf")
 
     def on_receive(self, message) -> None:
         """Handle ``message``, and run the systems if the inbox is empty.
@@ -96,12 +96,12 @@
         """
         self.take(message)
         now = self.clock.monotonic()
-        if self.actor_inbox.empty() or now - self.ran >= RUN_AT_LEAST_S:
+        if self.actor_inbox.empty() or now - self.last_run_at >= MAX_BATCH_DELAY_S:
             self.run(now)
 
     def run(self, now: float) -> None:
         """Run the systems, send the reports that are due and update the metrics."""
-        self.ran = now
+        self.last_run_at = now
         run_systems(self.tables, now)
         for host, report in due_reports(self.tables, now):
             self.send(host, report)
--- a/godwitladder/scheduler/gate.py
+++ b/godwitladder/scheduler/gate.py
@@ -13,36 +13,36 @@
 from godwitladder.ids import RequestId
 from godwitladder.outcomes import Reason, Refusal, refuse
 
-VALID_S = 1.0
+SHARES_LIFETIME_S = 1.0
 """Time for which admission shares are valid. After that, the overload that they
 reflect may be over, so nothing is refused."""
-CLOSED = "More calls come than can be served."
+OVERLOADED = "More calls come than can be served."
 
 
 @dataclass(frozen=True)
-class SaidShares:
+class ReceivedShares:
     """Admission shares received from one allocator, and their expiry."""
 
     shares: Mapping[Flow, AdmissionShare]
-    until: float
+    expires_at: float
 
 
 class AdmissionGate:
     """Holds the admission shares of all pools and refuses calls beyond them."""
 
     def __init__(self) -> None:
-        self.pools: dict[PoolName, SaidShares] = {}
+        self.pools: dict[PoolName, ReceivedShares] = {}
 
     def set(self, pool: PoolName, shares: Iterable[AdmissionShare], now: float) -> None:
         """Replace the admission shares of ``pool``."""
         rows = {(row.service, row.workspace): row for row in shares}
-        self.pools[pool] = SaidShares(rows, now + VALID_S)
+        self.pools[pool] = ReceivedShares(rows, now + SHARES_LIFETIME_S)
 
     def share(self, flow: Flow, now: float) -> AdmissionShare | None:
         """Return the valid admission share of ``flow``; None admits all calls."""
-        for said in list(self.pools.values()):
-            if flow in said.shares and now <= said.until:
-                return said.shares[flow]
+        for received in list(self.pools.values()):
+            if flow in received.shares and now <= received.expires_at:
+                return received.shares[flow]
         return None
 
     def refusal(
@@ -58,4 +58,4 @@
         row = self.share(flow, now)
         if row is None or draw < row.share:
             return None
-        return refuse(Reason.SHED, CLOSED, retry_after_s(row.backlog_s, request))
+        return refuse(Reason.SHED, OVERLOADED, retry_after_s(row.backlog_s, request))
--- a/godwitladder/scheduler/messages.py
+++ b/godwitladder/scheduler/messages.py
@@ -112,7 +112,7 @@
         Live hosts of this zone that are not leaving, including this one.
     linked : dict
         Live hosts of each other zone to which this host has a link.
-    able : tuple of HostId or None
+    allocator_candidates : tuple of HostId or None
         Hosts of this zone that may be allocators; None if all may.
     hubs : frozenset of HostId
         Hosts to which all others are linked; empty in a full mesh.
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -20,29 +20,29 @@
 from godwitladder.scheduler.pools import make_pools, pool_key
 from godwitladder.scheduler.rows import RequestRow, Tables, TargetRow
 from godwitladder.scheduler.systems import refuse_request, waiting_order
-from godwitladder.scheduler.throughput import take_stretches
+from godwitladder.scheduler.throughput import take_samples
 
 HEARTBEAT_S = 1.0
 """Maximum time between two reports on a pool that is in use."""
 
-FIRST_LINES = 24
-LAST_LINES = 8
+MAX_FIRST_DEMANDS = 24
+MAX_LAST_DEMANDS = 8
 """Number of requests that a report lists one by one; the others are counted by
 tier. The first are more than a host can be granted in one round trip. The last are
 listed for shedding: an allocator that knew only the first requests of each host
 would shed those while less important requests go on waiting."""
 
-GAP_S = 0.002
-GAP_PER_LINE_S = 0.001
+MIN_REPORT_INTERVAL_S = 0.002
+REPORT_INTERVAL_PER_DEMAND_S = 0.001
 """Minimum time between two reports: a constant part and a part for each request in
 the last report. It grows with the report, so that a long queue with many arrivals
 causes no more load than a short one."""
 
-SLOW_S = 0.5
+SLOW_ANSWER_S = 0.5
 """Age of an unanswered report at which the allocator counts as slow. An allocator
 that keeps up answers within a fifth of a second plus one tick of its own; a slow one
 is sent fewer reports."""
-SLOW_SHARE = 0.5
+SLOW_INTERVAL_RATIO = 0.5
 """Interval between reports to a slow allocator, as a fraction of the age of the
 oldest unanswered report. It keeps about two reports of a host in transit, no matter
 how slow the allocator or its link is."""
@@ -50,7 +50,7 @@
 SPILL_AFTER_S = 1.0
 """Waiting time after which a request is always reported to other zones as well."""
 
-CALLER_DIGITS = 12
+CALLER_DIGEST_LENGTH = 12
 """Number of digits of the body's digest in a demand. The probability that any two
 of 25,000 callers collide is one in a million, and each digit adds to the traffic
 between zones."""
@@ -107,7 +107,7 @@
 def due_reports(tables: Tables, now: float) -> list[tuple[HostId, PoolReport]]:
     """Return the reports that are due, each with its destination host."""
     spill_requests(tables, now)
-    mark_fresh(tables)
+    mark_unreported(tables)
     reports = []
     for access in tables.pools.values():
         if access.allocator is None or not is_due(tables, access, now):
@@ -119,11 +119,11 @@
 def next_due_s(tables: Tables, now: float) -> float | None:
     """Return the seconds until the next delayed report is due; None without one."""
     waits = [
-        access.reported + gap_s(access, now) - now
+        access.reported_at + gap_s(access, now) - now
         for access in tables.pools.values()
         if access.dirty and access.allocator is not None
     ]
-    return max(GAP_S, min(waits)) if waits else None
+    return max(MIN_REPORT_INTERVAL_S, min(waits)) if waits else None
 
 
 def gap_s(access: PoolAccess, now: float) -> float:
@@ -133,22 +133,24 @@
     would then grant requests that are already gone, which leaves more requests
     waiting and more to report: the overload would outlast its cause.
     """
-    shortest_s = GAP_S + GAP_PER_LINE_S * len(access.asked)
-    behind_s = access.behind_s(now)
-    if behind_s <= SLOW_S:
+    shortest_s = MIN_REPORT_INTERVAL_S + REPORT_INTERVAL_PER_DEMAND_S * len(
+        access.requested
+    )
+    oldest_report_age_s = access.oldest_report_age_s(now)
+    if oldest_report_age_s <= SLOW_ANSWER_S:
         return shortest_s
-    return max(shortest_s, min(behind_s * SLOW_SHARE, HEARTBEAT_S))
+    return max(shortest_s, min(oldest_report_age_s * SLOW_INTERVAL_RATIO, HEARTBEAT_S))
 
 
 def is_due(tables: Tables, access: PoolAccess, now: float) -> bool:
     """Return whether a report on a pool should be sent now."""
-    waited = now - access.reported
+    waited = now - access.reported_at
     if access.dirty:
         return waited >= gap_s(access, now)
-    return waited >= HEARTBEAT_S and in_use(tables, access)
+    return waited >= HEARTBEAT_S and needs_heartbeat(tables, access)
 
 
-def in_use(tables: Tables, access: PoolAccess) -> bool:
+def needs_heartbeat(tables: Tables, access: PoolAccess) -> bool:
     """Return whether this host should send heartbeats to a pool's allocator.
 
     If the allocator gives no standing allowances, a host without running and
@@ -158,22 +160,22 @@
     """
     if access.is_local and (tables.standing or access.holder is None):
         return True
-    if access.asked or access.grants:
+    if access.requested or access.grants:
         return True
     return any(tables.targets[name].running for name in access.pool.targets)
 
 
-def mark_fresh(tables: Tables) -> None:
+def mark_unreported(tables: Tables) -> None:
     """Mark the pools with requests that no report has listed yet as dirty."""
-    for request in tables.fresh:
+    for request in tables.unreported:
         row = tables.waiting.get(request)
         if row:
-            for access in asked_pools(tables, row):
+            for access in pools_for_request(tables, row):
                 access.dirty = True
-    tables.fresh.clear()
+    tables.unreported.clear()
 
 
-def asked_pools(tables: Tables, row: RequestRow) -> list[PoolAccess]:
+def pools_for_request(tables: Tables, row: RequestRow) -> list[PoolAccess]:
     """Return the pools on which ``row`` is reported."""
     pools = tables.by_service.get(row.service, [])
     return pools if row.spilled else pools[:1]
@@ -196,20 +198,22 @@
 def spill(tables: Tables, row: RequestRow) -> None:
     """Report ``row`` to other zones as well."""
     row.spilled = True
-    tables.fresh.append(row.request)
+    tables.unreported.append(row.request)
 
 
 def make_report(tables: Tables, access: PoolAccess, now: float) -> PoolReport:
     """Return the next report of this host on a pool."""
     rows = demand(tables, access)
     number = access.next_number(now)
-    head, middle, tail = split_lines(rows)
+    head, middle, tail = split_listed(rows)
     shown = {row.request: row for row in head + tail}
-    access.asked = {request: access.asked.get(request, number) for request in shown}
-    access.note_asked(now)
-    news = access.tell(shown, now)
+    access.requested = {
+        request: access.requested.get(request, number) for request in shown
+    }
+    access.record_requested(now)
+    update = access.record_listed(shown, now)
     completions, access.completions = tuple(access.completions), []
-    rest = Counter(row.tier_rank for row in middle)
+    unlisted_counts = Counter(row.tier_rank for row in middle)
     targets = [tables.targets[name] for name in sorted(access.pool.targets)]
     unanswered = access.holder is None
     return PoolReport(
@@ -222,15 +226,17 @@
         acked_offer=access.seen,
         uses=report_uses(access, targets),
         workspaces=report_workspaces(tables, access),
-        demands=tuple(make_line(tables, shown[request], now) for request in news.lines),
-        unlisted=tuple(TierCount(*item) for item in sorted(rest.items())),
+        demands=tuple(
+            make_demand(tables, shown[request], now) for request in update.requests
+        ),
+        unlisted=tuple(TierCount(*item) for item in sorted(unlisted_counts.items())),
         avoided=tuple(row.name for row in targets if row.avoided_until > now),
         completions=completions,
-        throughput_samples=take_stretches(tables, access, now),
+        throughput_samples=take_samples(tables, access, now),
         spent=access.history.recent_spending(now) if unanswered else (),
         known_s=access.history.known_s(now) if unanswered else 0.0,
-        incremental=news.changes,
-        removed=news.gone,
+        incremental=update.incremental,
+        removed=update.removed,
     )
 
 
@@ -254,12 +260,12 @@
     ]
 
 
-def split_lines(
+def split_listed(
     rows: list[RequestRow],
 ) -> tuple[list[RequestRow], list[RequestRow], list[RequestRow]]:
     """Split ``rows`` into the first, the unlisted middle, and the last ones."""
-    end = max(FIRST_LINES, len(rows) - LAST_LINES)
-    return rows[:FIRST_LINES], rows[FIRST_LINES:end], rows[end:]
+    end = max(MAX_FIRST_DEMANDS, len(rows) - MAX_LAST_DEMANDS)
+    return rows[:MAX_FIRST_DEMANDS], rows[MAX_FIRST_DEMANDS:end], rows[end:]
 
 
 def report_uses(access: PoolAccess, targets: list[TargetRow]) -> tuple[TargetUse, ...]:
@@ -276,7 +282,11 @@
             tokens = row.reserved_tokens + sum(held)
             uses.append(
                 TargetUse(
-                    row.name, running, tokens, row.unread_tokens, row.unread_requests
+                    row.name,
+                    running,
+                    tokens,
+                    row.pending_prefill_tokens,
+                    row.pending_prefill_requests,
                 )
             )
     return tuple(uses)
@@ -295,7 +305,7 @@
     return tuple(WorkspaceUse(*item) for item in sorted(counts.items()))
 
 
-def make_line(tables: Tables, row: RequestRow, now: float) -> RequestDemand:
+def make_demand(tables: Tables, row: RequestRow, now: float) -> RequestDemand:
     """Return the entry of one waiting request in a report."""
     return RequestDemand(
         request=row.request,
@@ -324,7 +334,7 @@
     Empty for requests without a prompt: calls of plain services often have no
     body or identical ones, whereas prompts differ.
     """
-    return BodyDigest(row.body[:CALLER_DIGITS] if row.prompt_tokens else "")
+    return BodyDigest(row.body[:CALLER_DIGEST_LENGTH] if row.prompt_tokens else "")
 
 
 def take_offer(tables: Tables, offer: GrantOffer, now: float) -> None:
@@ -332,7 +342,7 @@
     access = tables.pools.get(offer.pool)
     if access is None or offer.incarnation != tables.incarnation:
         return
-    if not access.take(offer, now):
+    if not access.apply_offer(offer, now):
         return
     if access.is_local:
         tables.gate.set(offer.pool, offer.shares, now)
@@ -343,10 +353,10 @@
     for shed in offer.sheds:
         row = tables.waiting.get(shed.request)
         if row and row.state is RequestState.WAITING:
-            take_shed(tables, access, row, shed, now)
+            apply_shed(tables, access, row, shed, now)
 
 
-def take_shed(
+def apply_shed(
     tables: Tables, access: PoolAccess, row: RequestRow, shed: Shed, now: float
 ) -> None:
     """Refuse a request that its allocator sheds, unless another zone may take it.
@@ -359,7 +369,7 @@
         return
     if shed.reason is ShedReason.OVERLOAD and not shed.exact:
         row = least_important(tables, access, row)
-    if shed.reason is not ShedReason.QUOTA and has_open_pool(tables, row, now):
+    if shed.reason is not ShedReason.QUOTA and has_pending_pool(tables, row, now):
         if not row.spilled:
             spill(tables, row)
         return
@@ -386,12 +396,12 @@
     return max(rows, key=lambda other: (other.tier_rank, other.deadline), default=row)
 
 
-def has_open_pool(tables: Tables, row: RequestRow, now: float) -> bool:
+def has_pending_pool(tables: Tables, row: RequestRow, now: float) -> bool:
     """Return whether an allocator of another zone may still answer ``row``."""
     for pool in tables.by_service[row.service][1:]:
-        if pool.is_cut_off(now) or pool.answers(row.request):
+        if pool.is_cut_off(now) or pool.has_answered(row.request):
             continue
-        full = len(pool.asked) >= FIRST_LINES + LAST_LINES
-        if row.request in pool.asked or not full:
+        full = len(pool.requested) >= MAX_FIRST_DEMANDS + MAX_LAST_DEMANDS
+        if row.request in pool.requested or not full:
             return True
     return False
--- a/godwitladder/scheduler/rows.py
+++ b/godwitladder/scheduler/rows.py
@@ -67,12 +67,12 @@
         Predicted median of the output.
     held_tokens : int
         Tokens reserved on the target since the dispatch.
-    arrived, deadline, dispatched, first_token, progressed : float
+    arrived, deadline, dispatched, first_token, last_output_at : float
         Times in seconds on the monotonic clock of this host, 0 if not reached yet.
-        ``progressed`` is the time of the most recent output.
+        ``last_output_at`` is the time of the most recent output.
     queued : bool
         Whether the request is in the queue of the tables.
-    aim : float
+    ttft_deadline : float
         Deadline of the first token; 0 if it is the deadline of the request.
     start_by : float
         Latest time at which a dispatch is still useful to the caller.
@@ -125,7 +125,7 @@
     target: TargetName | None = None
     dispatched: float = 0.0
     first_token: float = 0.0
-    progressed: float = 0.0
+    last_output_at: float = 0.0
     held_tokens: int = 0
     spilled: bool = False
     queued: bool = False
@@ -169,12 +169,12 @@
 
     Attributes
     ----------
-    unread_tokens, unread_requests : int
+    pending_prefill_tokens, pending_prefill_requests : int
         Prompt tokens and number of the requests on the target that have produced
         no output yet.
     avoided_until : float
         Time until which this host sends nothing to the target.
-    answers : bool
+    accepts_requests : bool
         Whether the target accepts requests. Set to False when it doesn't accept
         one, and to True when it completes one.
     """
@@ -183,10 +183,10 @@
     target: Target
     running: int = 0
     reserved_tokens: int = 0
-    unread_tokens: int = 0
-    unread_requests: int = 0
+    pending_prefill_tokens: int = 0
+    pending_prefill_requests: int = 0
     avoided_until: float = 0.0
-    answers: bool = True
+    accepts_requests: bool = True
 
 
 @dataclass
@@ -197,7 +197,7 @@
     ----------
     hosts : tuple of HostId
         Live hosts of this zone that are not leaving.
-    able : tuple of HostId or None
+    allocator_candidates : tuple of HostId or None
         Hosts of this zone that may be allocators; None if all may.
     linked : dict
         Live hosts of each other zone to which this host has a link.
@@ -211,9 +211,9 @@
         Pool of each target.
     queue : list of RequestRow
         Waiting requests in dispatch order; see `systems.waiting_order`.
-    fresh : list of RequestId
+    unreported : list of RequestId
         Requests queued since the last reports were made.
-    place : str
+    availability_zone : str
         Availability zone of this host; empty unless it is a part of ``zone``.
     quotas : TokenQuotas
         Token quotas that this host enforces while it has no allocator.
@@ -239,7 +239,7 @@
     pools: dict[PoolName, PoolAccess] = field(default_factory=dict)
     by_service: dict[ServiceName, list[PoolAccess]] = field(default_factory=dict)
     pool_of: dict[TargetName, PoolAccess] = field(default_factory=dict)
-    fresh: list[RequestId] = field(default_factory=list)
+    unreported: list[RequestId] = field(default_factory=list)
     queue: list[RequestRow] = field(default_factory=list)
     hosts: tuple[HostId, ...] = ()
     allocator_candidates: tuple[HostId, ...] | None = None
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -23,31 +23,31 @@
     Tables,
     TargetRow,
 )
-from godwitladder.scheduler.silence import note_silence
+from godwitladder.scheduler.silence import log_silence
 
 log = component_logger("scheduler")
 
-AVOID_S = 1.0
-KEPT_COMPLETIONS = 64
-SPARE_ROWS = 32
-ROOM_RETRY_S = 1.0
+TARGET_AVOIDANCE_S = 1.0
+MAX_COMPLETIONS = 64
+MAX_STALE_ROWS = 32
+NO_THREAD_RETRY_S = 1.0
 EXPIRED_RETRY_S = 1.0
-GRANT_WAY_S = 0.25
-GRANT_WAY_SHARE = 0.1
+MAX_GRANT_TRANSIT_S = 0.25
+MAX_GRANT_TRANSIT_RATIO = 0.1
 """Time after its latest start for which a request still waits for a grant that may
 be in transit: the constant, but at most this fraction of the time that remains until
 its deadline."""
 OVER_QUOTA = "The workspace has had its tokens for now."
-NO_ROOM = "This host has no room for more requests that wait."
+NO_THREAD = "This host has no room for more requests that wait."
 
 
 def run_systems(tables: Tables, now: float) -> None:
     """Run all systems once, in order."""
     expire_requests(tables, now)
-    note_silence(tables, now)
-    lapse_grants(tables, now)
+    log_silence(tables, now)
+    expire_grants(tables, now)
     use_grants(tables, now)
-    place_requests(tables, now)
+    dispatch_within_allowances(tables, now)
 
 
 def expire_requests(tables: Tables, now: float) -> None:
@@ -67,14 +67,16 @@
     """Return whether it is too late to start ``row`` and no grant is in transit."""
     if row.start_by >= row.deadline:
         return now >= row.deadline
-    rest_s = row.deadline - row.start_by
-    return now >= row.start_by + min(GRANT_WAY_S, rest_s * GRANT_WAY_SHARE)
+    remaining_s = row.deadline - row.start_by
+    return now >= row.start_by + min(
+        MAX_GRANT_TRANSIT_S, remaining_s * MAX_GRANT_TRANSIT_RATIO
+    )
 
 
-def lapse_grants(tables: Tables, now: float) -> None:
+def expire_grants(tables: Tables, now: float) -> None:
     """Drop expired grants and allowances."""
     for access in tables.pools.values():
-        access.lapse(now)
+        access.expire(now)
 
 
 def use_grants(tables: Tables, now: float) -> None:
@@ -92,16 +94,16 @@
             del access.grants[request]
             access.dirty = True
             target = tables.targets.get(held.grant.target)
-            used = row and target and usable(tables, target, row, now)
+            used = row and target and is_usable(tables, target, row, now)
             access.fates[GrantFate.USED if used else GrantFate.GIVEN_BACK] += 1
             if used:
                 dispatch_request(tables, row, target, now)
 
 
-def place_requests(tables: Tables, now: float) -> None:
+def dispatch_within_allowances(tables: Tables, now: float) -> None:
     """Dispatch waiting requests within allowances, in dispatch order."""
     services = {row.service for row in tables.waiting.values()}
-    open_services = {name for name in services if has_room(tables, name, now)}
+    open_services = {name for name in services if has_capacity(tables, name, now)}
     if not open_services:
         return
     for row in waiting_order(tables):
@@ -113,7 +115,7 @@
         if target:
             dispatch_request(tables, row, target, now)
             open_services = {
-                name for name in open_services if has_room(tables, name, now)
+                name for name in open_services if has_capacity(tables, name, now)
             }
 
 
@@ -123,28 +125,28 @@
     Requests are inserted in order as they arrive. The list may still contain some
     that no longer wait, so readers have to check the state.
     """
-    if len(tables.queue) > 2 * len(tables.waiting) + SPARE_ROWS:
+    if len(tables.queue) > 2 * len(tables.waiting) + MAX_STALE_ROWS:
         for row in tables.queue:
             row.queued = row.request in tables.waiting
         tables.queue = [row for row in tables.queue if row.queued]
     return tables.queue
 
 
-def has_room(tables: Tables, service: str, now: float) -> bool:
+def has_capacity(tables: Tables, service: str, now: float) -> bool:
     """Return whether a request of ``service`` may be dispatched without a grant."""
     return any(
-        may_add(tables, access, tables.targets[name], 0, now)
+        may_dispatch(tables, access, tables.targets[name], 0, now)
         for access in tables.by_service.get(service, ())
-        if may_use_unasked(tables, access, now)
+        if may_use_without_grant(tables, access, now)
         for name in access.pool.targets
     )
 
 
-def may_use_unasked(tables: Tables, access: PoolAccess, now: float) -> bool:
+def may_use_without_grant(tables: Tables, access: PoolAccess, now: float) -> bool:
     """Return whether this host may use the targets of a pool without a grant."""
     if access.allowances or access.is_cut_off(now):
         return True
-    return is_left_alone(tables, access, now)
+    return uses_fallback(tables, access, now)
 
 
 def choose_target(tables: Tables, row: RequestRow, now: float) -> TargetRow | None:
@@ -154,14 +156,14 @@
     knows how many of them run on other hosts.
     """
     workspace = tables.config.workspaces.get(row.workspace)
-    bounded = workspace is not None and (workspace.quota or workspace.token_rate)
+    has_quota = workspace is not None and (workspace.quota or workspace.token_rate)
     candidates = [
         tables.targets[name]
         for access in tables.by_service.get(row.service, ())
-        if not bounded or access.is_cut_off(now) or is_left_alone(tables, access, now)
+        if not has_quota or access.is_cut_off(now) or uses_fallback(tables, access, now)
         for name in access.pool.targets
-        if may_add(tables, access, tables.targets[name], row.reserved_tokens, now)
-        and usable(tables, tables.targets[name], row, now)
+        if may_dispatch(tables, access, tables.targets[name], row.reserved_tokens, now)
+        and is_usable(tables, tables.targets[name], row, now)
     ]
     return min(
         candidates,
@@ -177,20 +179,20 @@
     host then enforces its own share of the quota; otherwise, each host that is cut
     off would give a workspace everything it requests.
     """
-    book = tables.quotas
-    book.share = 1.0 / tables.seen.count_recent(now)
-    book.discard_stale_bucket(
+    quotas = tables.quotas
+    quotas.share = 1.0 / tables.seen.count_recent(now)
+    quotas.discard_stale_bucket(
         row.workspace, tables.by_service[row.service][0].answered_at
     )
-    wait_s = book.wait_s(row.workspace, row.charge, now)
+    wait_s = quotas.wait_s(row.workspace, row.charge, now)
     if wait_s > 0:
         refuse_request(tables, row, refuse(Reason.QUOTA, OVER_QUOTA, wait_s))
         return False
-    book.take(row.workspace, row.charge, now)
+    quotas.take(row.workspace, row.charge, now)
     return True
 
 
-def usable(tables: Tables, target: TargetRow, row: RequestRow, now: float) -> bool:
+def is_usable(tables: Tables, target: TargetRow, row: RequestRow, now: float) -> bool:
     """Return whether ``target`` may receive ``row``, with or without a grant.
 
     The allocator grants nothing on a leaving target, but grants that it gave
@@ -205,7 +207,7 @@
     )
 
 
-def may_add(
+def may_dispatch(
     tables: Tables, access: PoolAccess, target: TargetRow, tokens: int, now: float
 ) -> bool:
     """Return whether an allowance or the fixed share permits one more request."""
@@ -213,15 +215,17 @@
     if allowance and target.running < allowance.running:
         held = target.reserved_tokens + tokens
         return held <= allowance.tokens or not target.target.memory_tokens
-    if not access.is_cut_off(now) and not may_help_itself(tables, access, target, now):
+    if not access.is_cut_off(now) and not may_fall_back(tables, access, target, now):
         return False
-    hosts = sharing(tables, access)
+    hosts = fixed_share_hosts(tables, access)
     if not hosts:
         return False
-    return target.running < fixed_share(plain_view(target), tables.host, hosts)
+    return target.running < fixed_share(
+        make_configured_view(target), tables.host, hosts
+    )
 
 
-def may_help_itself(
+def may_fall_back(
     tables: Tables, access: PoolAccess, target: TargetRow, now: float
 ) -> bool:
     """Return whether a host may use ``target`` while its allocator is silent.
@@ -229,16 +233,16 @@
     Only targets in the host's own availability zone qualify: the others may be on
     the other side of the same network partition.
     """
-    near = target.target.place == tables.availability_zone
-    return near and is_left_alone(tables, access, now)
+    is_near = target.target.place == tables.availability_zone
+    return is_near and uses_fallback(tables, access, now)
 
 
-def is_left_alone(tables: Tables, access: PoolAccess, now: float) -> bool:
-    """Return whether fixed shares may be used because the local allocator is silent."""
-    return tables.early_fallback and access.is_local and access.is_unanswered(now)
+def uses_fallback(tables: Tables, access: PoolAccess, now: float) -> bool:
+    """Return whether to fall back to fixed shares while the allocator is silent."""
+    return tables.early_fallback and access.is_local and access.is_answer_overdue(now)
 
 
-def sharing(tables: Tables, access: PoolAccess) -> tuple[HostId, ...]:
+def fixed_share_hosts(tables: Tables, access: PoolAccess) -> tuple[HostId, ...]:
     """Return the hosts that share a pool without an allocator.
 
     A pool of another zone is used without grants only if this zone has no pool for
@@ -254,17 +258,17 @@
     return tuple({tables.host, *tables.hosts, *others})
 
 
-def plain_view(target: TargetRow) -> TargetView:
+def make_configured_view(target: TargetRow) -> TargetView:
     """Return a view of a target with its configured values."""
-    stated = target.target
+    configured = target.target
     return TargetView(
         name=target.name,
-        services=frozenset(stated.services),
-        slots=stated.slots,
-        memory_tokens=stated.memory_tokens,
-        prefill_tps=stated.prefill_tps,
-        decode_tps=stated.decode_tps,
-        limit=stated.slots,
+        services=frozenset(configured.services),
+        slots=configured.slots,
+        memory_tokens=configured.memory_tokens,
+        prefill_tps=configured.prefill_tps,
+        decode_tps=configured.decode_tps,
+        limit=configured.slots,
     )
 
 
@@ -282,14 +286,14 @@
     row.dispatched = now
     target.running += 1
     target.reserved_tokens += row.reserved_tokens
-    target.unread_tokens += row.prompt_tokens
-    target.unread_requests += 1
+    target.pending_prefill_tokens += row.prompt_tokens
+    target.pending_prefill_requests += 1
     row.held_tokens = row.reserved_tokens
     row.first_token = 0.0
     del tables.waiting[row.request]
     tables.running[row.request] = row
-    note_answered(tables, row)
-    note_use(tables, target)
+    withdraw_demand(tables, row)
+    mark_use_changed(tables, target)
     access = tables.pool_of.get(target.name)
     if access and row.charge:
         access.history.note(row.workspace, row.charge, now)
@@ -326,27 +330,27 @@
     target = tables.targets.get(row.target)
     _leave_target(tables, row)
     if target and avoid:
-        leave_alone(target, now)
+        avoid_target(target, now)
     row.change(RequestState.WAITING)
     add_request(tables, row)
 
 
-def leave_alone(target: TargetRow, now: float) -> None:
+def avoid_target(target: TargetRow, now: float) -> None:
     """Avoid a target for a while because it accepted no request."""
-    target.avoided_until = now + AVOID_S
-    if target.answers:
-        target.answers = False
-        log.info("A target accepts no requests", extra=names_of(target))
+    target.avoided_until = now + TARGET_AVOIDANCE_S
+    if target.accepts_requests:
+        target.accepts_requests = False
+        log.info("A target accepts no requests", extra=target_log_fields(target))
 
 
-def note_answer(target: TargetRow) -> None:
-    """Record that a target answers, and log it if it did not before."""
-    if not target.answers:
-        target.answers = True
-        log.info("A target answers again", extra=names_of(target))
+def record_acceptance(target: TargetRow) -> None:
+    """Record that a target accepts requests, and log it if it did not before."""
+    if not target.accepts_requests:
+        target.accepts_requests = True
+        log.info("A target answers again", extra=target_log_fields(target))
 
 
-def names_of(target: TargetRow) -> dict[str, str]:
+def target_log_fields(target: TargetRow) -> dict[str, str]:
     """Return the log fields that identify a target."""
     return {"target": target.name, "address": target.target.address}
 
@@ -354,7 +358,7 @@
 def add_request(tables: Tables, row: RequestRow) -> None:
     """Queue a request; it is reported if it is not dispatched in this tick."""
     tables.waiting[row.request] = row
-    tables.fresh.append(row.request)
+    tables.unreported.append(row.request)
     if not row.queued:
         row.queued = True
         insort(tables.queue, row, key=attrgetter("order"))
@@ -364,8 +368,8 @@
     """Record that a target has finished a prefill, and report it to the allocator."""
     target = tables.targets.get(row.target)
     if target and not row.first_token:
-        target.unread_tokens -= row.prompt_tokens
-        target.unread_requests -= 1
+        target.pending_prefill_tokens -= row.prompt_tokens
+        target.pending_prefill_requests -= 1
         access = tables.pool_of.get(row.target)
         if access and row.prompt_tokens:
             access.dirty = True
@@ -377,23 +381,23 @@
     expected = row.predicted_tokens or row.declared_tokens
     row.predicted_tokens = grow_reservation(expected, tokens, row.declared_tokens)
     if row.predicted_tokens > expected:
-        learn_length(tables, row, cut=True)
+        observe_length(tables, row, incomplete=True)
     target = tables.targets.get(row.target)
     if target:
         target.reserved_tokens += row.reserved_tokens - row.held_tokens
     row.held_tokens = row.reserved_tokens
 
 
-def learn_length(tables: Tables, row: RequestRow, cut: bool) -> None:
+def observe_length(tables: Tables, row: RequestRow, incomplete: bool) -> None:
     """Update the output predictor from a request.
 
     Parameters
     ----------
-    cut : bool
+    incomplete : bool
         Whether the output is incomplete, so that its length is a lower bound.
     """
     tables.predictor.observe(
-        row.workspace, row.service, row.declared_tokens, row.produced_tokens, cut
+        row.workspace, row.service, row.declared_tokens, row.produced_tokens, incomplete
     )
 
 
@@ -406,13 +410,13 @@
     completed = state is RequestState.COMPLETED
     target = tables.targets.get(row.target)
     if completed and target:
-        note_answer(target)
+        record_acceptance(target)
     if row.declared_tokens and row.produced_tokens:
-        learn_length(tables, row, cut=not completed)
+        observe_length(tables, row, incomplete=not completed)
     access = tables.pool_of.get(row.target)
     if not completed or access is None:
         return
-    if len(access.completions) < KEPT_COMPLETIONS:
+    if len(access.completions) < MAX_COMPLETIONS:
         access.completions.append(
             Completion(
                 target=row.target,
@@ -430,7 +434,7 @@
     """End a waiting request with ``refusal``."""
     del tables.waiting[row.request]
     row.change(refusal.outcome)
-    note_answered(tables, row)
+    withdraw_demand(tables, row)
     row.decisions.put(refusal)
 
 
@@ -444,17 +448,17 @@
     rows = [row for row in tables.waiting.values() if row.state is RequestState.WAITING]
     if rows:
         last = max(rows, key=lambda row: (row.tier_rank, row.arrived))
-        refuse_request(tables, last, refuse(Reason.SHED, NO_ROOM, ROOM_RETRY_S))
+        refuse_request(tables, last, refuse(Reason.SHED, NO_THREAD, NO_THREAD_RETRY_S))
 
 
-def note_answered(tables: Tables, row: RequestRow) -> None:
+def withdraw_demand(tables: Tables, row: RequestRow) -> None:
     """Tell the allocators that list ``row`` that it no longer waits."""
     for access in tables.by_service.get(row.service, ()):
-        if access.asked.pop(row.request, None) is not None:
+        if access.requested.pop(row.request, None) is not None:
             access.dirty = True
 
 
-def note_use(tables: Tables, target: TargetRow) -> None:
+def mark_use_changed(tables: Tables, target: TargetRow) -> None:
     """Report a change of use immediately if the allowance is used up.
 
     Otherwise the next heartbeat is early enough.
@@ -474,6 +478,6 @@
         target.running -= 1
         target.reserved_tokens -= row.held_tokens
         if not row.first_token:
-            target.unread_tokens -= row.prompt_tokens
-            target.unread_requests -= 1
-        note_use(tables, target)
+            target.pending_prefill_tokens -= row.prompt_tokens
+            target.pending_prefill_requests -= 1
+        mark_use_changed(tables, target)
--- a/godwitladder/scheduler/throughput.py
+++ b/godwitladder/scheduler/throughput.py
@@ -14,7 +14,7 @@
 AWAITED_TOKENS = 64
 """Number of output tokens between two progress messages of a running stream."""
 
-OPEN_S = 1.0
+MIN_WAIT_S = 1.0
 """Minimum wait that is reported. A shorter one shows nothing about the target, since
 a prefill may be queued behind others."""
 
@@ -24,27 +24,27 @@
     access = tables.pool_of.get(row.target)
     if access:
         prompt = 0 if row.first_token else row.prompt_tokens
-        since = row.progressed if row.first_token else row.dispatched
+        since = row.last_output_at if row.first_token else row.dispatched
         new = tokens - row.produced_tokens
-        keep(access, ThroughputSample(row.target, prompt, new, now - since))
+        merge_sample(access, ThroughputSample(row.target, prompt, new, now - since))
     row.first_token = row.first_token or now
-    row.progressed = now
+    row.last_output_at = now
 
 
-def keep(access: PoolAccess, done: ThroughputSample) -> None:
-    """Merge ``done`` into the samples for the next report.
+def merge_sample(access: PoolAccess, sample: ThroughputSample) -> None:
+    """Merge ``sample`` into the samples for the next report.
 
     Samples with a prefill are summed. Of the others, the fastest is kept: a stream
     is slow if its target is slow, but also if its caller reads slowly, and one such
     caller must not reduce the slots of all others.
     """
-    key = done.target, done.prompt_tokens > 0
+    key = sample.target, sample.prompt_tokens > 0
     held = access.throughput_samples.get(key)
-    if held and done.prompt_tokens:
-        done = join(held, done)
-    elif held and is_faster(held, done):
-        done = held
-    access.throughput_samples[key] = done
+    if held and sample.prompt_tokens:
+        sample = add_samples(held, sample)
+    elif held and is_faster(held, sample):
+        sample = held
+    access.throughput_samples[key] = sample
 
 
 def is_faster(one: ThroughputSample, other: ThroughputSample) -> bool:
@@ -52,25 +52,25 @@
     return one.output_tokens * other.taken_s > other.output_tokens * one.taken_s
 
 
-def take_stretches(
+def take_samples(
     tables: Tables, access: PoolAccess, now: float
 ) -> tuple[ThroughputSample, ...]:
     """Return the samples for the next report, and clear them."""
-    done, access.throughput_samples = access.throughput_samples, {}
+    finished, access.throughput_samples = access.throughput_samples, {}
     waited: dict[TargetName, ThroughputSample] = {}
     for row in tables.running.values():
         if row.target not in access.pool.targets or not row.declared_tokens:
             continue
-        stretch = awaited(row, now)
-        # The shortest wait counts, for the same reason as in `keep`.
+        sample = make_pending_sample(row, now)
+        # The shortest wait counts, for the same reason as in `merge_sample`.
         held = waited.get(row.target)
-        if held is None or stretch.taken_s < held.taken_s:
-            waited[row.target] = stretch
-    waited = {name: row for name, row in waited.items() if row.taken_s >= OPEN_S}
-    return (*done.values(), *waited.values())
+        if held is None or sample.taken_s < held.taken_s:
+            waited[row.target] = sample
+    waited = {name: row for name, row in waited.items() if row.taken_s >= MIN_WAIT_S}
+    return (*finished.values(), *waited.values())
 
 
-def awaited(row: RequestRow, now: float) -> ThroughputSample:
+def make_pending_sample(row: RequestRow, now: float) -> ThroughputSample:
     """Return a sample of the output that ``row`` is waiting for."""
     if not row.first_token:
         taken_s = now - row.dispatched
@@ -78,11 +78,11 @@
             row.target, row.prompt_tokens, 1, taken_s, in_progress=True
         )
     return ThroughputSample(
-        row.target, 0, AWAITED_TOKENS, now - row.progressed, in_progress=True
+        row.target, 0, AWAITED_TOKENS, now - row.last_output_at, in_progress=True
     )
 
 
-def join(one: ThroughputSample, other: ThroughputSample) -> ThroughputSample:
+def add_samples(one: ThroughputSample, other: ThroughputSample) -> ThroughputSample:
     """Return the sum of two samples."""
     return ThroughputSample(
         one.target,
--- a/godwitladder/scheduler/ticker.py
+++ b/godwitladder/scheduler/ticker.py
@@ -22,7 +22,7 @@
     def __init__(self, clock: Clock, period_s: float) -> None:
         self.clock = clock
         self.period_s = period_s
-        self.sooner_s = period_s
+        self.requested_s = period_s
         self.woken = threading.Event()
         self.stopping = threading.Event()
 
@@ -39,7 +39,7 @@
 
     def tick_in(self, seconds: float) -> None:
         """Request a tick in ``seconds`` if the next periodic one is later."""
-        self.sooner_s = seconds
+        self.requested_s = seconds
         self.woken.set()
 
     def run(self, actor: pykka.ActorRef) -> None:
@@ -47,6 +47,6 @@
         while not self.stopping.is_set():
             if self.clock.wait(self.woken, self.period_s):
                 self.woken.clear()
-                self.clock.wait(self.stopping, min(self.sooner_s, self.period_s))
+                self.clock.wait(self.stopping, min(self.requested_s, self.period_s))
             if not self.stopping.is_set():
                 actor.tell(Tick())
--- a/tests/scheduler/harness.py
+++ b/tests/scheduler/harness.py
@@ -169,7 +169,7 @@
 
 
 def make_settled_harness(slots, hosts=("h0", "h1")):
-    """Return a desk whose idle hosts hold allowances, and the current time."""
+    """Return a harness whose idle hosts hold allowances, and the current time."""
     harness = make_harness(slots, hosts)
     harness.settle(START)
     return harness, START + 0.8
--- a/tests/scheduler/test_changes.py
+++ b/tests/scheduler/test_changes.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from godwitladder.membership.codec import encode
-from godwitladder.scheduler.access import WHOLE_S
+from godwitladder.scheduler.access import FULL_REPORT_INTERVAL_S
 from godwitladder.scheduler.reports import HEARTBEAT_S, due_reports, take_offer
 from godwitladder.scheduler.systems import run_systems
 from tests.scheduler.harness import START, make_request, submit
@@ -15,7 +15,7 @@
 EVENTS = ("submit", "report", "lose", "decide", "lose offer", "wait")
 
 
-class Pair:
+class HostAndAllocator:
     """A host and its allocator, connected by a link that may lose messages."""
 
     def __init__(self) -> None:
@@ -44,11 +44,11 @@
             if not lose:
                 take_offer(self.tables, offer, self.now)
 
-    def lines(self) -> set:
+    def listed_requests(self) -> set:
         (account,) = self.role.current(self.now)
         return set(account.demands)
 
-    def play(self, event: str) -> None:
+    def apply_event(self, event: str) -> None:
         self.now += ROUND_S
         if event == "submit":
             self.submit()
@@ -60,7 +60,7 @@
 
 def test_a_report_among_many_waiting_requests_is_small():
     """Guards against reports that grow with the queue during an overload."""
-    pair = Pair()
+    pair = HostAndAllocator()
     for _ in range(30):
         pair.submit()
     (whole,) = pair.report()
@@ -70,7 +70,7 @@
     (change,) = pair.report()
     assert [line.request for line in change.demands] == ["r31"]
     assert len(encode(change)) <= SMALL_BYTES
-    assert len(pair.lines()) == 31
+    assert len(pair.listed_requests()) == 31
 
 
 def test_a_request_that_was_granted_and_waits_again_is_told_anew():
@@ -79,7 +79,7 @@
     The allocator removes a request when it grants it. The host avoids the target, so
     it returns the grant and has to report the request again.
     """
-    pair = Pair()
+    pair = HostAndAllocator()
     pair.report(), pair.decide()
     pair.now += ROUND_S
     pair.report()
@@ -93,17 +93,17 @@
     pair.now += ROUND_S
     (report,) = pair.report()
     assert report.incremental
-    assert pair.lines() == {"r1"}
+    assert pair.listed_requests() == {"r1"}
 
 
 @given(st.lists(st.sampled_from(EVENTS), max_size=60))
 def test_an_allocator_knows_what_waits_after_any_losses(events):
     """Guards against unlisted waiting requests and listed ones that no longer wait."""
-    pair = Pair()
+    pair = HostAndAllocator()
     pair.report()
     for event in events:
-        pair.play(event)
-    pair.now += max(WHOLE_S, HEARTBEAT_S) + ROUND_S
+        pair.apply_event(event)
+    pair.now += max(FULL_REPORT_INTERVAL_S, HEARTBEAT_S) + ROUND_S
     run_systems(pair.tables, pair.now)
     pair.submit()
     pair.report()
@@ -112,4 +112,4 @@
     granted = {
         name for access in pair.tables.pools.values() for name in access.grants
     } | set(account.grants)
-    assert pair.lines() == waiting - granted
+    assert pair.listed_requests() == waiting - granted
--- a/tests/scheduler/test_failures.py
+++ b/tests/scheduler/test_failures.py
@@ -36,11 +36,11 @@
     return int(found[1]) if found else 0
 
 
-class Watch:
+class LoadMonitor:
     """Polls an engine for the maximum number of concurrent requests."""
 
     def __init__(self, fleet, engine):
-        self.most = 0
+        self.max_load = 0
         self.done = threading.Event()
         self.fleet, self.engine = fleet, engine
         self.thread = threading.Thread(target=self.run, daemon=True)
@@ -50,12 +50,12 @@
         url = f"http://{self.engine.address}/load"
         while not self.done.wait(0.02):
             load = json.loads(self.fleet.http.request("GET", url).data)
-            self.most = max(self.most, load["running"] + load["queued"])
+            self.max_load = max(self.max_load, load["running"] + load["queued"])
 
     def stop(self):
         self.done.set()
         self.thread.join()
-        return self.most
+        return self.max_load
 
 
 def chat_many(fleet, hosts, count, **body):
@@ -81,14 +81,14 @@
     The engine never has more requests than twice its slots.
     """
     engine, holder, others = start_zone(fleet, decode_tps=20)
-    watch = Watch(fleet, engine)
+    monitor = LoadMonitor(fleet, engine)
     answers = chat_many(fleet, others, 12)
     wait_until(lambda: len(fleet.run_records(engine)) >= SLOTS, "the first to run")
     holder.process.kill()
     done = [answer.result().status for answer in answers]
     assert done == [200] * 12
     assert all_ran_once(fleet, engine, 12)
-    assert watch.stop() <= 2 * SLOTS
+    assert monitor.stop() <= 2 * SLOTS
 
 
 def test_an_allocator_that_stands_still_and_wakes_breaks_no_promise(fleet):
@@ -98,7 +98,7 @@
     over. It then resumes with expired grants in its queues.
     """
     engine, holder, others = start_zone(fleet, decode_tps=20)
-    watch = Watch(fleet, engine)
+    monitor = LoadMonitor(fleet, engine)
     answers = chat_many(fleet, [holder, *others], 12)
     wait_until(lambda: len(fleet.run_records(engine)) >= SLOTS, "the first to run")
     holder.send(signal.SIGSTOP)
@@ -107,7 +107,7 @@
     done = [answer.result().status for answer in answers]
     assert done == [200] * 12
     assert all_ran_once(fleet, engine, 12)
-    assert watch.stop() <= 2 * SLOTS
+    assert monitor.stop() <= 2 * SLOTS
 
 
 def test_a_target_that_the_list_shows_leaving_gets_no_new_work(fleet):
--- a/tests/scheduler/test_gate.py
+++ b/tests/scheduler/test_gate.py
@@ -5,7 +5,7 @@
 from godwitladder.decisions.admission import AdmissionShare
 from godwitladder.decisions.types import PoolName
 from godwitladder.outcomes import Reason, RequestState
-from godwitladder.scheduler.gate import VALID_S, AdmissionGate
+from godwitladder.scheduler.gate import SHARES_LIFETIME_S, AdmissionGate
 
 POOL = PoolName("region", "models")
 FLOW, OTHER = ("models", "floods"), ("models", "quiet")
@@ -29,7 +29,7 @@
 
 def test_a_silent_allocator_closes_nothing(gate):
     """Guards against refusals by outdated shares after an allocator is lost."""
-    assert gate.refusal(FLOW, "r", 0.9, 10.0 + VALID_S + 0.1) is None
+    assert gate.refusal(FLOW, "r", 0.9, 10.0 + SHARES_LIFETIME_S + 0.1) is None
 
 
 def test_what_an_allocator_says_anew_replaces_what_it_said(gate):
--- a/tests/scheduler/test_grant_machine.py
+++ b/tests/scheduler/test_grant_machine.py
@@ -39,8 +39,8 @@
         self.now = 0.0
         self.harness = make_harness(SLOTS, HOSTS, self.holders)
         self.dead, self.rows, self.running = set(), {}, {}
-        self.unasked, self.leaving, self.heard = set(), set(), {}
-        self.given, self.dispatched = [], Counter()
+        self.without_allocator, self.leaving, self.last_reports = set(), set(), {}
+        self.sent_offers, self.dispatched = [], Counter()
         for _ in range(12):
             self.round(0.1)
 
@@ -65,29 +65,29 @@
             tables = self.harness.hosts[host]
             alone = tables.pools[self.harness.pool].is_cut_off(self.now)
             self.harness.tick(host, self.now)
-            self.note_dispatches(host, alone)
+            self.record_dispatches(host, alone)
 
-    def note_dispatches(self, host, alone):
+    def record_dispatches(self, host, alone):
         for name, (owner, row) in self.rows.items():
-            told = decision(row) if owner == host else None
-            if not isinstance(told, Dispatch):
+            decided = decision(row) if owner == host else None
+            if not isinstance(decided, Dispatch):
                 continue
             self.dispatched[name] += 1
-            self.running[name] = host, told.target
+            self.running[name] = host, decided.target
             if alone:
-                self.unasked.add(name)
+                self.without_allocator.add(name)
             else:
-                assert self.has_leave(host, name, told.target)
-            assert (host, told.target) not in self.leaving
+                assert self.is_permitted(host, name, decided.target)
+            assert (host, decided.target) not in self.leaving
 
-    def has_leave(self, host, name, target):
+    def is_permitted(self, host, name, target):
         return any(
             until > self.now
             and (
                 any((row.request, row.target) == (name, target) for row in offer.grants)
                 or any(row.target == target for row in offer.allowances)
             )
-            for to, offer, until in self.given
+            for to, offer, until in self.sent_offers
             if to == host
         )
 
@@ -100,7 +100,7 @@
         if lost:
             waiting.popleft()
             return
-        self.heard[host, holder] = self.now, waiting[0].sent_s
+        self.last_reports[host, holder] = self.now, waiting[0].sent_s
         self.harness.deliver_report(host, holder, self.now)
 
     @rule(holder=HOLDER)
@@ -112,8 +112,8 @@
         self.harness.decide(holder, self.now)
         for (host, by), rows in self.harness.offers.items():
             for offer in list(rows)[before.get((host, by), 0) :]:
-                self.given.append(
-                    (host, offer, self.heard[host, by][1] + OFFER_LIFETIME_S)
+                self.sent_offers.append(
+                    (host, offer, self.last_reports[host, by][1] + OFFER_LIFETIME_S)
                 )
 
     @rule(host=HOST, holder=HOLDER, lost=LOST)
@@ -147,7 +147,7 @@
                 ):
                     self.offer(host, index, False)
 
-    def storm(self, random):
+    def run_random_events(self, random):
         """Run many random events, alternating between busy and quiet phases."""
         for index in range(300):
             quiet = index // 30 % 2
@@ -171,7 +171,7 @@
                 weights[0], weights[5], weights[7] = 10, 200, 80
             random.choices(events, weights)[0]()
             self.no_request_runs_twice()
-            self.no_target_is_overrun()
+            self.no_target_exceeds_its_slots()
 
     @rule(index=st.integers(0, 9), sent=st.booleans())
     def finish(self, index, sent):
@@ -179,7 +179,7 @@
             return
         name = sorted(self.running)[index % len(self.running)]
         host, _ = self.running.pop(name)
-        self.unasked.discard(name)
+        self.without_allocator.discard(name)
         if not self.alive(host):
             return
         tables, row = self.harness.hosts[host], self.rows[name][1]
@@ -200,31 +200,32 @@
         if len(self.dead) < 1:
             self.dead.add(host)
 
-    @rule(host=HOST, place=st.sampled_from(sorted(SLOTS)))
-    def leave(self, host, place):
+    @rule(host=HOST, target_name=st.sampled_from(sorted(SLOTS)))
+    def leave(self, host, target_name):
         tables = self.harness.hosts[host]
-        tables.leaving |= {tables.config.targets[place].address}
-        self.leaving.add((host, place))
+        tables.leaving |= {tables.config.targets[target_name].address}
+        self.leaving.add((host, target_name))
 
     @invariant()
     def no_request_runs_twice(self):
         assert all(count <= 1 for count in self.dispatched.values())
 
     @invariant()
-    def no_target_is_overrun(self):
+    def no_target_exceeds_its_slots(self):
         for target, slots in SLOTS.items():
             counted = [
                 name
-                for name, (host, place) in self.running.items()
-                if place == target
-                and name not in self.unasked
-                and not self.forgotten(host)
+                for name, (host, target_name) in self.running.items()
+                if target_name == target
+                and name not in self.without_allocator
+                and not self.is_timed_out(host)
             ]
             assert len(counted) <= slots * len(self.holders), counted
 
-    def forgotten(self, host):
+    def is_timed_out(self, host):
         return all(
-            self.now - self.heard.get((host, holder), (0.0, 0.0))[0] > HOST_TIMEOUT_S
+            self.now - self.last_reports.get((host, holder), (0.0, 0.0))[0]
+            > HOST_TIMEOUT_S
             for holder in self.holders
         )
 
@@ -246,4 +247,4 @@
 @settings(max_examples=60)
 def test_grants_hold_in_long_random_runs(kind, seed):
     """Long runs always exhaust the pool; the short runs of the machine rarely do."""
-    kind().storm(Random(seed))
+    kind().run_random_events(Random(seed))
--- a/tests/scheduler/test_silence.py
+++ b/tests/scheduler/test_silence.py
@@ -2,7 +2,7 @@
 
 from dataclasses import replace
 
-from godwitladder.scheduler.access import UNANSWERED_S
+from godwitladder.scheduler.access import ANSWER_TIMEOUT_S
 from godwitladder.scheduler.reports import due_reports, take_offer, update_targets
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.scheduler.systems import run_systems
@@ -40,10 +40,10 @@
     tables = make_cut_off()
     row = submit(tables, make_request("r", START))
     due_reports(tables, START)
-    now = START + UNANSWERED_S - 0.05
+    now = START + ANSWER_TIMEOUT_S - 0.05
     run_systems(tables, now)
     assert row.decisions.empty()
-    now = START + UNANSWERED_S + 0.05
+    now = START + ANSWER_TIMEOUT_S + 0.05
     run_systems(tables, now)
     decision = row.decisions.get_nowait()
     assert isinstance(decision, Dispatch)
@@ -70,7 +70,7 @@
     for _ in range(20):
         now += 0.1
         exchange(tables, role, now)
-        assert not access.is_unanswered(now)
+        assert not access.is_answer_overdue(now)
     assert len(tables.waiting) == 2
 
 
@@ -81,13 +81,13 @@
         submit(tables, make_request(f"r{number}", now))
     (access,) = tables.pools.values()
     reports = due_reports(tables, now)
-    now += UNANSWERED_S + 0.1
-    assert access.is_unanswered(now)
+    now += ANSWER_TIMEOUT_S + 0.1
+    assert access.is_answer_overdue(now)
     for _, report in reports:
         role.take_report(report, now)
     for offer in role.run(("h0",), now):
         take_offer(tables, offer, now)
-    assert not access.is_unanswered(now)
+    assert not access.is_answer_overdue(now)
 
 
 def test_a_silence_of_the_allocator_is_told_of_once_and_so_is_its_end(caplog):
@@ -99,7 +99,7 @@
         submit(tables, make_request(f"r{number}", now))
     reports = due_reports(tables, now)
     for _ in range(3):
-        now += UNANSWERED_S
+        now += ANSWER_TIMEOUT_S
         run_systems(tables, now)
     assert caplog.text.count("The allocator is silent") == 1
     for _, report in reports:
@@ -132,5 +132,5 @@
     run_systems(tables, now + 0.08)
     assert not row.decisions.empty()
     assert due_reports(tables, now + 0.12)
-    assert not access.is_unanswered(now + 0.12 + UNANSWERED_S)
-    assert access.behind_s(now + 1.0) == 0.0
+    assert not access.is_answer_overdue(now + 0.12 + ANSWER_TIMEOUT_S)
+    assert access.oldest_report_age_s(now + 1.0) == 0.0
