--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -142,7 +142,7 @@
     allocator: HostId | None = None
     holder: HostId | None = None
     term: int = 0
-    seen: int = 0
+    last_offer: int = 0
     last_report: int = 0
     answered_at: float = 0.0
     acked_report: int = 0
@@ -184,7 +184,7 @@
 
     def drop(self) -> None:
         """Drop all grants and allowances."""
-        self.holder, self.term, self.seen = None, 0, 0
+        self.holder, self.term, self.last_offer = None, 0, 0
         self.allowances = {}
         self.grants = {}
         self.full_report_at = float("-inf")
@@ -203,9 +203,9 @@
         if (offer.allocator, offer.term) != (self.holder, self.term):
             self.drop()
             self.holder, self.term = offer.allocator, offer.term
-        if offer.number <= self.seen:
+        if offer.number <= self.last_offer:
             return False
-        self.seen = offer.number
+        self.last_offer = offer.number
         self.answered_at = now
         self.acked_report = max(self.acked_report, offer.acked_report)
         if self.acked_report >= self.first_unanswered[0]:
