--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -29,7 +29,7 @@
 """Time after which a host with waiting requests considers its allocator
 unreachable: two answers are then missing. A network partition that drops packets
 silently is detected only after 1.5 s, which would make the waiting requests late.
-Until then hosts dispatch within their fixed shares, in addition to what the
+In the meantime hosts dispatch within their fixed shares, in addition to what the
 allocator may have given to others, so a target may queue a few more requests for
 about a second."""
 
@@ -90,7 +90,7 @@
         Allocator that sent the offers in use; None before the first offer.
     term : int
         Term of ``holder``.
-    seen : int
+    last_offer : int
         Number of the last offer received from ``holder``.
     last_report : int
         Number of the last report sent.
@@ -253,8 +253,8 @@
         answer, so its silence doesn't count.
         """
         silent = now - self.answered_at > ALLOCATOR_TIMEOUT_S
-        asking = now - self.reported_at <= ALLOCATOR_TIMEOUT_S
-        return self.allocator is None or (silent and asking)
+        is_reporting = now - self.reported_at <= ALLOCATOR_TIMEOUT_S
+        return self.allocator is None or (silent and is_reporting)
 
     def record_listed(
         self, requests: Collection[RequestId], now: float
@@ -287,8 +287,8 @@
 
     def is_answer_overdue(self, now: float) -> bool:
         """Return whether the allocator's answer to a report is overdue."""
-        number, asked_at = self.first_unanswered
-        return number > 0 and now - asked_at > ANSWER_TIMEOUT_S
+        number, reported_at = self.first_unanswered
+        return number > 0 and now - reported_at > ANSWER_TIMEOUT_S
 
     def has_answered(self, request: RequestId) -> bool:
         """Return whether the allocator has answered a report that lists ``request``."""
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -203,7 +203,7 @@
 
 def make_report(tables: Tables, access: PoolAccess, now: float) -> PoolReport:
     """Return the next report of this host on a pool."""
-    rows = demand(tables, access)
+    rows = select_demand(tables, access)
     number = access.next_number(now)
     head, middle, tail = split_listed(rows)
     shown = {row.request: row for row in head + tail}
@@ -240,7 +240,7 @@
     )
 
 
-def demand(tables: Tables, access: PoolAccess) -> list[RequestRow]:
+def select_demand(tables: Tables, access: PoolAccess) -> list[RequestRow]:
     """Return the requests to report to a pool's allocator, in dispatch order."""
     waiting, services, granted = (
         RequestState.WAITING,
--- a/tests/scheduler/test_changes.py
+++ b/tests/scheduler/test_changes.py
@@ -73,7 +73,7 @@
     assert len(pair.listed_requests()) == 31
 
 
-def test_a_request_that_was_granted_and_waits_again_is_told_anew():
+def test_a_request_that_was_granted_and_waits_again_is_listed_again():
     """Guards against a waiting request that the allocator no longer lists.
 
     The allocator removes a request when it grants it. The host avoids the target, so
--- a/tests/scheduler/test_failures.py
+++ b/tests/scheduler/test_failures.py
@@ -72,7 +72,7 @@
     return runs == [1] * count
 
 
-def test_the_death_of_an_allocator_costs_capacity_and_no_request(fleet):
+def test_the_death_of_an_allocator_loses_no_request(fleet):
     """Callers of the other hosts get answers, and each request runs once.
 
     The allocator is killed while grants are outstanding and requests wait. The
@@ -91,7 +91,7 @@
     assert monitor.stop() <= 2 * SLOTS
 
 
-def test_an_allocator_that_stands_still_and_wakes_breaks_no_promise(fleet):
+def test_a_paused_allocator_that_resumes_causes_no_second_run(fleet):
     """Guards against double execution while two hosts act as allocator.
 
     The allocator process is stopped until its peers time out and another host takes
--- a/tests/scheduler/test_gate.py
+++ b/tests/scheduler/test_gate.py
@@ -18,7 +18,7 @@
     return made
 
 
-def test_a_part_of_the_calls_is_refused_truly_with_a_time_to_come_back(gate):
+def test_a_share_of_the_calls_is_refused_with_a_retry_time(gate):
     """Guards against callers that wait although an allocator would refuse them."""
     assert gate.refusal(FLOW, "r", 0.2, 10.5) is None
     refusal = gate.refusal(FLOW, "r", 0.3, 10.5)
@@ -27,11 +27,11 @@
     assert gate.refusal(OTHER, "r", 0.9, 10.5) is None
 
 
-def test_a_silent_allocator_closes_nothing(gate):
+def test_expired_shares_refuse_nothing(gate):
     """Guards against refusals by outdated shares after an allocator is lost."""
     assert gate.refusal(FLOW, "r", 0.9, 10.0 + SHARES_LIFETIME_S + 0.1) is None
 
 
-def test_what_an_allocator_says_anew_replaces_what_it_said(gate):
+def test_new_shares_replace_earlier_ones(gate):
     gate.set(POOL, [], 10.2)
     assert gate.refusal(FLOW, "r", 0.9, 10.3) is None
--- a/tests/scheduler/test_grant_machine.py
+++ b/tests/scheduler/test_grant_machine.py
@@ -162,8 +162,8 @@
                 partial(self.finish, random.randrange(10), True),
                 partial(self.wait, random.choice([0.01, 0.1, 0.3, 1.2])),
                 partial(self.round, 0.1, host),
-                partial(self.ask, host, holder),
-                partial(self.leave, host, "e1"),
+                partial(self.set_allocator, host, holder),
+                partial(self.mark_leaving, host, "e1"),
                 partial(self.die, "h2"),
             ]
             weights = [60, 40, 80, 80, 80, 50, 20, 20, 4, 1, 1]
@@ -190,7 +190,7 @@
             return_request(tables, row, self.now)
 
     @rule(host=HOST, holder=HOLDER)
-    def ask(self, host, holder):
+    def set_allocator(self, host, holder):
         self.harness.set_allocator(
             host, self.holders[holder % len(self.holders)], self.now
         )
@@ -201,7 +201,7 @@
             self.dead.add(host)
 
     @rule(host=HOST, target_name=st.sampled_from(sorted(SLOTS)))
-    def leave(self, host, target_name):
+    def mark_leaving(self, host, target_name):
         tables = self.harness.hosts[host]
         tables.leaving |= {tables.config.targets[target_name].address}
         self.leaving.add((host, target_name))
--- a/tests/scheduler/test_idle.py
+++ b/tests/scheduler/test_idle.py
@@ -45,7 +45,7 @@
     return PoolReport(HostId(host), Incarnation(1), POOL, number, now, 1, 0, **fields)
 
 
-def test_an_idle_host_that_was_answered_is_silent_and_asks_when_a_call_comes():
+def test_an_idle_host_that_was_answered_reports_only_when_a_call_arrives():
     """An idle host reports its spending until it is answered, then nothing.
 
     When a call arrives minutes later, the host reports immediately. It doesn't
@@ -64,7 +64,7 @@
     assert not access.is_cut_off(START + 90)
 
 
-def test_an_allocator_answers_each_report_once_and_says_nothing_unasked():
+def test_an_allocator_answers_each_report_once_and_sends_nothing_else():
     role = make_role()
     role.take_report(report_of("h1", 1, START), START)
     first = role.run(HOSTS, START + 1)
@@ -75,7 +75,7 @@
     assert role.run(HOSTS, START + 4)[0].acked_report == 2
 
 
-def test_a_target_that_one_busy_host_cannot_reach_is_kept_for_the_silent_ones():
+def test_a_target_that_one_busy_host_cannot_reach_is_kept_for_idle_hosts():
     """One host can't reach a target while the other hosts are idle.
 
     Idle hosts send no reports. If only reporting hosts counted, all hosts would lose
--- a/tests/scheduler/test_silence.py
+++ b/tests/scheduler/test_silence.py
@@ -50,7 +50,7 @@
     assert decision.target == "e1"
 
 
-def test_a_host_stays_within_its_part_while_the_allocator_is_silent():
+def test_a_host_stays_within_its_share_while_the_allocator_is_silent():
     """Twenty calls wait; two hosts share a target with four slots in their zone."""
     tables = make_cut_off()
     rows = [submit(tables, make_request(f"r{n}", START)) for n in range(20)]
@@ -90,7 +90,7 @@
     assert not access.is_answer_overdue(now)
 
 
-def test_a_silence_of_the_allocator_is_told_of_once_and_so_is_its_end(caplog):
+def test_a_silent_allocator_and_its_return_are_each_logged_once(caplog):
     """The log shows from when to when a host had no answers from its allocator."""
     tables, role = make_host_and_role()
     caplog.set_level("INFO")
@@ -110,7 +110,7 @@
     assert caplog.text.count("The allocator answers again") == 1
 
 
-def test_an_allocator_that_was_asked_for_nothing_more_owes_no_answer():
+def test_no_answer_is_expected_if_nothing_is_requested():
     """Guards against an allocator that counts as silent when nothing is requested.
 
     The last report with requests is still in transit when the offer arrives that
--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -34,7 +34,7 @@
     return row
 
 
-def test_a_lost_target_is_told_once_and_so_is_its_return(caplog):
+def test_a_lost_target_and_its_return_are_each_logged_once(caplog):
     """Several requests find a target gone; a later one completes on it.
 
     The log shows from when to when the host could not use the target, with one
@@ -48,8 +48,8 @@
     later = [dispatch(tables, f"s{n}", 3.0) for n in range(2)]
     for row in later:
         finish_request(tables, row, RequestState.COMPLETED, 3.1)
-    told = [(r.message.split(": ")[-1], r.target) for r in caplog.records]
-    assert told == [
+    logged = [(r.message.split(": ")[-1], r.target) for r in caplog.records]
+    assert logged == [
         ("A target accepts no requests", "e0"),
         ("A target answers again", "e0"),
     ]
@@ -157,7 +157,7 @@
     assert views["e0"].prefixes == {"start"}
 
 
-def test_a_target_that_refuses_connections_holds_up_no_request():
+def test_a_target_that_refuses_connections_delays_no_request():
     """Guards against a request that waits until its deadline beside idle engines.
 
     The engine that has cached the prefix of the prompt is gone, and the host reports
