--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -47,7 +47,7 @@
     log_silence(tables, now)
     expire_grants(tables, now)
     use_grants(tables, now)
-    dispatch_within_allowances(tables, now)
+    dispatch_without_grants(tables, now)
 
 
 def expire_requests(tables: Tables, now: float) -> None:
@@ -100,8 +100,8 @@
                 dispatch_request(tables, row, target, now)
 
 
-def dispatch_within_allowances(tables: Tables, now: float) -> None:
-    """Dispatch waiting requests within allowances, in dispatch order."""
+def dispatch_without_grants(tables: Tables, now: float) -> None:
+    """Dispatch waiting requests that need no grant, in dispatch order."""
     services = {row.service for row in tables.waiting.values()}
     open_services = {name for name in services if has_capacity(tables, name, now)}
     if not open_services:
@@ -175,7 +175,7 @@
 def within_quota(tables: Tables, row: RequestRow, now: float) -> bool:
     """Charge ``row`` to the token quota of its workspace, or refuse it.
 
-    A workspace with a quota gets here only while the host has no allocator. The
+    A workspace with a quota gets here only while no allocator answers the host. The
     host then enforces its own share of the quota; otherwise, each host that is cut
     off would give a workspace everything it requests.
     """
