--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -1,6 +1,6 @@
-"""One host's side of a pool: what it may use there, and what it reports.
+"""State of one host in a pool: its allowances, its grants and its reports.
 
-Pure: times are handed in.
+Pure: times are passed as arguments.
 """
 
 import enum
@@ -20,27 +20,28 @@
 from godwitladder.scheduler.pools import Pool
 
 ALLOCATOR_TIMEOUT_S = 3.0
-"""Silence of an allocator after which a host goes by its fixed share. Longer
-than a grant lives, so that the allocator has stopped counting the host's
-grants, and has given the capacity to others, before the host helps itself."""
+"""Time without an answer after which a host falls back to its fixed share. It is
+longer than the lifetime of a grant: the allocator has then reclaimed the host's
+grants and given the capacity to others before the host uses its share."""
 
 
-UNANSWERED_S = 0.4
-"""Time after which a host with requests waiting takes its allocator for out of
-reach: two answers are missing. A silent cut is known for one after 1.5 s only, and
-what waits for so long is late. What hosts take meanwhile is within their fixed
-shares, beside what the allocator may have given others: for a second a target
-queues a few more."""
+ANSWER_TIMEOUT_S = 0.4
+"""Time after which a host with waiting requests considers its allocator
+unreachable: two answers are then missing. A network partition that drops packets
+silently is detected only after 1.5 s, which would make the waiting requests late.
+In the meantime hosts dispatch within their fixed shares, in addition to what the
+allocator may have given to others, so a target may queue a few more requests for
+about a second."""
 
 
-WHOLE_S = 1.0
-"""Between two reports that tell an allocator all, also what it has missed."""
-MOST_OUTSTANDING = 64
-"""Unanswered reports that a host remembers."""
+FULL_REPORT_INTERVAL_S = 1.0
+"""Interval between full reports, which also restore what an allocator missed."""
+MAX_OUTSTANDING_REPORTS = 64
+"""Maximum number of unanswered reports that a host tracks."""
 
 
 class GrantFate(enum.Enum):
-    """What became of a grant that this host was given."""
+    """Outcome of a grant that this host received."""
 
     USED = "used"
     GIVEN_BACK = "given_back"
@@ -49,67 +50,91 @@
 
 @dataclass(frozen=True)
 class HeldGrant:
-    """A grant and the time at which it lapses here."""
+    """A grant and its expiry on the clock of this host."""
 
     grant: Grant
-    until: float
+    expires_at: float
 
 
 @dataclass(frozen=True)
-class DemandNews:
-    """What a report tells of the requests that wait.
+class DemandUpdate:
+    """Waiting requests to list in a report.
 
     Attributes
     ----------
-    lines : tuple of RequestId
-        Those that need a line.
-    gone : tuple of RequestId
-        Those that the allocator may know of and that wait no longer.
-    changes : bool
-        Whether that is what has changed; else the lines are all there are.
+    requests : tuple of RequestId
+        Requests to list.
+    removed : tuple of RequestId
+        Requests that the allocator may still list and that no longer wait.
+    incremental : bool
+        Whether ``requests`` and ``removed`` are changes since the last report. If not,
+        ``requests`` contains all of them.
     """
 
-    lines: tuple[RequestId, ...]
-    gone: tuple[RequestId, ...] = ()
-    changes: bool = False
+    requests: tuple[RequestId, ...]
+    removed: tuple[RequestId, ...] = ()
+    incremental: bool = False
 
 
 @dataclass
 class PoolAccess:
-    """What this host knows of and holds in one pool.
+    """State of this host in one pool.
 
     Attributes
     ----------
-    home : bool
-        Whether the pool is in this host's own zone.
+    is_local : bool
+        Whether the pool is in the zone of this host.
     allocator : HostId or None
-        Whom to report to; None where no host is known.
-    answered : float
-        When the last offer came, or asking began.
-    echoed : int
-        Number of the last report that an offer has answered.
-    unanswered : tuple of int and float
-        Number and time of the first report since then that asked for requests;
-        0 for none.
+        Host that receives the reports; None if no host is known.
+    holder : HostId or None
+        Allocator that sent the offers in use; None before the first offer.
+    term : int
+        Term of ``holder``.
+    last_offer : int
+        Number of the last offer received from ``holder``.
+    last_report : int
+        Number of the last report sent.
+    answered_at : float
+        Time of the last offer, or of the first report after a pause in reporting
+        if that is later.
+    acked_report : int
+        Number of the last report that an offer has acknowledged.
+    first_unanswered : tuple of int and float
+        Number and time of the first report since ``acked_report`` that requested
+        grants; the number is 0 if there is none.
     silent_since : float or None
-        Since when the allocator is taken for silent; None while it is not.
+        Time since which the allocator counts as silent; None if it answers.
     dirty : bool
-        Whether something has changed that the allocator should know at once.
-    reported : float
-        When the last report was sent.
+        Whether a change should be reported to the allocator immediately.
+    reported_at : float
+        Time of the last report.
     outstanding : deque of tuple of int and float
-        Number and time of each report that asked for requests and is not
-        answered yet, the oldest first.
-    told : set of RequestId
-        Requests of which the allocator holds a line, as far as this host knows.
-    settled : set of RequestId
+        Number and time of each unanswered report that requested grants, oldest
+        first.
+    allowances : dict
+        Allowance on each target, from the last offer.
+    allowances_expire_at : float
+        Expiry of the allowances.
+    grants : dict
+        Unused grants by request.
+    completions : list of Completion
+        Requests completed since the last report.
+    throughput_samples : dict
+        Samples since the last report, by target and by whether they include a
+        prefill.
+    requested : dict
+        Requests for which grants are requested, each with the number of the first
+        report that listed it.
+    listed : set of RequestId
+        Requests that the allocator lists, as far as this host knows.
+    decided : set of RequestId
         Requests that it has granted or shed since the last report.
-    told_whole : float
-        When it was last told of all requests.
+    full_report_at : float
+        Time of the last full report.
     fates : Counter
-        Grants by what became of them, since they were last counted.
+        Number of grants by outcome since the metrics were last updated.
     history : SpendingHistory
-        Tokens of workspaces that were spent here.
+        Tokens that workspaces have spent through this host.
     """
 
     pool: Pool
@@ -118,15 +143,15 @@
     holder: HostId | None = None
     term: int = 0
     last_offer: int = 0
-    number: int = 0
+    last_report: int = 0
     answered_at: float = 0.0
-    echoed: int = 0
-    unanswered: tuple[int, float] = (0, 0.0)
+    acked_report: int = 0
+    first_unanswered: tuple[int, float] = (0, 0.0)
     silent_since: float | None = None
     dirty: bool = True
-    reported: float = float("-inf")
+    reported_at: float = float("-inf")
     outstanding: deque[tuple[int, float]] = field(
-        default_factory=lambda: deque(maxlen=MOST_OUTSTANDING)
+        default_factory=lambda: deque(maxlen=MAX_OUTSTANDING_REPORTS)
     )
     allowances: dict[TargetName, Allowance] = field(default_factory=dict)
     allowances_expire_at: float = 0.0
@@ -135,37 +160,44 @@
     throughput_samples: dict[tuple[TargetName, bool], ThroughputSample] = field(
         default_factory=dict
     )
-    asked: dict[RequestId, int] = field(default_factory=dict)
-    told: set[RequestId] = field(default_factory=set)
-    settled: set[RequestId] = field(default_factory=set)
-    told_whole: float = float("-inf")
+    requested: dict[RequestId, int] = field(default_factory=dict)
+    listed: set[RequestId] = field(default_factory=set)
+    decided: set[RequestId] = field(default_factory=set)
+    full_report_at: float = float("-inf")
     fates: Counter[GrantFate] = field(default_factory=Counter)
     history: SpendingHistory = field(default_factory=SpendingHistory)
 
     def set_allocator(self, allocator: HostId | None, now: float) -> None:
-        """Report to ``allocator`` from now on.
+        """Send reports to ``allocator`` from now on.
 
-        What another one gave is dropped: the new one must be able to count
-        on hearing of everything that this host can still use.
+        Grants and allowances of another allocator are dropped: the reports must
+        tell the new one about everything that this host can still use.
         """
         if allocator == self.allocator:
             return
         self.allocator = allocator
         self.answered_at = now
-        self.unanswered = (0, 0.0)
+        self.first_unanswered = (0, 0.0)
         self.outstanding.clear()
         self.dirty = True
         self.drop()
 
     def drop(self) -> None:
-        """Give up everything held."""
+        """Drop all grants and allowances."""
         self.holder, self.term, self.last_offer = None, 0, 0
         self.allowances = {}
         self.grants = {}
-        self.told_whole = float("-inf")
+        self.full_report_at = float("-inf")
 
-    def take(self, offer: GrantOffer, now: float) -> bool:
-        """Take in an offer; return False for one that is late or foreign."""
+    def apply_offer(self, offer: GrantOffer, now: float) -> bool:
+        """Apply an offer.
+
+        Returns
+        -------
+        bool
+            False if the offer is outdated, or is not from the allocator that
+            this host reports to.
+        """
         if self.is_local and self.allocator not in (offer.allocator, offer.via):
             return False
         if (offer.allocator, offer.term) != (self.holder, self.term):
@@ -175,41 +207,41 @@
             return False
         self.last_offer = offer.number
         self.answered_at = now
-        self.echoed = max(self.echoed, offer.acked_report)
-        if self.echoed >= self.unanswered[0]:
-            self.unanswered = (0, 0.0)
-        while self.outstanding and self.outstanding[0][0] <= self.echoed:
+        self.acked_report = max(self.acked_report, offer.acked_report)
+        if self.acked_report >= self.first_unanswered[0]:
+            self.first_unanswered = (0, 0.0)
+        while self.outstanding and self.outstanding[0][0] <= self.acked_report:
             self.outstanding.popleft()
         self.allowances = {row.target: row for row in offer.allowances}
         self.allowances_expire_at = offer.expires_s
         for grant in offer.grants:
             self.grants[grant.request] = HeldGrant(grant, offer.expires_s)
         self.dirty |= offer.report_now or bool(offer.grants)
-        # The allocator has dropped their lines, whatever becomes of them here.
-        self.settled.update(grant.request for grant in offer.grants)
-        self.settled.update(shed.request for shed in offer.sheds)
+        # The allocator no longer lists these, whatever happens to them here.
+        self.decided.update(grant.request for grant in offer.grants)
+        self.decided.update(shed.request for shed in offer.sheds)
         return True
 
     def next_number(self, now: float) -> int:
-        """Return the number of a report that is sent now."""
-        if now - self.reported > ALLOCATOR_TIMEOUT_S:
+        """Return the number of the report to send now, and mark it as sent."""
+        if now - self.reported_at > ALLOCATOR_TIMEOUT_S:
             self.answered_at = now
-        self.number += 1
-        self.reported = now
+        self.last_report += 1
+        self.reported_at = now
         self.dirty = False
-        return self.number
+        return self.last_report
 
-    def lapse(self, now: float) -> None:
-        """Drop what may no longer be used.
+    def expire(self, now: float) -> None:
+        """Drop expired grants and allowances.
 
-        A grant that was held up on its way, or taken in after a pause of this
-        process, is void: the allocator takes it that a report sent from now
-        on leaves it out, and gives the slot to another host.
+        A grant that was delayed in transit, or received after a pause of this
+        process, is void: the allocator expects that a report sent after the
+        expiry no longer includes it, and gives the slot to another host.
         """
         if self.allowances_expire_at <= now:
             self.allowances = {}
         for request, held in list(self.grants.items()):
-            if held.until <= now:
+            if held.expires_at <= now:
                 del self.grants[request]
                 self.dirty = True
                 self.fates[GrantFate.LAPSED] += 1
@@ -217,44 +249,49 @@
     def is_cut_off(self, now: float) -> bool:
         """Return whether no allocator can be reached.
 
-        One that was not asked for a while has had no reason to answer.
+        An allocator that has received no report for a while has no reason to
+        answer, so its silence doesn't count.
         """
         silent = now - self.answered_at > ALLOCATOR_TIMEOUT_S
-        asking = now - self.reported <= ALLOCATOR_TIMEOUT_S
-        return self.allocator is None or (silent and asking)
-
-    def tell(self, requests: Collection[RequestId], now: float) -> DemandNews:
-        """Note that a report tells of ``requests``, and return what it has to hold."""
-        known = self.told | self.settled
-        held = self.told - self.settled
-        lines = tuple(request for request in requests if request not in held)
-        self.told, self.settled = set(requests), set()
-        if now - self.told_whole >= WHOLE_S:
-            self.told_whole = now
-            return DemandNews(tuple(requests))
-        gone = tuple(sorted(known - self.told))
-        return DemandNews(lines, gone, changes=True)
-
-    def note_asked(self, now: float) -> None:
-        """A report is sent that asks for the requests in ``asked``."""
-        if not self.asked:
-            # What was asked for is settled, and nobody owes an answer.
+        is_reporting = now - self.reported_at <= ALLOCATOR_TIMEOUT_S
+        return self.allocator is None or (silent and is_reporting)
+
+    def record_listed(
+        self, requests: Collection[RequestId], now: float
+    ) -> DemandUpdate:
+        """Record that a report covers ``requests``, and return what it must list."""
+        known = self.listed | self.decided
+        held = self.listed - self.decided
+        added = tuple(request for request in requests if request not in held)
+        self.listed, self.decided = set(requests), set()
+        if now - self.full_report_at >= FULL_REPORT_INTERVAL_S:
+            self.full_report_at = now
+            return DemandUpdate(tuple(requests))
+        removed = tuple(sorted(known - self.listed))
+        return DemandUpdate(added, removed, incremental=True)
+
+    def record_requested(self, now: float) -> None:
+        """Record that a report is sent that requests grants for ``requested``."""
+        if not self.requested:
+            # All requests have been granted or shed, so no answer is expected.
             self.outstanding.clear()
-            self.unanswered = (0, 0.0)
+            self.first_unanswered = (0, 0.0)
             return
-        self.outstanding.append((self.number, now))
-        if not self.unanswered[0]:
-            self.unanswered = (self.number, now)
+        self.outstanding.append((self.last_report, now))
+        if not self.first_unanswered[0]:
+            self.first_unanswered = (self.last_report, now)
 
-    def behind_s(self, now: float) -> float:
-        """Return for how long the oldest unanswered report has been on its way."""
+    def oldest_report_age_s(self, now: float) -> float:
+        """Return the age of the oldest unanswered report, in seconds."""
         return now - self.outstanding[0][1] if self.outstanding else 0.0
 
-    def is_unanswered(self, now: float) -> bool:
-        """Return whether the allocator has missed to answer for a moment."""
-        number, asked_at = self.unanswered
-        return number > 0 and now - asked_at > UNANSWERED_S
+    def is_answer_overdue(self, now: float) -> bool:
+        """Return whether the allocator's answer to a report is overdue."""
+        number, reported_at = self.first_unanswered
+        return number > 0 and now - reported_at > ANSWER_TIMEOUT_S
 
-    def answers(self, request: RequestId) -> bool:
-        """Return whether the allocator has answered a report of ``request``."""
-        return request in self.asked and self.echoed >= self.asked[request]
+    def has_answered(self, request: RequestId) -> bool:
+        """Return whether the allocator has answered a report that lists ``request``."""
+        return (
+            request in self.requested and self.acked_report >= self.requested[request]
+        )
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -1,6 +1,6 @@
-"""The systems that talk to allocators: reports out, offers in.
+"""Systems that make reports for allocators and apply their offers.
 
-Pure: what is to be sent is returned, and the actor sends it.
+Pure: reports are returned, and the actor sends them.
 """
 
 import math
@@ -20,36 +20,40 @@
 from godwitladder.scheduler.pools import make_pools, pool_key
 from godwitladder.scheduler.rows import RequestRow, Tables, TargetRow
 from godwitladder.scheduler.systems import refuse_request, waiting_order
-from godwitladder.scheduler.throughput import take_stretches
+from godwitladder.scheduler.throughput import take_samples
 
 HEARTBEAT_S = 1.0
-"""Longest time between two reports on a pool that is in use."""
-
-FIRST_LINES = 24
-LAST_LINES = 8
-"""Requests of a host that an allocator sees one by one; the others are
-counted by tier. The first are more than one host can be granted in a round
-trip. The last are there for shedding: an allocator that saw only the first of
-each host would shed from those, while less important work is kept unseen."""
-
-GAP_S = 0.002
-GAP_PER_LINE_S = 0.001
-"""Shortest time between two reports. It grows with what the last one held, so
-that a long queue with many arrivals costs no more than a short one."""
-
-SLOW_S = 0.5
-"""An allocator that keeps up answers what asks for requests within a fifth of a
-second and a tick of its own. One that does not is sent less."""
-SLOW_SHARE = 0.5
-"""Of the time for which it is behind: about two reports of a host are on their way
-then, however slow the allocator or its link."""
+"""Maximum time between two reports on a pool that is in use."""
+
+MAX_FIRST_DEMANDS = 24
+MAX_LAST_DEMANDS = 8
+"""Number of requests that a report lists one by one; the others are counted by
+tier. The first are more than a host can be granted in one round trip. The last are
+listed for shedding: an allocator that knew only the first requests of each host
+would shed those while less important requests go on waiting."""
+
+MIN_REPORT_INTERVAL_S = 0.002
+REPORT_INTERVAL_PER_DEMAND_S = 0.001
+"""Minimum time between two reports: a constant part and a part for each request in
+the last report. It grows with the report, so that a long queue with many arrivals
+causes no more load than a short one."""
+
+SLOW_ANSWER_S = 0.5
+"""Age of an unanswered report at which the allocator counts as slow. An allocator
+that keeps up answers within a fifth of a second plus one tick of its own; a slow one
+is sent fewer reports."""
+SLOW_INTERVAL_RATIO = 0.5
+"""Interval between reports to a slow allocator, as a fraction of the age of the
+oldest unanswered report. It keeps about two reports of a host in transit, no matter
+how slow the allocator or its link is."""
 
 SPILL_AFTER_S = 1.0
-"""A request that waited so long is asked for in other zones in any case."""
+"""Waiting time after which a request is always reported to other zones as well."""
 
-CALLER_DIGITS = 12
-"""Of a body's digest in a demand line: two of 25,000 callers are mistaken for each
-other once in a million times, and lines cost bytes between zones."""
+CALLER_DIGEST_LENGTH = 12
+"""Number of digits of the body's digest in a demand. The probability that any two
+of 25,000 callers collide is one in a million, and each digit adds to the traffic
+between zones."""
 
 SHED_REASONS = {
     ShedReason.OVERLOAD: Reason.SHED,
@@ -65,7 +69,7 @@
 
 
 def update_targets(tables: Tables) -> None:
-    """Bring targets and pools in line with the configuration."""
+    """Update targets and pools to match the configuration."""
     rows = tables.targets
     for name, target in tables.config.targets.items():
         row = rows.setdefault(name, TargetRow(name, target))
@@ -87,10 +91,10 @@
 
 
 def choose_allocators(tables: Tables, now: float) -> None:
-    """Choose for each pool the host to report to.
+    """Choose the host to which the reports on each pool are sent.
 
-    In another zone that is any host there that this one has a link to; it
-    knows its zone's allocator and passes messages on.
+    For a pool of another zone this is any host of that zone with a link to this
+    host; it knows the allocator of its zone and forwards messages.
     """
     for name, access in tables.pools.items():
         hosts = (
@@ -101,9 +105,9 @@
 
 
 def due_reports(tables: Tables, now: float) -> list[tuple[HostId, PoolReport]]:
-    """Return the reports that are due, each with the host to send it to."""
+    """Return the reports that are due, each with its destination host."""
     spill_requests(tables, now)
-    mark_fresh(tables)
+    mark_unreported(tables)
     reports = []
     for access in tables.pools.values():
         if access.allocator is None or not is_due(tables, access, now):
@@ -113,69 +117,72 @@
 
 
 def next_due_s(tables: Tables, now: float) -> float | None:
-    """Return the seconds until a report that had to wait for its gap."""
+    """Return the seconds until the next delayed report is due; None without one."""
     waits = [
-        access.reported + gap_s(access, now) - now
+        access.reported_at + gap_s(access, now) - now
         for access in tables.pools.values()
         if access.dirty and access.allocator is not None
     ]
-    return max(GAP_S, min(waits)) if waits else None
+    return max(MIN_REPORT_INTERVAL_S, min(waits)) if waits else None
 
 
 def gap_s(access: PoolAccess, now: float) -> float:
-    """Return the shortest time until the next report on a pool.
+    """Return the minimum time between two reports on a pool, in seconds.
 
-    Reports that an allocator can't take in would wait on the way. It would grant
-    to calls that have left, which leaves more waiting and so more to report: an
-    overload that lasts when its cause is gone.
+    Reports that an allocator can't process in time would queue up on the way. It
+    would then grant requests that are already gone, which leaves more requests
+    waiting and more to report: the overload would outlast its cause.
     """
-    shortest_s = GAP_S + GAP_PER_LINE_S * len(access.asked)
-    behind_s = access.behind_s(now)
-    if behind_s <= SLOW_S:
+    shortest_s = MIN_REPORT_INTERVAL_S + REPORT_INTERVAL_PER_DEMAND_S * len(
+        access.requested
+    )
+    oldest_report_age_s = access.oldest_report_age_s(now)
+    if oldest_report_age_s <= SLOW_ANSWER_S:
         return shortest_s
-    return max(shortest_s, min(behind_s * SLOW_SHARE, HEARTBEAT_S))
+    return max(shortest_s, min(oldest_report_age_s * SLOW_INTERVAL_RATIO, HEARTBEAT_S))
 
 
 def is_due(tables: Tables, access: PoolAccess, now: float) -> bool:
-    """Return whether a report on a pool is to be sent now."""
-    waited = now - access.reported
+    """Return whether a report on a pool should be sent now."""
+    waited = now - access.reported_at
     if access.dirty:
         return waited >= gap_s(access, now)
-    return waited >= HEARTBEAT_S and in_use(tables, access)
+    return waited >= HEARTBEAT_S and needs_heartbeat(tables, access)
 
 
-def in_use(tables: Tables, access: PoolAccess) -> bool:
-    """Return whether this host is to keep in touch with a pool's allocator.
+def needs_heartbeat(tables: Tables, access: PoolAccess) -> bool:
+    """Return whether this host should send heartbeats to a pool's allocator.
 
-    Where nothing is allowed unasked, a host that neither runs nor wants anything
-    is silent: hundreds of idle hosts would take most of their allocator's time.
-    One that was not answered yet says again what its workspaces have spent.
+    If the allocator gives no standing allowances, a host without running and
+    waiting requests sends nothing: heartbeats of hundreds of idle hosts would take
+    most of the allocator's time. A host that has not been answered yet keeps
+    reporting what its workspaces have spent.
     """
     if access.is_local and (tables.standing or access.holder is None):
         return True
-    if access.asked or access.grants:
+    if access.requested or access.grants:
         return True
     return any(tables.targets[name].running for name in access.pool.targets)
 
 
-def mark_fresh(tables: Tables) -> None:
-    """Note which pools have requests that no report has told of yet."""
-    for request in tables.fresh:
+def mark_unreported(tables: Tables) -> None:
+    """Mark the pools with requests that no report has listed yet as dirty."""
+    for request in tables.unreported:
         row = tables.waiting.get(request)
         if row:
-            for access in asked_pools(tables, row):
+            for access in pools_for_request(tables, row):
                 access.dirty = True
-    tables.fresh.clear()
+    tables.unreported.clear()
 
 
-def asked_pools(tables: Tables, row: RequestRow) -> list[PoolAccess]:
-    """Return the pools whose allocators are asked for ``row``."""
+def pools_for_request(tables: Tables, row: RequestRow) -> list[PoolAccess]:
+    """Return the pools on which ``row`` is reported."""
     pools = tables.by_service.get(row.service, [])
     return pools if row.spilled else pools[:1]
 
 
 def spill_requests(tables: Tables, now: float) -> None:
-    """Ask other zones for requests that the first pool keeps waiting."""
+    """Report requests to other zones if they wait too long in their first pool."""
     late = {
         service: now if pools[0].is_cut_off(now) else now - SPILL_AFTER_S
         for service, pools in tables.by_service.items()
@@ -189,22 +196,24 @@
 
 
 def spill(tables: Tables, row: RequestRow) -> None:
-    """Ask other zones for ``row`` too."""
+    """Report ``row`` to other zones as well."""
     row.spilled = True
-    tables.fresh.append(row.request)
+    tables.unreported.append(row.request)
 
 
 def make_report(tables: Tables, access: PoolAccess, now: float) -> PoolReport:
-    """Return this host's next report on a pool."""
-    rows = demand(tables, access)
+    """Return the next report of this host on a pool."""
+    rows = select_demand(tables, access)
     number = access.next_number(now)
-    head, middle, tail = split_lines(rows)
+    head, middle, tail = split_listed(rows)
     shown = {row.request: row for row in head + tail}
-    access.asked = {request: access.asked.get(request, number) for request in shown}
-    access.note_asked(now)
-    news = access.tell(shown, now)
+    access.requested = {
+        request: access.requested.get(request, number) for request in shown
+    }
+    access.record_requested(now)
+    update = access.record_listed(shown, now)
     completions, access.completions = tuple(access.completions), []
-    rest = Counter(row.tier_rank for row in middle)
+    unlisted_counts = Counter(row.tier_rank for row in middle)
     targets = [tables.targets[name] for name in sorted(access.pool.targets)]
     unanswered = access.holder is None
     return PoolReport(
@@ -217,20 +226,22 @@
         acked_offer=access.last_offer,
         uses=report_uses(access, targets),
         workspaces=report_workspaces(tables, access),
-        demands=tuple(make_line(tables, shown[request], now) for request in news.lines),
-        unlisted=tuple(TierCount(*item) for item in sorted(rest.items())),
+        demands=tuple(
+            make_demand(tables, shown[request], now) for request in update.requests
+        ),
+        unlisted=tuple(TierCount(*item) for item in sorted(unlisted_counts.items())),
         avoided=tuple(row.name for row in targets if row.avoided_until > now),
         completions=completions,
-        throughput_samples=take_stretches(tables, access, now),
+        throughput_samples=take_samples(tables, access, now),
         spent=access.history.recent_spending(now) if unanswered else (),
         known_s=access.history.known_s(now) if unanswered else 0.0,
-        incremental=news.changes,
-        removed=news.gone,
+        incremental=update.incremental,
+        removed=update.removed,
     )
 
 
-def demand(tables: Tables, access: PoolAccess) -> list[RequestRow]:
-    """Return the requests to ask a pool's allocator for, in order."""
+def select_demand(tables: Tables, access: PoolAccess) -> list[RequestRow]:
+    """Return the requests to report to a pool's allocator, in dispatch order."""
     waiting, services, granted = (
         RequestState.WAITING,
         access.pool.services,
@@ -249,16 +260,16 @@
     ]
 
 
-def split_lines(
+def split_listed(
     rows: list[RequestRow],
 ) -> tuple[list[RequestRow], list[RequestRow], list[RequestRow]]:
-    """Return the first rows, those in the middle without a line, and the last."""
-    end = max(FIRST_LINES, len(rows) - LAST_LINES)
-    return rows[:FIRST_LINES], rows[FIRST_LINES:end], rows[end:]
+    """Split ``rows`` into the first, the unlisted middle, and the last ones."""
+    end = max(MAX_FIRST_DEMANDS, len(rows) - MAX_LAST_DEMANDS)
+    return rows[:MAX_FIRST_DEMANDS], rows[MAX_FIRST_DEMANDS:end], rows[end:]
 
 
 def report_uses(access: PoolAccess, targets: list[TargetRow]) -> tuple[TargetUse, ...]:
-    """Return what runs, and what grants are held for."""
+    """Return the use of each target by running requests and held grants."""
     uses = []
     for row in targets:
         held = [
@@ -271,14 +282,18 @@
             tokens = row.reserved_tokens + sum(held)
             uses.append(
                 TargetUse(
-                    row.name, running, tokens, row.unread_tokens, row.unread_requests
+                    row.name,
+                    running,
+                    tokens,
+                    row.pending_prefill_tokens,
+                    row.pending_prefill_requests,
                 )
             )
     return tuple(uses)
 
 
 def report_workspaces(tables: Tables, access: PoolAccess) -> tuple[WorkspaceUse, ...]:
-    """Return what workspaces with a quota run in a pool."""
+    """Return the running requests in a pool of each workspace with a quota."""
     workspaces = tables.config.workspaces
     counts = Counter(
         row.workspace
@@ -290,8 +305,8 @@
     return tuple(WorkspaceUse(*item) for item in sorted(counts.items()))
 
 
-def make_line(tables: Tables, row: RequestRow, now: float) -> RequestDemand:
-    """Return the line of one waiting request."""
+def make_demand(tables: Tables, row: RequestRow, now: float) -> RequestDemand:
+    """Return the entry of one waiting request in a report."""
     return RequestDemand(
         request=row.request,
         workspace=row.workspace,
@@ -314,19 +329,20 @@
 
 
 def caller_digest(row: RequestRow) -> BodyDigest:
-    """Return by what the caller of ``row`` is known again.
+    """Return the digest that identifies the caller of ``row`` in later requests.
 
-    Calls of plain services often have no body, or the same; prompts differ.
+    Empty for requests without a prompt: calls of plain services often have no
+    body or identical ones, whereas prompts differ.
     """
-    return BodyDigest(row.body[:CALLER_DIGITS] if row.prompt_tokens else "")
+    return BodyDigest(row.body[:CALLER_DIGEST_LENGTH] if row.prompt_tokens else "")
 
 
 def take_offer(tables: Tables, offer: GrantOffer, now: float) -> None:
-    """Take in an allocator's offer."""
+    """Apply an offer of an allocator."""
     access = tables.pools.get(offer.pool)
     if access is None or offer.incarnation != tables.incarnation:
         return
-    if not access.take(offer, now):
+    if not access.apply_offer(offer, now):
         return
     if access.is_local:
         tables.gate.set(offer.pool, offer.shares, now)
@@ -337,23 +353,23 @@
     for shed in offer.sheds:
         row = tables.waiting.get(shed.request)
         if row and row.state is RequestState.WAITING:
-            take_shed(tables, access, row, shed, now)
+            apply_shed(tables, access, row, shed, now)
 
 
-def take_shed(
+def apply_shed(
     tables: Tables, access: PoolAccess, row: RequestRow, shed: Shed, now: float
 ) -> None:
-    """Refuse a request that its allocator gives up, unless others may take it.
+    """Refuse a request that its allocator sheds, unless another zone may take it.
 
-    Only the first pool's allocator sheds. Without the round through the other
-    zones a request would be refused here while targets stand idle there, and
-    a tier be shed while a lower one is kept in the next zone.
+    Only the allocator of the first pool may shed. If the other zones were not
+    asked first, a request would be refused here while targets are idle there, and
+    a tier would be shed while a lower one is still served in another zone.
     """
     if access is not tables.by_service[row.service][0]:
         return
     if shed.reason is ShedReason.OVERLOAD and not shed.exact:
         row = least_important(tables, access, row)
-    if shed.reason is not ShedReason.QUOTA and has_open_pool(tables, row, now):
+    if shed.reason is not ShedReason.QUOTA and has_pending_pool(tables, row, now):
         if not row.spilled:
             spill(tables, row)
         return
@@ -364,10 +380,11 @@
 
 
 def least_important(tables: Tables, access: PoolAccess, row: RequestRow) -> RequestRow:
-    """Return ``row``, or a less important one that waits here for its pool.
+    """Return the least important request waiting for the pool; ``row`` if none is.
 
-    The order to shed was made from an older report, and from a part of the
-    queue; a lower tier that came since, or had no line, goes first.
+    The decision to shed ``row`` was based on an older report that listed only a
+    part of the queue. A request of a lower tier that arrived since, or was not
+    listed, is shed first.
     """
     rows = [
         other
@@ -379,12 +396,12 @@
     return max(rows, key=lambda other: (other.tier_rank, other.deadline), default=row)
 
 
-def has_open_pool(tables: Tables, row: RequestRow, now: float) -> bool:
-    """Return whether an allocator of another zone has yet to answer ``row``."""
+def has_pending_pool(tables: Tables, row: RequestRow, now: float) -> bool:
+    """Return whether an allocator of another zone may still answer ``row``."""
     for pool in tables.by_service[row.service][1:]:
-        if pool.is_cut_off(now) or pool.answers(row.request):
+        if pool.is_cut_off(now) or pool.has_answered(row.request):
             continue
-        full = len(pool.asked) >= FIRST_LINES + LAST_LINES
-        if row.request in pool.asked or not full:
+        full = len(pool.requested) >= MAX_FIRST_DEMANDS + MAX_LAST_DEMANDS
+        if row.request in pool.requested or not full:
             return True
     return False
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -1,7 +1,7 @@
-"""Systems that run over a host's tables on each tick.
+"""Systems that run on the tables of a host at each tick.
 
-Each takes the tables and the time and changes rows; what is to be told to
-callers goes into the rows' own queues, so that the systems touch no network.
+Each takes the tables and the time and modifies rows. Decisions for callers are put
+into the queues of the rows, so that the systems perform no network I/O.
 """
 
 from bisect import insort
@@ -23,37 +23,38 @@
     Tables,
     TargetRow,
 )
-from godwitladder.scheduler.silence import note_silence
+from godwitladder.scheduler.silence import log_silence
 
 log = component_logger("scheduler")
 
-AVOID_S = 1.0
-KEPT_COMPLETIONS = 64
-SPARE_ROWS = 32
-ROOM_RETRY_S = 1.0
+TARGET_AVOIDANCE_S = 1.0
+MAX_COMPLETIONS = 64
+MAX_STALE_ROWS = 32
+NO_THREAD_RETRY_S = 1.0
 EXPIRED_RETRY_S = 1.0
-GRANT_WAY_S = 0.25
-GRANT_WAY_SHARE = 0.1
-"""For so long, and no more than this part of the rest of its time, a call waits for
-a grant that may have been given in the last moment."""
+MAX_GRANT_TRANSIT_S = 0.25
+MAX_GRANT_TRANSIT_RATIO = 0.1
+"""Time after its latest start for which a request still waits for a grant that may
+be in transit: the constant, but at most this fraction of the time that remains until
+its deadline."""
 OVER_QUOTA = "The workspace has had its tokens for now."
-NO_ROOM = "This host has no room for more requests that wait."
+NO_THREAD = "This host has no room for more requests that wait."
 
 
 def run_systems(tables: Tables, now: float) -> None:
-    """Run every system once, in order."""
+    """Run all systems once, in order."""
     expire_requests(tables, now)
-    note_silence(tables, now)
-    lapse_grants(tables, now)
+    log_silence(tables, now)
+    expire_grants(tables, now)
     use_grants(tables, now)
-    place_requests(tables, now)
+    dispatch_without_grants(tables, now)
 
 
 def expire_requests(tables: Tables, now: float) -> None:
-    """Refuse what can no longer be answered in time.
+    """Refuse requests that can no longer be answered in time.
 
-    The allocator does so too, but one that is far behind would leave callers
-    without an answer until they have no time left to turn elsewhere.
+    The allocator refuses them too, but if it is far behind, callers would get no
+    answer until it is too late for them to try elsewhere.
     """
     for row in list(tables.waiting.values()):
         if is_too_late(row, now) and row.state is RequestState.WAITING:
@@ -63,24 +64,27 @@
 
 
 def is_too_late(row: RequestRow, now: float) -> bool:
-    """Return whether ``row`` is of no use any more, and no grant on its way."""
+    """Return whether it is too late to start ``row`` and no grant is in transit."""
     if row.start_by >= row.deadline:
         return now >= row.deadline
-    rest_s = row.deadline - row.start_by
-    return now >= row.start_by + min(GRANT_WAY_S, rest_s * GRANT_WAY_SHARE)
+    remaining_s = row.deadline - row.start_by
+    return now >= row.start_by + min(
+        MAX_GRANT_TRANSIT_S, remaining_s * MAX_GRANT_TRANSIT_RATIO
+    )
 
 
-def lapse_grants(tables: Tables, now: float) -> None:
-    """Drop grants and allowances that may no longer be used."""
+def expire_grants(tables: Tables, now: float) -> None:
+    """Drop expired grants and allowances."""
     for access in tables.pools.values():
-        access.lapse(now)
+        access.expire(now)
 
 
 def use_grants(tables: Tables, now: float) -> None:
-    """Dispatch the requests that grants were given for.
+    """Dispatch the requests that have been granted.
 
-    A grant whose request is gone is dropped, and the report that follows
-    gives it back; one whose request is about to go is kept until it lapses.
+    The grant of a request that no longer waits is dropped, and the next report
+    returns it. The grant of a request whose key is still being claimed is kept until
+    it expires.
     """
     for access in tables.pools.values():
         for request, held in list(access.grants.items()):
@@ -90,16 +94,16 @@
             del access.grants[request]
             access.dirty = True
             target = tables.targets.get(held.grant.target)
-            used = row and target and usable(tables, target, row, now)
+            used = row and target and is_usable(tables, target, row, now)
             access.fates[GrantFate.USED if used else GrantFate.GIVEN_BACK] += 1
             if used:
                 dispatch_request(tables, row, target, now)
 
 
-def place_requests(tables: Tables, now: float) -> None:
-    """Dispatch waiting requests within allowances, the lowest rank first."""
+def dispatch_without_grants(tables: Tables, now: float) -> None:
+    """Dispatch waiting requests that need no grant, in dispatch order."""
     services = {row.service for row in tables.waiting.values()}
-    open_services = {name for name in services if has_room(tables, name, now)}
+    open_services = {name for name in services if has_capacity(tables, name, now)}
     if not open_services:
         return
     for row in waiting_order(tables):
@@ -111,55 +115,55 @@
         if target:
             dispatch_request(tables, row, target, now)
             open_services = {
-                name for name in open_services if has_room(tables, name, now)
+                name for name in open_services if has_capacity(tables, name, now)
             }
 
 
 def waiting_order(tables: Tables) -> list[RequestRow]:
-    """Return the waiting requests, the most urgent first.
+    """Return the waiting requests in dispatch order.
 
-    The list is kept in order as requests come, and may still hold some that
-    have gone: what reads it looks at their state.
+    Requests are inserted in order as they arrive. The list may still contain some
+    that no longer wait, so readers have to check the state.
     """
-    if len(tables.queue) > 2 * len(tables.waiting) + SPARE_ROWS:
+    if len(tables.queue) > 2 * len(tables.waiting) + MAX_STALE_ROWS:
         for row in tables.queue:
             row.queued = row.request in tables.waiting
         tables.queue = [row for row in tables.queue if row.queued]
     return tables.queue
 
 
-def has_room(tables: Tables, service: str, now: float) -> bool:
-    """Return whether this host may dispatch any request of ``service`` now."""
+def has_capacity(tables: Tables, service: str, now: float) -> bool:
+    """Return whether a request of ``service`` may be dispatched without a grant."""
     return any(
-        may_add(tables, access, tables.targets[name], 0, now)
+        may_dispatch(tables, access, tables.targets[name], 0, now)
         for access in tables.by_service.get(service, ())
-        if may_use_unasked(tables, access, now)
+        if may_use_without_grant(tables, access, now)
         for name in access.pool.targets
     )
 
 
-def may_use_unasked(tables: Tables, access: PoolAccess, now: float) -> bool:
-    """Return whether this host may use any target of a pool without a grant."""
+def may_use_without_grant(tables: Tables, access: PoolAccess, now: float) -> bool:
+    """Return whether this host may use the targets of a pool without a grant."""
     if access.allowances or access.is_cut_off(now):
         return True
-    return is_left_alone(tables, access, now)
+    return uses_fallback(tables, access, now)
 
 
 def choose_target(tables: Tables, row: RequestRow, now: float) -> TargetRow | None:
-    """Return the least used target that this host may use unasked, if any.
+    """Return the least used target that ``row`` may use without a grant, if any.
 
-    A workspace with a quota always asks: only the allocator sees how much of
-    it runs on other hosts.
+    Requests of a workspace with a quota always need a grant: only the allocator
+    knows how many of them run on other hosts.
     """
     workspace = tables.config.workspaces.get(row.workspace)
-    bounded = workspace is not None and (workspace.quota or workspace.token_rate)
+    has_quota = workspace is not None and (workspace.quota or workspace.token_rate)
     candidates = [
         tables.targets[name]
         for access in tables.by_service.get(row.service, ())
-        if not bounded or access.is_cut_off(now) or is_left_alone(tables, access, now)
+        if not has_quota or access.is_cut_off(now) or uses_fallback(tables, access, now)
         for name in access.pool.targets
-        if may_add(tables, access, tables.targets[name], row.reserved_tokens, now)
-        and usable(tables, tables.targets[name], row, now)
+        if may_dispatch(tables, access, tables.targets[name], row.reserved_tokens, now)
+        and is_usable(tables, tables.targets[name], row, now)
     ]
     return min(
         candidates,
@@ -169,31 +173,31 @@
 
 
 def within_quota(tables: Tables, row: RequestRow, now: float) -> bool:
-    """Count ``row`` in its workspace's tokens, or refuse it.
+    """Charge ``row`` to the token quota of its workspace, or refuse it.
 
-    Only a host without an allocator gets here with a workspace that has a
-    bound. It has a book of its own, with its part of the whole: without one,
-    each host that is cut off would let a workspace have all it asks for.
+    A workspace with a quota gets here only while no allocator answers the host. The
+    host then enforces its own share of the quota; otherwise, each host that is cut
+    off would give a workspace everything it requests.
     """
-    book = tables.quotas
-    book.share = 1.0 / tables.seen.count_recent(now)
-    book.discard_stale_bucket(
+    quotas = tables.quotas
+    quotas.share = 1.0 / tables.seen.count_recent(now)
+    quotas.discard_stale_bucket(
         row.workspace, tables.by_service[row.service][0].answered_at
     )
-    wait_s = book.wait_s(row.workspace, row.charge, now)
+    wait_s = quotas.wait_s(row.workspace, row.charge, now)
     if wait_s > 0:
         refuse_request(tables, row, refuse(Reason.QUOTA, OVER_QUOTA, wait_s))
         return False
-    book.take(row.workspace, row.charge, now)
+    quotas.take(row.workspace, row.charge, now)
     return True
 
 
-def usable(tables: Tables, target: TargetRow, row: RequestRow, now: float) -> bool:
-    """Return whether ``target`` may be sent ``row`` by any grant at all.
+def is_usable(tables: Tables, target: TargetRow, row: RequestRow, now: float) -> bool:
+    """Return whether ``target`` may receive ``row``, with or without a grant.
 
-    The allocator gives nothing on a target that is leaving, but grants that
-    it gave before it had the news are still out: without this second check
-    they would bring the target new work until they lapse or are renewed.
+    The allocator grants nothing on a leaving target, but grants that it gave
+    before it knew are still outstanding. Without this second check they would send
+    new work to the target until they expire or are renewed.
     """
     return (
         row.service in target.target.services
@@ -203,44 +207,46 @@
     )
 
 
-def may_add(
+def may_dispatch(
     tables: Tables, access: PoolAccess, target: TargetRow, tokens: int, now: float
 ) -> bool:
-    """Return whether an allowance or the fixed share leaves room for one more."""
+    """Return whether an allowance or the fixed share permits one more request."""
     allowance = access.allowances.get(target.name)
     if allowance and target.running < allowance.running:
         held = target.reserved_tokens + tokens
         return held <= allowance.tokens or not target.target.memory_tokens
-    if not access.is_cut_off(now) and not may_help_itself(tables, access, target, now):
+    if not access.is_cut_off(now) and not may_fall_back(tables, access, target, now):
         return False
-    hosts = sharing(tables, access)
+    hosts = fixed_share_hosts(tables, access)
     if not hosts:
         return False
-    return target.running < fixed_share(plain_view(target), tables.host, hosts)
+    return target.running < fixed_share(
+        make_configured_view(target), tables.host, hosts
+    )
 
 
-def may_help_itself(
+def may_fall_back(
     tables: Tables, access: PoolAccess, target: TargetRow, now: float
 ) -> bool:
     """Return whether a host may use ``target`` while its allocator is silent.
 
-    Only targets of its own availability zone: of the others it can't tell whether
-    they are beyond the same cut.
+    Only targets in the host's own availability zone qualify: the others may be on
+    the other side of the same network partition.
     """
-    near = target.target.place == tables.availability_zone
-    return near and is_left_alone(tables, access, now)
+    is_near = target.target.place == tables.availability_zone
+    return is_near and uses_fallback(tables, access, now)
 
 
-def is_left_alone(tables: Tables, access: PoolAccess, now: float) -> bool:
-    """Return whether the allocator of this host's zone is silent for a moment."""
-    return tables.early_fallback and access.is_local and access.is_unanswered(now)
+def uses_fallback(tables: Tables, access: PoolAccess, now: float) -> bool:
+    """Return whether to fall back to fixed shares while the allocator is silent."""
+    return tables.early_fallback and access.is_local and access.is_answer_overdue(now)
 
 
-def sharing(tables: Tables, access: PoolAccess) -> tuple[HostId, ...]:
-    """Return the hosts among which a pool without an allocator is shared.
+def fixed_share_hosts(tables: Tables, access: PoolAccess) -> tuple[HostId, ...]:
+    """Return the hosts that share a pool without an allocator.
 
-    A pool of another zone is used unasked only where this zone has none of
-    its own and no host of the other zone is in sight.
+    A pool of another zone is used without grants only if this zone has no pool for
+    its services and there is no link to a host of the other zone.
     """
     if access.is_local:
         return tables.hosts or (tables.host,)
@@ -252,41 +258,42 @@
     return tuple({tables.host, *tables.hosts, *others})
 
 
-def plain_view(target: TargetRow) -> TargetView:
-    """Return a target as its configuration states it."""
-    stated = target.target
+def make_configured_view(target: TargetRow) -> TargetView:
+    """Return a view of a target with its configured values."""
+    configured = target.target
     return TargetView(
         name=target.name,
-        services=frozenset(stated.services),
-        slots=stated.slots,
-        memory_tokens=stated.memory_tokens,
-        prefill_tps=stated.prefill_tps,
-        decode_tps=stated.decode_tps,
-        limit=stated.slots,
+        services=frozenset(configured.services),
+        slots=configured.slots,
+        memory_tokens=configured.memory_tokens,
+        prefill_tps=configured.prefill_tps,
+        decode_tps=configured.decode_tps,
+        limit=configured.slots,
     )
 
 
 def dispatch_request(
     tables: Tables, row: RequestRow, target: TargetRow, now: float
 ) -> None:
-    """Give leave to write ``row`` to ``target``: the one place that does.
+    """Permit the caller's thread to send ``row`` to ``target``.
 
-    The state changes before anything is written, so that whatever happens
-    next, the request can't be dispatched a second time.
+    This is the only function that does so. The state changes before anything is
+    sent, so that the request can't be dispatched a second time, whatever happens
+    next.
     """
     row.change(RequestState.DISPATCHED)
     row.target = target.name
     row.dispatched = now
     target.running += 1
     target.reserved_tokens += row.reserved_tokens
-    target.unread_tokens += row.prompt_tokens
-    target.unread_requests += 1
+    target.pending_prefill_tokens += row.prompt_tokens
+    target.pending_prefill_requests += 1
     row.held_tokens = row.reserved_tokens
     row.first_token = 0.0
     del tables.waiting[row.request]
     tables.running[row.request] = row
-    note_answered(tables, row)
-    note_use(tables, target)
+    withdraw_demand(tables, row)
+    mark_use_changed(tables, target)
     access = tables.pool_of.get(target.name)
     if access and row.charge:
         access.history.note(row.workspace, row.charge, now)
@@ -302,101 +309,114 @@
     repeat: bool = False,
     avoid: bool = True,
 ) -> None:
-    """Let a request wait again that its target did not run, or may run twice.
+    """Queue a dispatched request again.
+
+    The target must not have run the request, or the request must be idempotent.
 
     Parameters
     ----------
     repeat : bool
         Whether the target may have run it.
     avoid : bool
-        Whether this host leaves the target alone for a moment.
+        Whether this host should avoid the target for a while.
+
+    Raises
+    ------
+    IllegalTransition
+        If the target may have run the request and it is not idempotent.
     """
     if repeat and not row.idempotent:
         raise IllegalTransition(f"{row.request} may have run and is not idempotent")
     target = tables.targets.get(row.target)
     _leave_target(tables, row)
     if target and avoid:
-        leave_alone(target, now)
+        avoid_target(target, now)
     row.change(RequestState.WAITING)
     add_request(tables, row)
 
 
-def leave_alone(target: TargetRow, now: float) -> None:
-    """Send nothing to a target for a moment: it took no request."""
-    target.avoided_until = now + AVOID_S
-    if target.answers:
-        target.answers = False
-        log.info("A target takes no requests", extra=names_of(target))
+def avoid_target(target: TargetRow, now: float) -> None:
+    """Avoid a target for a while because it accepted no request."""
+    target.avoided_until = now + TARGET_AVOIDANCE_S
+    if target.accepts_requests:
+        target.accepts_requests = False
+        log.info("A target accepts no requests", extra=target_log_fields(target))
 
 
-def note_answer(target: TargetRow) -> None:
-    """Take in that a target answers, again if it took nothing before."""
-    if not target.answers:
-        target.answers = True
-        log.info("A target answers again", extra=names_of(target))
+def record_acceptance(target: TargetRow) -> None:
+    """Record that a target accepts requests, and log it if it did not before."""
+    if not target.accepts_requests:
+        target.accepts_requests = True
+        log.info("A target answers again", extra=target_log_fields(target))
 
 
-def names_of(target: TargetRow) -> dict[str, str]:
-    """Return what a log line says of which target it is about."""
+def target_log_fields(target: TargetRow) -> dict[str, str]:
+    """Return the log fields that identify a target."""
     return {"target": target.name, "address": target.target.address}
 
 
 def add_request(tables: Tables, row: RequestRow) -> None:
-    """Let a request wait; if it still does after this tick, it is reported."""
+    """Queue a request; it is reported if it is not dispatched in this tick."""
     tables.waiting[row.request] = row
-    tables.fresh.append(row.request)
+    tables.unreported.append(row.request)
     if not row.queued:
         row.queued = True
         insort(tables.queue, row, key=attrgetter("order"))
 
 
 def record_first_output(tables: Tables, row: RequestRow) -> None:
-    """Take in that a target has read a prompt, which the allocator waits for."""
+    """Record that a target has finished a prefill, and report it to the allocator."""
     target = tables.targets.get(row.target)
     if target and not row.first_token:
-        target.unread_tokens -= row.prompt_tokens
-        target.unread_requests -= 1
+        target.pending_prefill_tokens -= row.prompt_tokens
+        target.pending_prefill_requests -= 1
         access = tables.pool_of.get(row.target)
         if access and row.prompt_tokens:
             access.dirty = True
 
 
 def grow_request(tables: Tables, row: RequestRow, tokens: int) -> None:
-    """Take in the output so far, and hold more memory if it needs more."""
+    """Record the output so far, and reserve more tokens if it needs them."""
     row.produced_tokens = tokens
     expected = row.predicted_tokens or row.declared_tokens
     row.predicted_tokens = grow_reservation(expected, tokens, row.declared_tokens)
     if row.predicted_tokens > expected:
-        learn_length(tables, row, cut=True)
+        observe_length(tables, row, incomplete=True)
     target = tables.targets.get(row.target)
     if target:
         target.reserved_tokens += row.reserved_tokens - row.held_tokens
     row.held_tokens = row.reserved_tokens
 
 
-def learn_length(tables: Tables, row: RequestRow, cut: bool) -> None:
-    """Learn from the output of a request; ``cut`` if there is more to it."""
+def observe_length(tables: Tables, row: RequestRow, incomplete: bool) -> None:
+    """Update the output predictor from a request.
+
+    Parameters
+    ----------
+    incomplete : bool
+        Whether the output is incomplete, so that its length is a lower bound.
+    """
     tables.predictor.observe(
-        row.workspace, row.service, row.declared_tokens, row.produced_tokens, cut
+        row.workspace, row.service, row.declared_tokens, row.produced_tokens, incomplete
     )
 
 
 def finish_request(
     tables: Tables, row: RequestRow, state: RequestState, now: float
 ) -> None:
-    """End a dispatched request, and learn from one that was completed."""
+    """End a dispatched request, and record its completion for the next report."""
     _leave_target(tables, row)
     row.change(state)
     completed = state is RequestState.COMPLETED
     target = tables.targets.get(row.target)
     if completed and target:
-        note_answer(target)
+        record_acceptance(target)
     if row.declared_tokens and row.produced_tokens:
-        learn_length(tables, row, cut=not completed)
+        observe_length(tables, row, incomplete=not completed)
     access = tables.pool_of.get(row.target)
     if not completed or access is None:
         return
-    if len(access.completions) < KEPT_COMPLETIONS:
+    if len(access.completions) < MAX_COMPLETIONS:
         access.completions.append(
             Completion(
                 target=row.target,
@@ -411,35 +431,38 @@
 
 
 def refuse_request(tables: Tables, row: RequestRow, refusal: Refusal) -> None:
-    """End a waiting request with ``refusal``, at once."""
+    """End a waiting request with ``refusal``."""
     del tables.waiting[row.request]
     row.change(refusal.outcome)
-    note_answered(tables, row)
+    withdraw_demand(tables, row)
     row.decisions.put(refusal)
 
 
 def refuse_least_important(tables: Tables) -> None:
-    """Refuse the last of the least important requests that wait.
+    """Refuse the most recent of the least important waiting requests.
 
-    A request that waits holds one of its host's threads. Were the next one left
-    without any, it would wait in the server's queue before its tier is known,
-    behind all that matters less.
+    Each waiting request occupies a thread of the host. If no thread were free, the
+    next request would wait in the server's queue, where its tier is not known yet,
+    behind less important requests.
     """
     rows = [row for row in tables.waiting.values() if row.state is RequestState.WAITING]
     if rows:
         last = max(rows, key=lambda row: (row.tier_rank, row.arrived))
-        refuse_request(tables, last, refuse(Reason.SHED, NO_ROOM, ROOM_RETRY_S))
+        refuse_request(tables, last, refuse(Reason.SHED, NO_THREAD, NO_THREAD_RETRY_S))
 
 
-def note_answered(tables: Tables, row: RequestRow) -> None:
-    """Let the allocators that were asked for ``row`` know that it is answered."""
+def withdraw_demand(tables: Tables, row: RequestRow) -> None:
+    """Tell the allocators that list ``row`` that it no longer waits."""
     for access in tables.by_service.get(row.service, ()):
-        if access.asked.pop(row.request, None) is not None:
+        if access.requested.pop(row.request, None) is not None:
             access.dirty = True
 
 
-def note_use(tables: Tables, target: TargetRow) -> None:
-    """Report at once where no allowance is left over; else a heartbeat will do."""
+def mark_use_changed(tables: Tables, target: TargetRow) -> None:
+    """Report a change of use immediately if the allowance is used up.
+
+    Otherwise the next heartbeat is early enough.
+    """
     access = tables.pool_of.get(target.name)
     if access is None:
         return
@@ -455,6 +478,6 @@
         target.running -= 1
         target.reserved_tokens -= row.held_tokens
         if not row.first_token:
-            target.unread_tokens -= row.prompt_tokens
-            target.unread_requests -= 1
-        note_use(tables, target)
+            target.pending_prefill_tokens -= row.prompt_tokens
+            target.pending_prefill_requests -= 1
+        mark_use_changed(tables, target)
--- a/tests/scheduler/test_changes.py
+++ b/tests/scheduler/test_changes.py
@@ -1,10 +1,10 @@
-"""Reports that tell an allocator what has changed of a host's demand."""
+"""Incremental reports of a host's demand to its allocator."""
 
 from hypothesis import given
 from hypothesis import strategies as st
 
 from godwitladder.membership.codec import encode
-from godwitladder.scheduler.access import WHOLE_S
+from godwitladder.scheduler.access import FULL_REPORT_INTERVAL_S
 from godwitladder.scheduler.reports import HEARTBEAT_S, due_reports, take_offer
 from godwitladder.scheduler.systems import run_systems
 from tests.scheduler.harness import START, make_request, submit
@@ -15,8 +15,8 @@
 EVENTS = ("submit", "report", "lose", "decide", "lose offer", "wait")
 
 
-class Pair:
-    """A host and its allocator, with a way between them that may lose messages."""
+class HostAndAllocator:
+    """A host and its allocator, connected by a link that may lose messages."""
 
     def __init__(self) -> None:
         self.tables, self.role = make_host_and_role()
@@ -26,7 +26,7 @@
 
     def submit(self) -> None:
         self.count += 1
-        # Each third one leaves soon.
+        # Every third request expires soon.
         timeout_s = 0.2 if self.count % 3 == 0 else 60.0
         row = make_request(f"r{self.count}", self.now, timeout_s=timeout_s)
         submit(self.tables, row)
@@ -44,11 +44,11 @@
             if not lose:
                 take_offer(self.tables, offer, self.now)
 
-    def lines(self) -> set:
+    def listed_requests(self) -> set:
         (account,) = self.role.current(self.now)
         return set(account.demands)
 
-    def play(self, event: str) -> None:
+    def apply_event(self, event: str) -> None:
         self.now += ROUND_S
         if event == "submit":
             self.submit()
@@ -59,8 +59,8 @@
 
 
 def test_a_report_among_many_waiting_requests_is_small():
-    """Guards against reports that grow with all that waits, in an overload."""
-    pair = Pair()
+    """Guards against reports that grow with the queue during an overload."""
+    pair = HostAndAllocator()
     for _ in range(30):
         pair.submit()
     (whole,) = pair.report()
@@ -70,12 +70,16 @@
     (change,) = pair.report()
     assert [line.request for line in change.demands] == ["r31"]
     assert len(encode(change)) <= SMALL_BYTES
-    assert len(pair.lines()) == 31
+    assert len(pair.listed_requests()) == 31
 
 
-def test_a_request_that_was_granted_and_waits_again_is_told_anew():
-    """Guards against one that its allocator has forgotten and its host has not."""
-    pair = Pair()
+def test_a_request_that_was_granted_and_waits_again_is_listed_again():
+    """Guards against a waiting request that the allocator no longer lists.
+
+    The allocator removes a request when it grants it. The host avoids the target, so
+    it returns the grant and has to report the request again.
+    """
+    pair = HostAndAllocator()
     pair.report(), pair.decide()
     pair.now += ROUND_S
     pair.report()
@@ -89,17 +93,17 @@
     pair.now += ROUND_S
     (report,) = pair.report()
     assert report.incremental
-    assert pair.lines() == {"r1"}
+    assert pair.listed_requests() == {"r1"}
 
 
 @given(st.lists(st.sampled_from(EVENTS), max_size=60))
 def test_an_allocator_knows_what_waits_after_any_losses(events):
-    """Guards against requests that wait unknown, and lines of those that have left."""
-    pair = Pair()
+    """Guards against unlisted waiting requests and listed ones that no longer wait."""
+    pair = HostAndAllocator()
     pair.report()
     for event in events:
-        pair.play(event)
-    pair.now += max(WHOLE_S, HEARTBEAT_S) + ROUND_S
+        pair.apply_event(event)
+    pair.now += max(FULL_REPORT_INTERVAL_S, HEARTBEAT_S) + ROUND_S
     run_systems(pair.tables, pair.now)
     pair.submit()
     pair.report()
@@ -108,4 +112,4 @@
     granted = {
         name for access in pair.tables.pools.values() for name in access.grants
     } | set(account.grants)
-    assert pair.lines() == waiting - granted
+    assert pair.listed_requests() == waiting - granted
