--- a/godwitladder/serving/__init__.py
+++ b/godwitladder/serving/__init__.py
@@ -1,1 +1,1 @@
-"""What callers and operators reach over HTTP."""
+"""HTTP interfaces for callers and operators."""
--- a/godwitladder/serving/auth.py
+++ b/godwitladder/serving/auth.py
@@ -1,4 +1,4 @@
-"""Bearer keys of callers and operators, held only as digests."""
+"""Authentication by bearer keys, of which hosts only store digests."""
 
 import hashlib
 import hmac
@@ -8,7 +8,7 @@
 
 
 def bearer_digest(environ: Mapping) -> str:
-    """Return the SHA-256 of the bearer key in a WSGI request, or ``""``."""
+    """Return the digest of a WSGI request's bearer key, or ``""`` if it has none."""
     header = environ.get("HTTP_AUTHORIZATION", "")
     if not header.startswith(BEARER):
         return ""
@@ -16,12 +16,15 @@
 
 
 def key_digest(key: str) -> str:
-    """Return the SHA-256 of ``key`` in lower-case hex."""
+    """Return the SHA-256 digest of ``key`` in lower-case hex."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def matching_digest(digest: str, known: Iterable[str]) -> str | None:
-    """Return the known digest equal to ``digest``, in constant time for each."""
+    """Return the known digest equal to ``digest``, or None.
+
+    Each comparison takes constant time.
+    """
     found = None
     for candidate in known:
         if hmac.compare_digest(candidate, digest):
--- a/godwitladder/serving/callers.py
+++ b/godwitladder/serving/callers.py
@@ -1,4 +1,4 @@
-"""The WSGI application that callers reach."""
+"""WSGI application for callers."""
 
 from collections.abc import Iterable, Mapping
 
@@ -36,23 +36,25 @@
 
 
 class CallerApp(CountedApp):
-    """Serves callers, one thread for each request in progress.
+    """Serves callers' requests, each on a thread of its own.
 
     Parameters
     ----------
     settings : Settings
-        Bounds and the secret that signs request ids.
+        The host's settings, with its limits and the secret that signs request
+        ids.
     scheduler : pykka.ActorRef
-        The actor that decides.
+        Actor that decides when and where each request runs.
     clock : Clock
         The host's clock.
     metrics : Metrics
-        Where to count.
+        Metrics that count requests and refusals.
 
     Attributes
     ----------
-    keyed : KeyedCalls
-        Serves calls with keys; set once the links to other hosts are there.
+    keyed : KeyedCalls or None
+        Handler of calls with idempotency keys. None until the connections to
+        other hosts have been set up.
     """
 
     def __init__(
@@ -73,24 +75,24 @@
         self.keyed: KeyedCalls | None = None
 
     def is_crowded(self) -> bool:
-        """Return whether the server is down to its spare threads."""
+        """Return whether only the threads reserved for refusals are left."""
         return self.open_calls > self.settings.limits.threads
 
     def answer(self, environ: Mapping, start_response) -> Iterable[bytes]:
-        """Answer one request, or say why not."""
+        """Serve one request; respond with a problem document if it is refused."""
         try:
             return self._route(environ, start_response)
         except CallRefused as error:
             self.metrics.count_refused_call(error.refusal.reason)
             return answer_problem(start_response, error.refusal, error.request)
         except Exception:
-            log.exception("A request failed")
+            log.exception("Unhandled exception while serving a request")
             return answer_problem(start_response, internal_fault())
 
     def _route(self, environ: Mapping, start_response) -> Iterable[bytes]:
         method, path = environ["REQUEST_METHOD"], environ["PATH_INFO"]
-        # One snapshot for the whole request: a ticket that comes into force
-        # meanwhile may remove what was looked up a line before.
+        # Use one configuration for the whole request: a ticket that comes into
+        # force meanwhile may remove an object that was already looked up.
         config = self.config
         limits = self.settings.limits
         caller = authenticate(environ, config)
@@ -116,8 +118,8 @@
     def _serve(
         self, call: Call, body: bytes, caller: Caller, environ: Mapping, start_response
     ) -> Iterable[bytes]:
-        # Calls without a key pass there too: a request that crashes targets is
-        # known by its body.
+        # Calls without an idempotency key go through `keyed` as well, because
+        # quarantine recognizes requests that crash targets by their body.
         if self.keyed is None and call.row.key is None:
             return self.dispatcher.serve(call, environ, start_response)
 
@@ -138,15 +140,15 @@
 
 
 def authenticate(environ: Mapping, config: ConfigState) -> Caller:
-    """Return who calls.
+    """Return the caller that the bearer key belongs to.
 
-    The key is looked up by its digest, and a digest tells nothing about how
-    near a guess is; the comparison itself takes constant time.
+    The key is looked up by its digest, so lookup time reveals nothing about how
+    close a guessed key is. The comparison itself takes constant time.
 
     Raises
     ------
     CallRefused
-        No workspace has the bearer key.
+        The bearer key is missing or belongs to no workspace.
     """
     digest = bearer_digest(environ)
     known = matching_digest(digest, [key for key in (digest,) if key in config.keys])
--- a/godwitladder/serving/calls.py
+++ b/godwitladder/serving/calls.py
@@ -1,4 +1,4 @@
-"""Reading a caller's HTTP request into a row of the scheduler's table."""
+"""Parsing of callers' HTTP requests into rows of the scheduler's table."""
 
 import hashlib
 import json
@@ -29,14 +29,15 @@
 
 
 class CallRefused(GodwitladderError):
-    """The request was turned away before it reached the scheduler.
+    """The request was refused before it reached the scheduler.
 
     Parameters
     ----------
     refusal : Refusal
-        Why.
+        Outcome and reason that the caller is sent.
     request : str
-        Signed id of an earlier request with its key; empty for none.
+        Signed id of an earlier request with the same idempotency key; empty
+        for none.
     """
 
     def __init__(self, refusal: Refusal, request: str = "") -> None:
@@ -47,12 +48,13 @@
 
 @dataclass(frozen=True)
 class Caller:
-    """Who calls: the workspace that the bearer key belongs to.
+    """The workspace that a request's bearer key belongs to.
 
     Attributes
     ----------
     rank, lowest_rank : int
-        Rank of the workspace's own tier, and of the least important one.
+        Rank of the workspace's own tier and of the least important tier. A
+        higher number is a less important tier.
     """
 
     name: WorkspaceName
@@ -63,16 +65,17 @@
 
 @dataclass(frozen=True)
 class Call:
-    """One caller's request: its row and what is passed to the target.
+    """A caller's request: its row and the request sent to the target.
 
     Attributes
     ----------
     streamed : bool
-        Whether the caller wants the answer as server-sent events.
+        Whether the caller asked for the response as server-sent events.
     on_end : callable
-        Called once with the final state, after that state can't change.
+        Called once with the final state, when it can no longer change.
     before_dispatch : callable
-        Called before the first byte is written; returns why it may not be.
+        Called before the first byte is written to the target. Returns the
+        refusal if the request must not be dispatched, else None.
     """
 
     row: RequestRow
@@ -85,7 +88,7 @@
 
 
 def deny(reason: Reason, detail: str) -> CallRefused:
-    """Return the error that refuses a call for ``reason``."""
+    """Return an error that refuses a call, which did not run, for ``reason``."""
     return CallRefused(refuse(reason, detail))
 
 
@@ -97,12 +100,12 @@
     clock: Clock,
     limits: LimitSettings,
 ) -> Call:
-    """Return the call in a chat completion request.
+    """Parse a chat completion request.
 
     Raises
     ------
     CallRefused
-        With what is wrong in the request.
+        The request is malformed, or no model service has its model's name.
     """
     raw = _read_chat_body(body)
     name = ServiceName(str(raw.get("model", "")))
@@ -129,7 +132,13 @@
     clock: Clock,
     limits: LimitSettings,
 ) -> Call:
-    """Return the call of a plain service."""
+    """Parse a request to a plain service.
+
+    Raises
+    ------
+    CallRefused
+        A header is malformed, or no plain service is called ``name``.
+    """
     service = find_service(config, name, ServiceKind.PLAIN)
     row = make_row(environ, caller, name, service, body, clock, limits)
     kind = environ.get("CONTENT_TYPE") or "application/octet-stream"
@@ -137,7 +146,13 @@
 
 
 def find_service(config: ConfigState, name: ServiceName, kind: ServiceKind) -> Service:
-    """Return the service called ``name``."""
+    """Return the service of the given kind called ``name``.
+
+    Raises
+    ------
+    CallRefused
+        There is no such service.
+    """
     service = config.services.get(name)
     if service is None or service.kind is not kind:
         raise deny(
@@ -155,7 +170,13 @@
     clock: Clock,
     limits: LimitSettings,
 ) -> RequestRow:
-    """Return a waiting row with what every kind of request has."""
+    """Return a row in state WAITING with the fields common to all services.
+
+    Raises
+    ------
+    CallRefused
+        A header is malformed.
+    """
     now = clock.monotonic()
     identity = secrets.token_hex(12)
     return RequestRow(
@@ -185,12 +206,18 @@
 
 
 def _refuse_constant(name: str) -> None:
-    """Refuse NaN and the infinities: JSON has none, and an engine may choke."""
+    """Reject NaN and infinities: JSON has no such numbers, and engines may fail."""
     raise ValueError(f"{name} is no JSON number")
 
 
 def read_timeout(environ: Mapping, default_s: float) -> float:
-    """Return the seconds that the caller gives the request."""
+    """Return the request's timeout in seconds, ``default_s`` if it gives none.
+
+    Raises
+    ------
+    CallRefused
+        The header ``Request-Timeout`` is malformed.
+    """
     text = environ.get("HTTP_REQUEST_TIMEOUT")
     if text is None:
         return default_s
@@ -204,7 +231,7 @@
 
 
 def _read_rank(environ: Mapping, caller: Caller) -> int:
-    """Return the rank: a caller can lower its tier, never raise it."""
+    """Return the request's rank: a caller can lower its tier but not raise it."""
     text = environ.get("HTTP_REQUEST_TIER_RANK")
     if text is None:
         return caller.rank
--- a/godwitladder/serving/counting.py
+++ b/godwitladder/serving/counting.py
@@ -1,4 +1,4 @@
-"""Counts the calls that a host's server is not done with."""
+"""Counting of the calls that a host's server has not finished."""
 
 import abc
 import threading
@@ -6,11 +6,11 @@
 
 
 class CountedAnswer:
-    """An answer that says when the server is done with it.
+    """A WSGI response that calls ``done`` when the server has finished with it.
 
-    The count of open calls is what a planned stop waits for: it must fall
-    only after the last byte was handed to the server, not when the answer
-    starts.
+    A graceful shutdown waits until no call is open. The count must therefore
+    not fall when the response starts, but when the server has taken its last
+    byte.
     """
 
     def __init__(self, body: Iterable[bytes], done: Callable[[], None]) -> None:
@@ -21,7 +21,7 @@
         return iter(self.body)
 
     def close(self) -> None:
-        """Called by the server at the end, also after a broken connection."""
+        """Close the response; the server does so even if the connection broke."""
         try:
             close = getattr(self.body, "close", None)
             if close:
@@ -31,12 +31,12 @@
 
 
 class CountedApp(abc.ABC):
-    """A WSGI application that knows how many of its calls are open.
+    """A WSGI application that counts its open calls.
 
     Attributes
     ----------
     open_calls : int
-        Calls whose answer the server has not handed over to its last byte.
+        Number of calls whose response the server has not yet taken completely.
     """
 
     def __init__(self) -> None:
@@ -44,23 +44,23 @@
         self.lock = threading.Lock()
 
     def __call__(self, environ: Mapping, start_response) -> Iterable[bytes]:
-        """Answer one request (WSGI)."""
+        """Serve one request (WSGI)."""
         with self.lock:
             self.open_calls += 1
         try:
             body = self.answer(environ, start_response)
         except BaseException:
-            # The server closes only an answer that it got: without this, one
-            # call that failed here would keep a planned stop waiting for ever.
+            # The server closes only a response that it received. Without this, a
+            # call that fails here would block a graceful shutdown forever.
             self.close_call()
             raise
         return CountedAnswer(body, self.close_call)
 
     @abc.abstractmethod
     def answer(self, environ: Mapping, start_response) -> Iterable[bytes]:
-        """Return the answer to one request."""
+        """Return the response to one request."""
 
     def close_call(self) -> None:
-        """Count a call that is done."""
+        """Decrement the number of open calls."""
         with self.lock:
             self.open_calls -= 1
--- a/godwitladder/serving/listener.py
+++ b/godwitladder/serving/listener.py
@@ -1,8 +1,8 @@
-"""One HTTP listener by waitress, with bounds, problem documents and TLS.
+"""HTTP listener on top of waitress, with limits, problem documents and TLS.
 
-Waitress has no TLS of its own and keeps large bodies in temporary files.
-Here the listening socket is wrapped where TLS is set, and buffers are bounded
-so that nothing goes to a disk, which hosts do not have.
+Waitress does not support TLS and spools large bodies to temporary files. This
+module wraps the listening socket if TLS is configured, and limits buffers so
+that none is spooled, because hosts have no disk.
 """
 
 import errno
@@ -24,27 +24,28 @@
 from godwitladder.settings import LimitSettings, TlsSettings
 from godwitladder.tls import server_context
 
-# Bytes of an answer that wait for a caller who reads slowly; beyond them the
-# thread that writes the answer waits, and its engine's stream with it.
+# Response bytes that may be buffered for a caller that reads slowly. Above this
+# limit the thread that writes the response blocks, and stops reading from the
+# engine's stream.
 WATERMARK_BYTES = 65_536
-# A caller that has acknowledged nothing for so long is gone or will never
-# read. Without this bound a caller that stops reading would hold a thread and,
-# through it, a slot of a target for as long as its connection stays open.
+# Seconds that sent data may stay unacknowledged before the connection is closed.
+# Without this timeout, a caller that stops reading would occupy a thread, and
+# through it a slot of a target, for as long as its connection stays open.
 STALL_S = 30
-# Threads that stay free for refusals while every other one serves a request.
+# Threads kept free to send refusals while all others serve requests.
 SPARE_THREADS = 16
 SPARE_CONNECTIONS = 64
 NEVER = 1 << 40
 
 
 class ProblemTask(ErrorTask):
-    """Answers what waitress itself refuses as a problem document.
+    """Sends a problem document for a request that waitress itself rejects.
 
-    Such a request was never read to its end, so that nothing of it has run.
+    Such a request was never read completely, so no part of it has run.
     """
 
     def execute(self) -> None:
-        """Write the answer and close the connection."""
+        """Write the response and close the connection."""
         error = self.request.error
         self.status = f"{error.code} {error.reason}"
         body = problem(error.code, error.reason, str(error.body))
@@ -55,13 +56,13 @@
 
 
 class ClosingTask(WSGITask):
-    """Answers a request, and the connection's last one on a host that stops."""
+    """Serves a request, and closes the connection after it on a stopping host."""
 
     def build_response_header(self) -> bytes:
-        """Say that the connection closes, if the server is closing.
+        """Announce that the connection closes if the server is closing.
 
-        A caller that kept its connection would send into a process that is
-        about to end, and its request would be lost.
+        A caller that kept its connection open would send its next request to a
+        process that is about to exit, and the request would be lost.
         """
         if self.channel.server.closing:
             self.set_close_on_finish()
@@ -69,7 +70,7 @@
 
 
 class BoundedChannel(HTTPChannel):
-    """One caller's connection."""
+    """A caller's connection, counted against the connection limit."""
 
     error_task_class = ProblemTask
     task_class = ClosingTask
@@ -80,7 +81,7 @@
             self.turn_away()
 
     def turn_away(self) -> None:
-        """Answer that there are too many connections, and close."""
+        """Respond with status 429 (too many connections) and close."""
         body = problem(429, "Too Many Requests", "Too many connections are open.")
         head = (
             "HTTP/1.1 429 Too Many Requests\r\nConnection: close\r\n"
@@ -93,7 +94,10 @@
         self.close_when_flushed = True
 
     def handle_read(self) -> None:
-        """Read all that has arrived; TLS may hold some that a poll can't see."""
+        """Read all available data, including what TLS has already decrypted.
+
+        Polling the socket does not report data in OpenSSL's buffer.
+        """
         while True:
             try:
                 data = self.recv(self.adj.recv_bytes)
@@ -112,38 +116,42 @@
 
 
 class TlsSocket(ssl.SSLSocket):
-    """A TLS socket that a server loop and worker threads may share.
+    """A TLS socket that the server loop and worker threads can share.
 
-    The loop reads while a worker writes, and OpenSSL's connection must not
-    be used by two threads at once: the lock keeps them apart. Both sides never
-    block, so that it is held for a moment only.
+    The loop reads while a worker writes, but an OpenSSL connection must not be
+    used by two threads at once, so a lock serializes access. Reads and writes
+    are non-blocking, so the lock is only held briefly.
     """
 
     def __new__(cls, *args, **kwargs) -> "TlsSocket":
-        """Make the socket together with its lock."""
+        """Create the socket together with its lock."""
         made = super().__new__(cls, *args, **kwargs)
         made.lock = threading.Lock()
         return made
 
     def recv(self, buflen: int = 1024, flags: int = 0) -> bytes:
-        """Read, or raise `BlockingIOError` while nothing can be read."""
+        """Read, or raise `BlockingIOError` if no data is available."""
         with self.lock:
             try:
                 return super().recv(buflen, flags)
             except (ssl.SSLWantReadError, ssl.SSLWantWriteError) as error:
-                raise BlockingIOError(errno.EWOULDBLOCK, "TLS waits") from error
+                raise BlockingIOError(
+                    errno.EWOULDBLOCK, "The TLS operation would block"
+                ) from error
 
     def send(self, data: bytes, flags: int = 0) -> int:
-        """Write, or raise `BlockingIOError` while nothing can be written."""
+        """Write, or raise `BlockingIOError` if no data can be written."""
         with self.lock:
             try:
                 return super().send(data, flags)
             except (ssl.SSLWantReadError, ssl.SSLWantWriteError) as error:
-                raise BlockingIOError(errno.EWOULDBLOCK, "TLS waits") from error
+                raise BlockingIOError(
+                    errno.EWOULDBLOCK, "The TLS operation would block"
+                ) from error
 
 
 def has_pending(sock: socket.socket) -> bool:
-    """Return whether bytes wait above the operating system's buffer."""
+    """Return whether OpenSSL holds decrypted bytes that were not read yet."""
     if not isinstance(sock, TlsSocket):
         return False
     with sock.lock:
@@ -151,7 +159,7 @@
 
 
 def problem(status: int, title: str, detail: str) -> bytes:
-    """Return a problem document about a request that was not read whole."""
+    """Return the problem document for a request that was not read completely."""
     members = {
         "type": "about:blank",
         "title": title,
@@ -163,7 +171,7 @@
 
 
 def listen(address: str, tls: TlsSettings | None) -> socket.socket:
-    """Return a bound socket, whose accepted ones speak TLS if ``tls`` is given."""
+    """Return a listening socket; it accepts TLS connections if ``tls`` is given."""
     host, _, port = address.rpartition(":")
     sock = socket.create_server((host, int(port)), reuse_port=False)
     if tls is None:
@@ -180,20 +188,20 @@
     threads: int,
     tls: TlsSettings | None = None,
 ) -> TcpWSGIServer:
-    """Return a server of ``app``; its ``run`` serves until it is closed.
+    """Return a server for ``app``, whose ``run`` serves until it is closed.
 
     Parameters
     ----------
     app : callable
         WSGI application.
     address : str
-        Where to listen, ``address:port``.
+        Address to listen on, as ``address:port``.
     limits : LimitSettings
-        Bounds on what callers may send.
+        Limits on connections, body and header sizes, and idle time.
     threads : int
-        Requests that are served at once; a thread is started when one needs it.
+        Maximum number of requests served at once. Threads are started on demand.
     tls : TlsSettings or None
-        Certificate and key, if the listener speaks TLS.
+        Certificate and key; None for plain HTTP.
     """
     server = waitress.create_server(
         app,
@@ -201,7 +209,7 @@
         sockets=[listen(address, tls)],
         threads=threads + SPARE_THREADS,
         connection_limit=limits.connections + SPARE_CONNECTIONS,
-        # Waitress refuses a body of exactly its bound.
+        # Waitress rejects a body whose size equals the limit.
         max_request_body_size=limits.body_bytes + 1,
         max_request_header_size=limits.header_bytes,
         inbuf_overflow=NEVER,
@@ -209,8 +217,8 @@
         outbuf_high_watermark=WATERMARK_BYTES,
         channel_timeout=int(limits.idle_s),
         channel_request_lookahead=1,
-        # select() fails above 1,024 open files; a host with a few hundred
-        # streams has that many.
+        # select() fails with more than 1,024 open files, which a host with a few
+        # hundred streams exceeds.
         asyncore_use_poll=True,
         ident="godwitladder",
     )
