--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -1,8 +1,9 @@
-"""Requests that carry an idempotency key, from their arrival to their claim.
+"""Handling of requests with an idempotency key, up to the claim of the key.
 
-A repeat is joined to the first request with its key where that is found: on
-this host, or on the host that holds the claim or issued the key. Only a
-request that holds its key reaches the scheduler.
+A retry with the same key gets the response of the original request if that is
+found: on this host, or on the host that holds the claim or issued the key.
+Unless its service is idempotent, a request reaches the scheduler only once it
+holds its key.
 """
 
 import dataclasses
@@ -38,10 +39,10 @@
 
 POLL_S = 0.5
 KEY_HEADER = "HTTP_IDEMPOTENCY_KEY"
-# Where the application leaves the body as the caller sent it.
+# Key of the WSGI environ under which the application stores the unparsed body.
 BODY = "godwitladder.body"
-# A key outlives its request's deadline by this factor at least, so that a
-# request which waits can't still be dispatched when its claim is forgotten.
+# Minimum ratio of the claim window to a request's time until its deadline. It
+# keeps a queued request from being dispatched after its claim was forgotten.
 WINDOW_DEADLINES = 2
 UUID_TIME_VERSION = 7
 
@@ -57,7 +58,13 @@
 
 @dataclass(frozen=True)
 class Holder:
-    """The process that may answer for a key."""
+    """The process that holds a key and may have the response to its request.
+
+    Attributes
+    ----------
+    stream : StreamId or None
+        Stream of the request that holds the key; None if unknown.
+    """
 
     host: HostId
     incarnation: Incarnation
@@ -65,30 +72,33 @@
 
 
 class KeyedCalls:
-    """Serves calls that carry a key, and hands the others on.
+    """Serves calls with an idempotency key, and passes on calls without one.
 
     Parameters
     ----------
     settings : Settings
-        The window of keys and the hosts' shared secret.
+        The host's settings, with the claim window and the secret shared by the
+        hosts.
     claims : pykka.ActorRef
-        The actor of `godwitladder.claims.actor.Claims`.
+        Actor of class `godwitladder.claims.actor.Claims`.
     issued : IssuedKeys
-        The keys that this process issued.
+        Keys that this process issued.
     forwarder : Forwarder
-        Passes calls on to other hosts.
+        Forwards calls to other hosts.
     run : callable
-        Serves a call that holds its key: the dispatcher's.
+        Serves a call that holds its key or needs none.
     find : callable
-        Returns the signed request id of a stream of a call's service that a
-        target knows, or ``""``.
-    clock, metrics : Clock, Metrics
-        The host's.
+        Returns the signed request id of a stream if a target of the call's
+        service has that stream, else ``""``.
+    clock : Clock
+        The host's clock.
+    metrics : Metrics
+        The host's metrics.
 
     Attributes
     ----------
     stopping : bool
-        Whether the host takes nothing new.
+        Whether the host is stopping and claims no more keys.
     """
 
     def __init__(
@@ -120,17 +130,17 @@
         start_response,
         resume: Callable[[str], Iterable[bytes]],
     ) -> Iterable[bytes]:
-        """Answer one call.
+        """Serve one call.
 
         Parameters
         ----------
         resume : callable
-            Answers with the stream of a signed request id.
+            Responds with the stream that a signed request id names.
 
         Raises
         ------
         CallRefused
-            The call does not run, or an earlier one with its key may have.
+            The call does not run, or an earlier call with its key may have run.
         """
         if call.row.key is None:
             return self.run(call, environ, start_response)
@@ -161,7 +171,15 @@
     def _join(
         self, first: First, call: Call, start_response, resume
     ) -> Iterable[bytes] | None:
-        """Answer as the first request was; None if that came to nothing."""
+        """Return the response of the original request.
+
+        Return None if that request ended without a response that can be reused.
+
+        Raises
+        ------
+        CallRefused
+            The original request has not been answered by the deadline.
+        """
         while not first.done.wait(POLL_S):
             if self.clock.monotonic() >= call.row.deadline:
                 raise held(first.request)
@@ -225,8 +243,8 @@
 
     def _release_unrun(self, first: First, row: RequestRow):
         def on_end(state: RequestState) -> None:
-            # Only a request that is known not to have run frees its key: the
-            # next one with it runs on whatever host it reaches.
+            # Release the key only if the request is known not to have run: the
+            # next request with this key will run on any host that it reaches.
             if state is RequestState.NOT_RUN:
                 self.claims.tell(GiveUp(key_bytes(row.key), nonce_bytes(row.stream)))
                 self.repeats.drop(row.key, first)
@@ -243,12 +261,13 @@
             raise CallRefused(expired())
 
     def _claim(self, call: Call, environ: Mapping) -> Holder | None:
-        """Claim the key of ``call``; return who holds it if that is another.
+        """Claim the key of ``call``; return its holder if another request has it.
 
         Raises
         ------
         CallRefused
-            The key can't be had.
+            The host is stopping, the key was used with another body or has
+            expired, or the log does not answer.
         """
         row = call.row
         if self.stopping:
@@ -286,7 +305,14 @@
     def _ask_holder(
         self, call: Call, environ: Mapping, holder: Holder, start_response
     ) -> Iterable[bytes]:
-        """Answer as the process that holds the key does."""
+        """Return the response of the process that holds the key.
+
+        Raises
+        ------
+        CallRefused
+            That process can't be asked, or is this one. The refusal carries the
+            id of the original request if its stream was found.
+        """
         own = (holder.host, holder.incarnation) == (
             self.issued.host,
             self.issued.incarnation,
@@ -306,13 +332,13 @@
 
 
 def held(request: str, detail: str = HELD) -> CallRefused:
-    """Return the refusal of a repeat whose first request may have run."""
+    """Return the refusal of a retry whose original request may have run."""
     refusal = Refusal(RequestState.MAY_HAVE_RUN, Reason.KEY_IN_USE, detail)
     return CallRefused(refusal, request)
 
 
 def expired() -> Refusal:
-    """Return the refusal of a key too old to be judged."""
+    """Return the refusal of a key that is too old to tell whether it was used."""
     return Refusal(RequestState.MAY_HAVE_RUN, Reason.KEY_EXPIRED, EXPIRED)
 
 
@@ -325,11 +351,11 @@
 
 
 def key_date(text: str) -> float:
-    """Return the time in a key that is a UUID of version 7; else 0.
+    """Return the creation time of a UUIDv7 key in seconds since the epoch, else 0.
 
-    Such a key tells when it was made, in milliseconds since the epoch, so
-    that one older than the window is known as such and refused. Any other
-    key is a new one once its claim is forgotten.
+    A version 7 UUID contains its creation time in milliseconds, so that a key
+    older than the claim window can be detected and refused. Any other key counts
+    as unused again once its claim is forgotten.
     """
     try:
         parsed = uuid.UUID(text)
--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -1,4 +1,4 @@
-"""``POST /v1/keys``, and the parts of a host that serve keyed calls."""
+"""``POST /v1/keys``, and the components that serve calls with idempotency keys."""
 
 import json
 import threading
@@ -35,15 +35,15 @@
 
 KEYS_PATH = "/v1/keys"
 PROBE_S = 1.0
-# A planned stop waits this long for the log to take the releases that are
-# left. A key whose release is lost stays refused until its window is over.
+# Longest time that a graceful shutdown waits for the log to accept outstanding
+# releases. A key whose release is lost is refused until the claim window ends.
 FLUSH_S = 10.0
 FLUSH_POLL_S = 0.05
 STOPPING = "This host is stopping, and its keys would be lost with it."
 
 
 def issue_key(keyed: KeyedCalls, caller: Caller, start_response) -> list[bytes]:
-    """Answer with a new key that this process alone may dispatch.
+    """Respond with a new key, whose request only this process may dispatch.
 
     Raises
     ------
@@ -68,24 +68,28 @@
 
 
 class KeyParts:
-    """Claims, issued keys and forwarding of one host, started and stopped as one.
+    """The components of a host that handle claims, issued keys and forwarding.
+
+    They are started and stopped together.
 
     Parameters
     ----------
     settings : Settings
-        What the host was told.
+        The host's settings.
     incarnation : Incarnation
-        Number of this process.
+        Incarnation number of this process.
     callers : CallerApp
-        The application that answers callers.
+        Application that serves callers.
     mesh : Mesh
-        The links between hosts.
+        Connections to the other hosts.
     client : LogClient
-        The platform's log.
-    clock, metrics : Clock, Metrics
-        The host's.
+        Client of the platform's log.
+    clock : Clock
+        The host's clock.
+    metrics : Metrics
+        The host's metrics.
     fail : callable
-        Ends the host.
+        Terminates the host when the claims actor has failed.
     """
 
     def __init__(
@@ -104,7 +108,8 @@
         self.secret = settings.peers.secret
         work = threading.Event()
         host, window_s = settings.host, settings.claims.window_s
-        # Callers would wait for the verdict of a dead actor for ever.
+        # Supervised, because callers would wait forever for the verdict of an
+        # actor that has failed.
         self.claims = supervised(Claims, fail).start(
             host, incarnation, settings.claims, clock, metrics, work
         )
@@ -129,7 +134,7 @@
         self.ticker: Ticker | None = None
 
     def takers(self) -> dict[type, Callable[[Any, Any], None]]:
-        """Return what takes the messages between hosts that are for keys."""
+        """Return the handlers of peer messages about keys and crashes, by class."""
         return {
             ForwardedCall: self.forwarder.take,
             ForwardedAnswer: self.forwarder.take,
@@ -139,29 +144,35 @@
         }
 
     def start(self, tick_s: float) -> None:
-        """Start to follow the claims stream."""
+        """Start following the claims stream.
+
+        Parameters
+        ----------
+        tick_s : float
+            Seconds between two ticks of the claims actor.
+        """
         self.claim_log.start()
         self.ticker = Ticker(self.clock, tick_s)
         self.ticker.start(self.claims)
 
     def flush(self) -> None:
-        """Wait, within bounds, until the log has every release."""
+        """Wait until the log has accepted all releases, or until the timeout."""
         due = self.clock.monotonic() + FLUSH_S
         while not self.claims.ask(HasSettled()):
             if self.clock.monotonic() >= due:
-                log.warning("Releases were left when the host stopped")
+                log.warning("Host stopped before the log had accepted all key releases")
                 return
             self.clock.sleep(FLUSH_POLL_S)
 
     def stop(self) -> None:
-        """Stop every part."""
+        """Stop all components."""
         if self.ticker:
             self.ticker.stop()
         self.claim_log.stop()
         self.claims.stop()
 
     def find(self, call: Call, stream: StreamId) -> str:
-        """Return the signed id of ``stream`` if a target knows it, or ``""``."""
+        """Return the signed id of ``stream`` if a target has it, else ``""``."""
         row = call.row
         target = find_stream(self.callers.config, row.service, stream)
         if target is None:
@@ -172,10 +183,11 @@
 def find_stream(
     config: ConfigState, service: str, stream: StreamId
 ) -> TargetName | None:
-    """Return the target that knows ``stream``, asking each of ``service``.
+    """Ask each target of ``service`` and return the one that has ``stream``.
 
-    A claim's nonce is the id of its stream, so that the answer of a request
-    whose host died can still be had. A plain service has no streams to ask for.
+    The nonce of a claim is the id of its request's stream, so that the response
+    can still be fetched after the host of the request has failed. Return None if
+    no target has the stream. Plain services have no streams to ask for.
     """
     if config.services[service].kind is not ServiceKind.MODEL:
         return None
--- a/godwitladder/serving/operators.py
+++ b/godwitladder/serving/operators.py
@@ -1,4 +1,4 @@
-"""The WSGI application that operators and their monitoring reach."""
+"""WSGI application for operators and their monitoring."""
 
 import json
 import math
@@ -33,20 +33,23 @@
 
 @dataclass(frozen=True)
 class HostStatus:
-    """What a host tells operators of itself.
+    """Status of a host as reported to operators.
 
     Attributes
     ----------
     config_offset : int
-        Offset of the next record to replay; all before it are in force.
+        Offset of the next configuration record to replay; all records before it
+        are in force.
     config_phase : str
         See `godwitladder.configuration.replica.Phase`.
     log_reachable : bool
-        Whether the log answered when it was last asked.
+        Whether the log answered the last request to it.
     peers : tuple of str
-        Hosts to which a link is up.
+        Hosts to which a connection is established.
     targets : dict
-        State of each target in force, by name.
+        State of each configured target, by name.
+    waiting, running : int
+        Number of requests that are queued and that are dispatched.
     """
 
     host: str
@@ -63,7 +66,28 @@
 
 
 class OperatorApp:
-    """Serves operators: tickets, audit, status; and probes without a token."""
+    """Serves tickets, audit trail, quarantine and status to operators.
+
+    Health and readiness probes and metrics need no token.
+
+    Parameters
+    ----------
+    settings : Settings
+        The host's settings, with the digests of the operators' tokens.
+    log : LogClient
+        Client of the log that tickets are appended to.
+    follower : ConfigFollower
+        Follower of that log, with the ledger of tickets and verdicts.
+    metrics : Metrics
+        Metrics to expose.
+    status : callable
+        Returns the host's current status.
+
+    Attributes
+    ----------
+    watch : CrashWatch or None
+        The host's quarantine. None until the host has set it.
+    """
 
     def __init__(
         self,
@@ -81,7 +105,7 @@
         self.watch: CrashWatch | None = None
 
     def __call__(self, environ: Mapping, start_response) -> Iterable[bytes]:
-        """Answer one request (WSGI)."""
+        """Serve one request (WSGI)."""
         try:
             return self._route(environ, start_response)
         except (CallRefused, SubmissionFailed) as error:
@@ -118,7 +142,7 @@
         raise deny(Reason.UNKNOWN_PATH, f"There is no {method} {path}.")
 
     def _authenticate(self, environ: Mapping) -> str:
-        """Return the operator's name; empty for a token without one."""
+        """Return the operator's name; empty for a token without a name."""
         names = {row.digest: row.name for row in self.settings.operators}
         known = [*names, *self.settings.operator_token_digests]
         digest = matching_digest(bearer_digest(environ), known)
@@ -170,7 +194,7 @@
 
 
 def audit_row(entry: AuditEntry) -> dict:
-    """Return an audit entry as members of a JSON object."""
+    """Return an audit entry as the members of a JSON object."""
     return {
         "offset": entry.offset,
         "time": entry.time,
@@ -184,7 +208,7 @@
 
 
 def submitted_row(submitted: Submitted) -> dict:
-    """Return a submitted ticket as members of a JSON object."""
+    """Return a submitted ticket as the members of a JSON object."""
     entry = submitted.entry
     if entry is None:
         return {"offset": submitted.offset, "verdict": "pending"}
@@ -206,7 +230,7 @@
 
 
 def _read_number(environ: Mapping, name: str, default: float) -> float:
-    """Return a number from the query."""
+    """Return the query parameter ``name``, which must not be negative."""
     text = parse_qs(environ.get("QUERY_STRING", "")).get(name, [str(default)])[0]
     try:
         value = float(text)
--- a/godwitladder/serving/problems.py
+++ b/godwitladder/serving/problems.py
@@ -1,4 +1,4 @@
-"""Refusals as ``application/problem+json`` (RFC 9457)."""
+"""HTTP responses for refusals, as ``application/problem+json`` (RFC 9457)."""
 
 import http
 import json
@@ -10,7 +10,11 @@
 
 
 def refusal_status(refusal: Refusal) -> http.HTTPStatus:
-    """Return the HTTP status; 503 invites a retry, so only what never ran has it."""
+    """Return the HTTP status for ``refusal``.
+
+    Status 503 invites a retry. A request that reached its deadline and may have
+    run therefore gets 504.
+    """
     status = HTTP_STATUS[refusal.reason]
     ran = refusal.outcome is not RequestState.NOT_RUN
     if ran and refusal.reason is Reason.DEADLINE:
@@ -19,7 +23,13 @@
 
 
 def problem_body(refusal: Refusal, request: str = "") -> dict:
-    """Return the members of the problem document for ``refusal``."""
+    """Return the members of the problem document for ``refusal``.
+
+    Parameters
+    ----------
+    request : str
+        Signed id of the request, which is included unless it is empty.
+    """
     status = refusal_status(refusal)
     body = {
         "type": f"urn:godwitladder:{refusal.reason.value}",
@@ -37,19 +47,22 @@
 
 
 def retry_after_text(seconds: float, exact: bool) -> str:
-    """Return the value of Retry-After: whole seconds, unless ``exact``."""
+    """Return the value of Retry-After, rounded up to seconds unless ``exact``."""
     return f"{seconds:.2f}" if exact else str(math.ceil(seconds))
 
 
 def answer_problem(
     start_response, refusal: Refusal, request: str = "", exact: bool = False
 ) -> list[bytes]:
-    """Start a WSGI answer that tells ``refusal``; return its body.
+    """Start a WSGI response for ``refusal`` and return its body.
 
     Parameters
     ----------
+    request : str
+        Signed id of the request; empty if it has none.
     exact : bool
-        Whether the callers read fractions of a second in Retry-After.
+        Whether Retry-After may have fractions of a second, for callers that
+        parse them.
     """
     status = refusal_status(refusal)
     body = json.dumps(problem_body(refusal, request)).encode()
--- a/godwitladder/serving/quarantine.py
+++ b/godwitladder/serving/quarantine.py
@@ -1,4 +1,4 @@
-"""Operators' view of quarantined requests, and the way to lift a quarantine."""
+"""HTTP interface for operators to list and lift quarantines."""
 
 import json
 from collections.abc import Mapping
@@ -16,12 +16,12 @@
 def answer_quarantine(
     watch: CrashWatch, environ: Mapping, start_response
 ) -> list[bytes]:
-    """Answer with the quarantined requests, or lift one.
+    """List the quarantined requests, or lift the quarantine of one.
 
     Raises
     ------
     CallRefused
-        There is no such path, or the body is malformed.
+        The path is unknown, or the body is malformed.
     """
     method, path = environ["REQUEST_METHOD"], environ["PATH_INFO"]
     if method == "GET" and path == QUARANTINE_PATH:
--- a/godwitladder/serving/repeats.py
+++ b/godwitladder/serving/repeats.py
@@ -1,8 +1,8 @@
-"""Repeats of a keyed request that reach the host of the first one.
+"""Retries of a request with an idempotency key on the host of the original.
 
-A caller whose connection broke sends its request again with the same key.
-Where the first is found it is joined: the repeat gets the same whole answer
-and costs no second prompt.
+A caller whose connection broke sends its request again with the same key. If
+this host has the original request, the retry waits for it and gets the same
+complete response, so that the prompt is not processed twice.
 """
 
 import json
@@ -13,7 +13,7 @@
 
 from godwitladder.ids import BodyDigest, KeyDigest
 
-# An answer is wanted again within the time of a caller's few tries.
+# Finished responses are kept for as long as a caller usually retries.
 KEEP_S = 300.0
 KEEP_BYTES = 8_388_608
 EVENT_STREAM = "text/event-stream"
@@ -21,18 +21,24 @@
 
 @dataclass
 class First:
-    """The first request with a key, and its answer once there is one.
+    """The first request with a key, and its response once there is one.
 
     Attributes
     ----------
+    digest : BodyDigest
+        Digest of the request's body.
     done : threading.Event
-        Set when the answer is known, or the stream's id, or that there will
-        be none.
+        Set when the response or the id of its stream is known, or when it is
+        known that there will be no response.
+    status, headers : str, list of tuple
+        Status line and headers of the response.
     body : bytes or None
-        The whole answer; None for a stream, or if the request came to
-        nothing.
+        The complete response body; None for a stream, or if the request ended
+        without a response.
     request : str
-        Signed request id of a stream.
+        Signed request id if the response is a stream, else ``""``.
+    ended : float
+        Monotonic seconds at which the response was complete; 0 before that.
     """
 
     digest: BodyDigest
@@ -44,7 +50,7 @@
     ended: float = 0.0
 
     def start(self, status: str, headers: list[tuple[str, str]]) -> None:
-        """Note the head of the answer; a stream can be joined from here on."""
+        """Record status and headers; from here on retries can join a stream."""
         self.status, self.headers = status, headers
         named = dict(headers)
         if named.get("Content-Type") == EVENT_STREAM:
@@ -52,14 +58,14 @@
             self.done.set()
 
     def finish(self, answer: Iterable[bytes]) -> Iterable[bytes]:
-        """Note the body of the answer, unless it is a stream; return it."""
+        """Record the response body unless it is a stream, and return ``answer``."""
         if isinstance(answer, list):
             self.body = b"".join(answer)
         self.done.set()
         return answer
 
     def outcome(self) -> str:
-        """Return the outcome that a problem document told, or ``""``."""
+        """Return the outcome if the response is a problem document, else ``""``."""
         if self.body is None or "problem+json" not in dict(self.headers).get(
             "Content-Type", ""
         ):
@@ -68,12 +74,12 @@
 
 
 class Repeats:
-    """The first requests of this host that can be joined, by key.
+    """The original requests on this host that retries can join, by key.
 
     Parameters
     ----------
     now : callable
-        Monotonic seconds.
+        Returns the current time in monotonic seconds.
     """
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -83,7 +89,7 @@
         self.lock = threading.Lock()
 
     def begin(self, key: KeyDigest, body: BodyDigest) -> tuple[First, bool]:
-        """Return the first request with ``key``, and whether it is this one."""
+        """Return the original request with ``key``, and whether it was just added."""
         with self.lock:
             held = self.firsts.get(key)
             if held:
@@ -92,7 +98,7 @@
             return first, True
 
     def keep(self, key: KeyDigest, first: First) -> None:
-        """Keep a finished answer for a while, within bounds of memory."""
+        """Retain a finished response, within the limits on time and memory."""
         with self.lock:
             if self.firsts.get(key) is not first:
                 return
@@ -102,7 +108,7 @@
             self._evict()
 
     def drop(self, key: KeyDigest, first: First) -> None:
-        """Forget a request, so that the next with its key is a new one."""
+        """Remove a request, so that the next one with its key is a new original."""
         with self.lock:
             if self.firsts.get(key) is first:
                 self._remove(key)
--- a/godwitladder/serving/request_ids.py
+++ b/godwitladder/serving/request_ids.py
@@ -1,7 +1,8 @@
-"""Signed request ids, which name the target and the stream of a request.
+"""Signed request ids, which contain the target and the stream of a request.
 
-Any host can resume a stream by such an id, with no store: the id says where
-the stream is, and the signature that a host of the system said so.
+Any host can resume a stream by its id without shared storage. The id tells
+where the stream is, and its signature proves that a host of this system
+created it.
 """
 
 import base64
@@ -17,12 +18,12 @@
 
 
 class ForgedId(GodwitladderError):
-    """The id was not signed by a host of this system."""
+    """The request id was not signed by a host of this system."""
 
 
 @dataclass(frozen=True)
 class RequestName:
-    """What a signed request id tells."""
+    """The content of a signed request id."""
 
     workspace: WorkspaceName
     target: TargetName
@@ -30,19 +31,19 @@
 
 
 def sign_request(secret: str, name: RequestName) -> str:
-    """Return the id of ``name``, safe in a URL."""
+    """Return the signed, URL-safe request id that contains ``name``."""
     text = json.dumps([name.workspace, name.target, name.stream]).encode()
     signature = _sign(secret, text)
     return base64.urlsafe_b64encode(signature + text).decode().rstrip("=")
 
 
 def read_request(secret: str, identity: str) -> RequestName:
-    """Return what ``identity`` names.
+    """Return the content of the request id ``identity``.
 
     Raises
     ------
     ForgedId
-        The id is malformed or its signature is not ours.
+        The id is malformed, or its signature does not match.
     """
     try:
         data = base64.urlsafe_b64decode(identity + "=" * (-len(identity) % 4))
--- a/godwitladder/serving/submission.py
+++ b/godwitladder/serving/submission.py
@@ -1,4 +1,4 @@
-"""Taking a ticket to the log and telling its operator the true outcome."""
+"""Submission of operators' tickets to the log, with a reliable outcome."""
 
 import threading
 from dataclasses import dataclass
@@ -14,29 +14,38 @@
 
 DEFAULT_WAIT_S = 3.0
 MAX_WAIT_S = 10.0
-# Of the eight threads that serve operators and probes, half may wait for
-# verdicts; a burst of tickets must not make the host look dead to its probes.
+# Maximum number of threads that wait for verdicts: half of the eight that serve
+# operators and probes, so that a burst of tickets does not make health probes
+# time out.
 WAITERS = 4
 RETRY_AFTER_S = 5.0
 
 
 @dataclass(frozen=True)
 class Submitted:
-    """A ticket that is in the log; ``entry`` None while it isn't judged."""
+    """A ticket that is in the log.
+
+    Attributes
+    ----------
+    offset : Offset
+        The ticket's offset in the log.
+    entry : AuditEntry or None
+        Audit entry with the verdict; None while no verdict is known.
+    """
 
     offset: Offset
     entry: AuditEntry | None
 
 
 class TicketRefused(GodwitladderError):
-    """A ticket that was not sent to the log, for what stands in it.
+    """A ticket was not sent to the log because its content is invalid.
 
     Parameters
     ----------
     findings : tuple of Finding
-        Everything found.
+        All problems found in the ticket.
     forbidden : bool
-        Whether it is another operator's ticket.
+        Whether the ticket names another operator.
     """
 
     def __init__(self, findings: tuple[Finding, ...], forbidden: bool = False) -> None:
@@ -46,7 +55,13 @@
 
 
 class SubmissionFailed(GodwitladderError):
-    """The log could not be asked, or did not answer."""
+    """The log is in an unusable state, can't be reached, or did not answer.
+
+    Parameters
+    ----------
+    refusal : Refusal
+        Outcome and reason that the operator is sent.
+    """
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
@@ -54,14 +69,14 @@
 
 
 class TicketDesk:
-    """Submits tickets for operators.
+    """Submits operators' tickets and waits for their verdicts.
 
     Parameters
     ----------
     client : LogClient
-        Where tickets are appended.
+        Client of the log that tickets are appended to.
     follower : ConfigFollower
-        Whose ledger tells the verdicts.
+        Follower of that log, whose ledger contains the verdicts.
     """
 
     def __init__(self, client: LogClient, follower: ConfigFollower) -> None:
@@ -74,15 +89,22 @@
 
         Parameters
         ----------
+        data : bytes
+            The ticket's text.
         operator : str
-            Whose token came with it; empty for one that may sign for all.
+            Operator whose token authenticated the request; empty for a token
+            that may submit tickets of any operator.
+        wait_s : float
+            Longest time to wait for the verdict, in seconds; limited to
+            ``MAX_WAIT_S``.
 
         Raises
         ------
         TicketRefused
-            The ticket itself is at fault.
+            The ticket is invalid or names another operator.
         SubmissionFailed
-            The outcome in it says whether the ticket may be in the log.
+            The log is unusable or did not answer. The outcome of the refusal
+            tells whether the ticket may be in the log.
         """
         ticket = self._read(data, operator)
         self._check_log()
@@ -109,15 +131,18 @@
             ticket = read_ticket(data)
         except InvalidInput as error:
             raise TicketRefused(error.findings) from error
-        # The trail names the ticket's operator. Unless it is the one whose
-        # token came with it, anyone could write under another's name.
+        # The audit trail records the operator named in the ticket. Without this
+        # check, an operator could submit tickets in another operator's name.
         if operator and ticket.operator != operator:
             text = f"{ticket.operator!r} is not {operator!r}, whose token this is"
             raise TicketRefused((Finding("ticket: operator", text),), forbidden=True)
         return ticket
 
     def _check_log(self) -> None:
-        """Refuse while hosts would not judge the ticket alike."""
+        """Refuse the ticket while hosts may reach different verdicts on it.
+
+        This is so while the log lacks records that are already in force.
+        """
         if self.follower.replica.phase in (Phase.FORKED, Phase.SEEKING):
             detail = "The log lacks records that are in force; see the status."
             raise SubmissionFailed(
@@ -127,10 +152,15 @@
     def _settle(
         self, ticket: Ticket, start: Offset, wait_s: float, error: Exception
     ) -> Submitted:
-        """Read the stream for a ticket whose append got no answer.
+        """Look in the stream for a ticket whose append got no answer.
+
+        A ticket that is found was appended. One that is not found may still be
+        appended, because the request may be in flight.
 
-        To find it proves that it is there. Not to find it proves nothing, as
-        the append may still be on its way.
+        Raises
+        ------
+        SubmissionFailed
+            The ticket was not found in time, so its outcome is unknown.
         """
         if self.waiters.acquire(blocking=False):
             try:
@@ -154,6 +184,6 @@
 
 
 def is_rejected(submitted: Submitted) -> bool:
-    """Return whether the ticket was judged and rejected."""
+    """Return whether the ticket has a verdict and was rejected."""
     entry = submitted.entry
     return entry is not None and entry.verdict is Verdict.REJECTED
--- a/godwitladder/serving/threads.py
+++ b/godwitladder/serving/threads.py
@@ -1,8 +1,8 @@
-"""Threads that serve calls: started as calls come, ended when idle.
+"""Thread pool for serving calls that grows on demand and shrinks when idle.
 
-A host of a large fleet serves a few calls at once and must bear a burst of
-many. With a thread for each call that it could bear, hundreds of hosts would
-hold tens of thousands of threads that do nothing.
+A host in a large fleet usually serves a few calls at once, but must handle
+bursts of many. With one permanent thread per call of such a burst, hundreds of
+hosts would hold tens of thousands of idle threads.
 """
 
 from typing import Any
@@ -10,17 +10,17 @@
 from waitress.task import ThreadedTaskDispatcher
 
 IDLE_S = 2.0
-"""Waiting threads are woken in turn, so a short time lets the surplus end even
-while calls keep coming."""
+"""Idle threads take tasks in turn, so the timeout must be short for surplus
+threads to end while calls keep arriving."""
 
 
 class ElasticDispatcher(ThreadedTaskDispatcher):
-    """Runs tasks on as many threads as they need, up to a bound.
+    """Runs tasks on as many threads as they need, up to a maximum.
 
     Parameters
     ----------
     most : int
-        Threads at once; further tasks wait for one to be free.
+        Maximum number of threads. Further tasks are queued until one is free.
     idle_s : float
         Seconds without a task after which a thread ends.
     """
@@ -32,7 +32,7 @@
         self.next_number = 0
 
     def add_task(self, task: Any) -> None:
-        """Run ``task`` on a thread that waits, or on a new one."""
+        """Run ``task`` on an idle thread or a new one, or queue it."""
         with self.lock:
             self.queue.append(task)
             self.queue_cv.notify()
@@ -41,7 +41,7 @@
                 self.start_one()
 
     def start_one(self) -> None:
-        """Start one more thread; the lock is held."""
+        """Start one more thread; the caller must hold the lock."""
         number = self.next_number
         self.next_number += 1
         self.threads.add(number)
@@ -49,20 +49,20 @@
         try:
             self.start_new_thread(self.handler_thread, number)
         except RuntimeError:
-            # The system has no thread to give. The task waits for one of those
-            # that run; with none at all nobody would ever take it.
+            # The system can't create a thread. The task stays queued for a running
+            # thread. If none is running, it would never be served.
             self.end_one(number)
             if not self.threads:
                 raise
 
     def end_one(self, number: int) -> None:
-        """Forget a thread that ends; the lock is held."""
+        """Remove a thread that ends; the caller must hold the lock."""
         self.active_count -= 1
         self.threads.discard(number)
         self.thread_exit_cv.notify()
 
     def handler_thread(self, thread_no: int) -> None:
-        """Run tasks until none came for a while."""
+        """Run tasks until the idle timeout passes without one."""
         while True:
             with self.lock:
                 task = self.next_task()
@@ -75,7 +75,7 @@
                 self.logger.exception("Exception when servicing %r", task)
 
     def next_task(self) -> Any:
-        """Return the next task; None if the thread is to end."""
+        """Return the next task, or None if the thread should end."""
         while self.stop_count == 0:
             if self.queue:
                 return self.queue.popleft()
