--- a/tests/serving/__init__.py
+++ b/tests/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what callers reach."""
+"""Tests of the HTTP interface for callers."""
--- a/tests/serving/app.py
+++ b/tests/serving/app.py
@@ -1,4 +1,4 @@
-"""The callers' application in this process, without hosts or sockets of its own."""
+"""In-process harness for the callers' application, without hosts or listeners."""
 
 import contextlib
 import io
@@ -42,7 +42,13 @@
 
 
 def make_config(engine: str, service: str) -> ConfigState:
-    """Return a configuration with one engine and one plain service."""
+    """Return a configuration with a model target and a plain target.
+
+    Parameters
+    ----------
+    engine, service : str
+        Addresses of the targets; a target with an empty address is left out.
+    """
     targets = {}
     if engine:
         targets["engine"] = Target(engine, "a", ("letters",))
@@ -64,7 +70,7 @@
 
 @dataclass
 class Answer:
-    """What the application answered."""
+    """A response of the application."""
 
     status: str = ""
     headers: dict = field(default_factory=dict)
@@ -81,7 +87,7 @@
 
 
 class Unkeyed:
-    """Stands where calls with keys are served; hands every call on."""
+    """Replaces `KeyedCalls`; passes every call to the dispatcher."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self.dispatcher = dispatcher
@@ -91,7 +97,17 @@
 
 
 class App:
-    """A `CallerApp` with a scheduler behind it."""
+    """A `CallerApp` with a running scheduler and allocator.
+
+    Parameters
+    ----------
+    stack : ExitStack
+        Stops the actors when it is closed.
+    engine, service : str
+        Addresses of the model target and the plain target; empty for none.
+    **settings
+        Fields of `Settings`.
+    """
 
     def __init__(
         self, stack: contextlib.ExitStack, engine="", service="", **settings
@@ -121,10 +137,11 @@
             actor.ask(NewConfig(self.app.config))
 
     def wait_allowed(self) -> None:
-        """Wait until a target may be used unasked.
+        """Wait until the host has allowances for its targets.
 
-        Before that, the allocator is asked, and refuses what it expects to
-        take too long; afterwards a call starts at once.
+        Without an allowance the scheduler asks the allocator, which refuses
+        requests that it expects to take too long. With one, a call starts
+        immediately.
         """
         pools = self.tables.pools
         wait_until(
@@ -132,7 +149,7 @@
         )
 
     def ask(self, method: str, path: str, body: bytes = b"", **environ) -> Answer:
-        """Call the application as a server would, up to its first byte."""
+        """Call the application as a WSGI server does; don't read the body yet."""
         answer = Answer()
 
         def start_response(status, headers):
@@ -157,11 +174,11 @@
         return self.ask("POST", "/v1/chat/completions", text, **(environ or {}))
 
     def outcomes(self) -> dict[str, int]:
-        """Return how many requests have ended in each way."""
+        """Return the number of requests that ended with each outcome."""
         rows = self.metrics.requests.get_all()
         return {labels["outcome"]: count for labels, count in rows}
 
     def wait_idle(self) -> None:
-        """Wait until no dispatch holds a target and no call is open."""
+        """Wait until no request is running; check that no call is open."""
         wait_until(lambda: self.metrics.running.get({}) == 0, "free targets")
         assert self.app.open_calls == 0
--- a/tests/serving/test_loadtool.py
+++ b/tests/serving/test_loadtool.py
@@ -1,4 +1,4 @@
-"""The load tool counts every call once, by what came of it."""
+"""Tests that the load tool counts every call once, by its outcome."""
 
 import contextlib
 import threading
--- a/tests/serving/test_metrics.py
+++ b/tests/serving/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics are shared by all threads of a host."""
+"""Tests that the metrics can be used by several threads at once."""
 
 import sys
 import threading
@@ -11,11 +11,12 @@
 
 
 def test_counts_of_many_threads_add_up_while_they_are_scraped():
-    """An operator's rates must not depend on how busy the host was.
+    """No count is lost when threads count while the metrics are scraped.
 
-    The library reads a value, adds to it and writes it back; threads that
-    take turns in between would lose counts, and a scrape that meets a new
-    label would fail. Turns are made as short as they can be.
+    The library reads a value, adds to it and writes it back. Without a lock, a
+    thread switch in between would lose counts, and a scrape would fail if a label
+    is added during it, and rates would be wrong on a busy host. The test uses a
+    very short switch interval.
     """
     metrics = Metrics()
     start = threading.Barrier(THREADS + 1)
--- a/tests/serving/test_room.py
+++ b/tests/serving/test_room.py
@@ -1,4 +1,4 @@
-"""A host that runs out of threads sheds from the lowest tier it holds."""
+"""Tests that a host without free threads sheds from its least important tier."""
 
 from types import SimpleNamespace
 
@@ -19,10 +19,10 @@
 
 
 def test_room_is_made_by_the_last_of_the_lowest_tier():
-    """An urgent caller gets the thread of a caller that matters less.
+    """An urgent request takes the thread of a less important one.
 
-    All threads are held by requests that wait. The urgent one that arrives
-    last stays; the latest one of the lowest tier is told to come back.
+    All threads are occupied by queued requests. The urgent request that arrives
+    last stays queued, and the latest one of the least important tier is shed.
     """
     tables = Tables("host", "a", hosts=("host",))
     rows = [make_row(f"r{n}", rank, n) for n, rank in enumerate((0, 1, 1, 0))]
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("crowded", [False, True])
 def test_room_is_asked_for_only_without_spare_threads(crowded):
-    """The scheduler sees every arrival, also the one that finds no thread."""
+    """Every arrival is submitted; room is made only when threads run out."""
     told = []
 
     def tell(message) -> None:
--- a/tests/serving/test_surface.py
+++ b/tests/serving/test_surface.py
@@ -1,4 +1,4 @@
-"""What callers may send, and that a bad request harms nobody else."""
+"""Tests that invalid requests are refused without affecting other callers."""
 
 import contextlib
 import http.client
@@ -34,7 +34,7 @@
 
 
 def serve(stack, app, tls=None) -> int:
-    """Serve ``app`` on a port of this process and return the port."""
+    """Serve ``app`` on a free port and return the port."""
     port = free_ports(1)[0]
     server = make_listener(app, f"127.0.0.1:{port}", LIMITS, LIMITS.threads, tls)
     stack.callback(server.close)
@@ -57,7 +57,7 @@
 
 
 def answer_to(stack, port, request: bytes) -> http.client.HTTPResponse:
-    """Send raw bytes and return the answer."""
+    """Send raw bytes on a new connection and return the response."""
     sock = connect(stack, port)
     sock.sendall(request)
     return read_answer(sock)
@@ -136,11 +136,11 @@
 
 @pytest.mark.parametrize("name", REFUSED)
 def test_a_bad_request_gets_a_clear_answer_and_harms_nobody(stack, surface, name):
-    """A request that breaks a bound is refused as not run, and others go on.
+    """An invalid request is refused as not run and does not affect others.
 
-    Each refusal is a problem document that says so, whether the application
-    or the server below it found the fault. A sound call on a connection of
-    its own is answered right after, and only that one reached the service.
+    Each refusal is a problem document with this outcome, whether the application
+    or waitress detected the problem. A valid call on another connection succeeds
+    right after, and is the only one that reached the service.
     """
     port, service = surface
     request, status = REFUSED[name]
@@ -154,10 +154,10 @@
 
 
 def test_slow_and_cut_bodies_hold_up_nobody(stack):
-    """Callers that send half a body, or none, use up no thread.
+    """Callers that send half a body, or none, occupy no thread.
 
-    There are more of them than threads. Each waits in the server's loop
-    until its body is whole, so a sound call is served at once.
+    There are more such callers than threads. The server's loop buffers each
+    request until its body is complete, so a valid call is served immediately.
     """
     port, service = serve_calls(stack)
     for _ in range(LIMITS.threads + 6):
@@ -169,10 +169,10 @@
 
 
 def test_a_connection_too_many_is_told_so(stack):
-    """Beyond the bound a caller gets an answer, not silence.
+    """A caller beyond the connection limit gets status 429.
 
-    Without it the server would leave the connection in the system's queue,
-    where it looks open and says nothing.
+    Otherwise the connection would stay in the system's accept queue, where the
+    caller sees it as open but never gets a response.
     """
     port, _ = serve_calls(stack)
     held = [connect(stack, port) for _ in range(LIMITS.connections)]
@@ -181,15 +181,15 @@
         sock.close()
     wait_until(
         lambda: answer_to(stack, port, sized(CALL, b"x")).status == 200,
-        "room for a connection",
+        "a free connection",
     )
 
 
 def test_a_caller_that_reads_nothing_holds_little_memory(stack):
-    """An answer nobody reads waits at its source, not in the host.
+    """A response that the caller does not read is not buffered without limit.
 
-    The application makes blocks without end. The server takes in a few
-    beyond what the system's socket holds, and then lets it wait.
+    The application yields far more blocks than the buffers hold. The server takes
+    a few more than the socket's buffers can hold, and then blocks the application.
     """
     made = []
 
@@ -202,17 +202,17 @@
     port = serve(stack, app)
     sock = connect(stack, port)
     sock.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-    wait_until(lambda: made, "a first block")
+    wait_until(lambda: made, "the first block")
     assert settled_length(made) < 200
     sock.close()
 
 
 def test_a_caller_that_never_reads_is_given_up(stack, monkeypatch):
-    """A caller that stopped reading can't hold a thread and a slot for good.
+    """A caller that stops reading can't occupy a thread and a slot forever.
 
-    Its connection stays open and its system answers for it, so nothing ever
-    breaks by itself. The kernel drops what acknowledges no bytes for the
-    bound, and the server closes the answer.
+    Its connection stays open, because the caller's system still answers for it.
+    The kernel closes a connection whose data stays unacknowledged for the
+    timeout, and the server then closes the response.
     """
     monkeypatch.setattr(listener, "STALL_S", 1)
     closed = threading.Event()
@@ -231,7 +231,7 @@
 
 
 def settled_length(made: list) -> int:
-    """Return the length of ``made`` once it has stopped to grow."""
+    """Return the length of ``made`` once it has stopped growing."""
     settled = 0
     while len(made) != settled:
         settled = len(made)
@@ -240,7 +240,7 @@
 
 
 def test_tls_serves_many_callers_and_refuses_plain_ones(stack, tmp_path):
-    """Callers reach the host by TLS; a plain one gets nothing and harms nobody."""
+    """TLS callers are served; a plaintext caller is not and affects no others."""
     authority = trustme.CA()
     issued = authority.issue_cert("127.0.0.1")
     certificate, key = tmp_path / "host.pem", tmp_path / "host.key"
@@ -272,7 +272,7 @@
 
 
 def test_tls_passes_an_answer_larger_than_any_buffer(stack, tmp_path):
-    """A long answer over TLS arrives whole though the caller reads slowly."""
+    """A long response over TLS is complete although the caller reads it late."""
     authority = trustme.CA()
     issued = authority.issue_cert("127.0.0.1")
     path = tmp_path / "both.pem"
@@ -297,7 +297,7 @@
 
 
 def test_buffers_stay_off_the_disk():
-    """Hosts have no disk: what the server buffers stays in memory."""
+    """The server buffers in memory only, because hosts have no disk."""
     limits = LimitSettings(threads=4)
     address = f"127.0.0.1:{free_ports(1)[0]}"
     server = make_listener(lambda *_: [], address, limits, limits.threads)
--- a/tests/serving/test_threads.py
+++ b/tests/serving/test_threads.py
@@ -1,4 +1,4 @@
-"""Threads that serve calls: how many there are in a burst, and at rest."""
+"""Tests of the number of threads that serve calls, in a burst and when idle."""
 
 import contextlib
 import threading
@@ -12,7 +12,7 @@
 
 
 class Task:
-    """A call that lasts until the test ends it."""
+    """A call that runs until the test sets ``end``."""
 
     def __init__(self) -> None:
         self.begun, self.end = threading.Event(), threading.Event()
@@ -50,11 +50,11 @@
 
 
 def test_a_burst_gets_a_thread_for_each_call_and_none_is_left_at_rest(stack):
-    """A hundred calls come at once to a host that serves none.
+    """A hundred calls arrive at once on an idle host.
 
-    Each is begun while all others still run, so that no caller waits for
-    another one's answer. When all are done the threads end: a host at rest
-    holds none.
+    Each starts while all others are still running, so that no caller waits for
+    another call to finish. When all have finished, the threads end: an idle host
+    has none.
     """
     dispatcher = make_dispatcher(stack, 200)
     tasks = add_tasks(stack, dispatcher, 100)
@@ -67,10 +67,10 @@
 
 
 def test_calls_beyond_the_bound_wait_and_lose_nothing(stack):
-    """More calls come than the host may have threads.
+    """More calls arrive than the maximum number of threads.
 
-    Those beyond the bound wait until a thread is free, and are then served
-    in their order; none is dropped and no further thread is started.
+    The excess calls are queued until a thread is free and are then served in
+    order. None is dropped, and no further thread is started.
     """
     dispatcher = make_dispatcher(stack, 3)
     tasks = add_tasks(stack, dispatcher, 8)
@@ -83,10 +83,10 @@
 
 
 def test_a_call_comes_just_when_the_last_thread_has_ended(stack):
-    """Calls come now and then, with pauses in which every thread ends.
+    """Calls arrive one at a time, with pauses in which all threads end.
 
-    Each of them is begun: a thread that is about to end either takes the
-    call, or is no longer counted as one that could.
+    Each call is started: a thread that is about to end either takes the call or
+    is no longer counted as idle.
     """
     dispatcher = make_dispatcher(stack, 4)
     for _ in range(5):
@@ -97,10 +97,10 @@
 
 
 def test_a_system_without_threads_keeps_the_call_for_one_that_runs(stack):
-    """The system refuses one more thread while another call is served.
+    """The system can't create another thread while a call is served.
 
-    The call waits for that thread instead of being lost, and the count of
-    threads stays right, so that later calls may start theirs.
+    The new call is queued for the running thread instead of being lost, and the
+    number of threads stays correct, so that later calls can start new ones.
     """
     dispatcher = make_dispatcher(stack, 4)
     (first,) = add_tasks(stack, dispatcher, 1)
@@ -118,7 +118,7 @@
 
 
 def test_a_call_that_fails_takes_no_thread_with_it(stack):
-    """A call ends by an error nobody foresaw; the next one is served."""
+    """A call fails with an unexpected exception; the next call is served."""
     dispatcher = make_dispatcher(stack, 1)
 
     class Failing(Task):
