--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -32,7 +32,7 @@
 from godwitladder.scheduler.rows import ClaimState, RequestRow
 from godwitladder.serving.calls import Call, CallRefused
 from godwitladder.serving.forwarding import FORWARDED, Forwarder
-from godwitladder.serving.repeats import First, Repeats
+from godwitladder.serving.repeats import First, JoinableRequests
 from godwitladder.settings import Settings
 
 log = component_logger("keys")
@@ -120,7 +120,7 @@
         self.find = find
         self.clock = clock
         self.metrics = metrics
-        self.repeats = Repeats(clock.monotonic)
+        self.repeats = JoinableRequests(clock.monotonic)
         self.stopping = False
 
     def serve(
--- a/godwitladder/serving/repeats.py
+++ b/godwitladder/serving/repeats.py
@@ -73,7 +73,7 @@
         return json.loads(self.body).get("outcome", "")
 
 
-class Repeats:
+class JoinableRequests:
     """The original requests on this host that retries can join, by key.
 
     Parameters
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -16,7 +16,7 @@
 from godwitladder.outcomes import RequestState
 from godwitladder.scheduler.rows import ClaimState, IllegalTransition, RequestRow
 from godwitladder.serving.keyed import key_date
-from godwitladder.serving.repeats import KEEP_BYTES, KEEP_S, Repeats
+from godwitladder.serving.repeats import KEEP_BYTES, KEEP_S, JoinableRequests
 
 SECRET = "a secret"
 WINDOW_S = 100.0
@@ -79,7 +79,7 @@
 def test_answers_kept_for_repeats_are_bounded():
     """Answers are kept for some tries, in bounded memory and time."""
     now = [1.0]
-    repeats = Repeats(lambda: now[0])
+    repeats = JoinableRequests(lambda: now[0])
     part = b"x" * (KEEP_BYTES // 4)
     for index in range(8):
         first, is_first = repeats.begin(f"key-{index}", "body")
