--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -32,7 +32,7 @@
 from godwitladder.scheduler.rows import ClaimState, RequestRow
 from godwitladder.serving.calls import Call, CallRefused
 from godwitladder.serving.forwarding import FORWARDED, Forwarder
-from godwitladder.serving.repeats import First, JoinableRequests
+from godwitladder.serving.repeats import JoinableRequests, OriginalRequest
 from godwitladder.settings import Settings
 
 log = component_logger("keys")
@@ -169,7 +169,7 @@
         return key
 
     def _join(
-        self, first: First, call: Call, start_response, resume
+        self, first: OriginalRequest, call: Call, start_response, resume
     ) -> Iterable[bytes] | None:
         """Return the response of the original request.
 
@@ -192,7 +192,7 @@
 
     def _serve_first(
         self,
-        first: First,
+        first: OriginalRequest,
         call: Call,
         issued: IssuedKey | None,
         environ: Mapping,
@@ -226,14 +226,14 @@
         self.repeats.keep(row.key, first)
         return answer
 
-    def _forget_unfinished(self, first: First, row: RequestRow):
+    def _forget_unfinished(self, first: OriginalRequest, row: RequestRow):
         def on_end(state: RequestState) -> None:
             if state is not RequestState.COMPLETED:
                 self.repeats.drop(row.key, first)
 
         return on_end
 
-    def _give_back_unrun(self, first: First, row: RequestRow):
+    def _give_back_unrun(self, first: OriginalRequest, row: RequestRow):
         def on_end(state: RequestState) -> None:
             if state is RequestState.NOT_RUN:
                 self.issued.give_back(row.key)
@@ -241,7 +241,7 @@
 
         return on_end
 
-    def _release_unrun(self, first: First, row: RequestRow):
+    def _release_unrun(self, first: OriginalRequest, row: RequestRow):
         def on_end(state: RequestState) -> None:
             # Release the key only if the request is known not to have run: the
             # next request with this key will run on any host that it reaches.
--- a/godwitladder/serving/repeats.py
+++ b/godwitladder/serving/repeats.py
@@ -20,7 +20,7 @@
 
 
 @dataclass
-class First:
+class OriginalRequest:
     """The first request with a key, and its response once there is one.
 
     Attributes
@@ -84,20 +84,20 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
-        self.firsts: OrderedDict[KeyDigest, First] = OrderedDict()
+        self.firsts: OrderedDict[KeyDigest, OriginalRequest] = OrderedDict()
         self.bytes = 0
         self.lock = threading.Lock()
 
-    def begin(self, key: KeyDigest, body: BodyDigest) -> tuple[First, bool]:
+    def begin(self, key: KeyDigest, body: BodyDigest) -> tuple[OriginalRequest, bool]:
         """Return the original request with ``key``, and whether it was just added."""
         with self.lock:
             held = self.firsts.get(key)
             if held:
                 return held, False
-            first = self.firsts[key] = First(body)
+            first = self.firsts[key] = OriginalRequest(body)
             return first, True
 
-    def keep(self, key: KeyDigest, first: First) -> None:
+    def keep(self, key: KeyDigest, first: OriginalRequest) -> None:
         """Retain a finished response, within the limits on time and memory."""
         with self.lock:
             if self.firsts.get(key) is not first:
@@ -107,7 +107,7 @@
             self.bytes += len(first.body or b"")
             self._evict()
 
-    def drop(self, key: KeyDigest, first: First) -> None:
+    def drop(self, key: KeyDigest, first: OriginalRequest) -> None:
         """Remove a request, so that the next one with its key is a new original."""
         with self.lock:
             if self.firsts.get(key) is first:
