--- a/godwitladder/serving/repeats.py
+++ b/godwitladder/serving/repeats.py
@@ -84,43 +84,43 @@
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
-        self.firsts: OrderedDict[KeyDigest, OriginalRequest] = OrderedDict()
+        self.originals: OrderedDict[KeyDigest, OriginalRequest] = OrderedDict()
         self.bytes = 0
         self.lock = threading.Lock()
 
     def begin(self, key: KeyDigest, body: BodyDigest) -> tuple[OriginalRequest, bool]:
         """Return the original request with ``key``, and whether it was just added."""
         with self.lock:
-            held = self.firsts.get(key)
+            held = self.originals.get(key)
             if held:
                 return held, False
-            first = self.firsts[key] = OriginalRequest(body)
+            first = self.originals[key] = OriginalRequest(body)
             return first, True
 
     def keep(self, key: KeyDigest, first: OriginalRequest) -> None:
         """Retain a finished response, within the limits on time and memory."""
         with self.lock:
-            if self.firsts.get(key) is not first:
+            if self.originals.get(key) is not first:
                 return
             first.ended = self.now()
-            self.firsts.move_to_end(key)
+            self.originals.move_to_end(key)
             self.bytes += len(first.body or b"")
             self._evict()
 
     def drop(self, key: KeyDigest, first: OriginalRequest) -> None:
         """Remove a request, so that the next one with its key is a new original."""
         with self.lock:
-            if self.firsts.get(key) is first:
+            if self.originals.get(key) is first:
                 self._remove(key)
         first.done.set()
 
     def _evict(self) -> None:
         oldest = self.now() - KEEP_S
-        for key, first in list(self.firsts.items()):
+        for key, first in list(self.originals.items()):
             if first.ended and (first.ended < oldest or self.bytes > KEEP_BYTES):
                 self._remove(key)
 
     def _remove(self, key: KeyDigest) -> None:
-        first = self.firsts.pop(key)
+        first = self.originals.pop(key)
         if first.ended:
             self.bytes -= len(first.body or b"")
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -91,4 +91,4 @@
     now[0] += KEEP_S + 1
     last, _ = repeats.begin("last", "body")
     repeats.keep("last", last)
-    assert list(repeats.firsts) == ["last"]
+    assert list(repeats.originals) == ["last"]
