--- a/godwitladder/serving/repeats.py
+++ b/godwitladder/serving/repeats.py
@@ -14,7 +14,7 @@
 from godwitladder.ids import BodyDigest, KeyDigest
 
 # Finished responses are kept for as long as a caller usually retries.
-KEEP_S = 300.0
+RETENTION_S = 300.0
 KEEP_BYTES = 8_388_608
 EVENT_STREAM = "text/event-stream"
 
@@ -115,7 +115,7 @@
         first.done.set()
 
     def _evict(self) -> None:
-        oldest = self.now() - KEEP_S
+        oldest = self.now() - RETENTION_S
         for key, first in list(self.originals.items()):
             if first.ended and (first.ended < oldest or self.bytes > KEEP_BYTES):
                 self._remove(key)
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -16,7 +16,7 @@
 from godwitladder.outcomes import RequestState
 from godwitladder.scheduler.rows import ClaimState, IllegalTransition, RequestRow
 from godwitladder.serving.keyed import key_date
-from godwitladder.serving.repeats import KEEP_BYTES, KEEP_S, JoinableRequests
+from godwitladder.serving.repeats import KEEP_BYTES, RETENTION_S, JoinableRequests
 
 SECRET = "a secret"
 WINDOW_S = 100.0
@@ -88,7 +88,7 @@
         repeats.keep(f"key-{index}", first)
     assert repeats.bytes <= KEEP_BYTES
     assert not repeats.begin("key-7", "body")[1]
-    now[0] += KEEP_S + 1
+    now[0] += RETENTION_S + 1
     last, _ = repeats.begin("last", "body")
     repeats.keep("last", last)
     assert list(repeats.originals) == ["last"]
