--- a/godwitladder/serving/repeats.py
+++ b/godwitladder/serving/repeats.py
@@ -15,7 +15,7 @@
 
 # Finished responses are kept for as long as a caller usually retries.
 RETENTION_S = 300.0
-KEEP_BYTES = 8_388_608
+MAX_RETAINED_BYTES = 8_388_608
 EVENT_STREAM = "text/event-stream"
 
 
@@ -117,7 +117,9 @@
     def _evict(self) -> None:
         oldest = self.now() - RETENTION_S
         for key, first in list(self.originals.items()):
-            if first.ended and (first.ended < oldest or self.bytes > KEEP_BYTES):
+            if first.ended and (
+                first.ended < oldest or self.bytes > MAX_RETAINED_BYTES
+            ):
                 self._remove(key)
 
     def _remove(self, key: KeyDigest) -> None:
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -16,7 +16,11 @@
 from godwitladder.outcomes import RequestState
 from godwitladder.scheduler.rows import ClaimState, IllegalTransition, RequestRow
 from godwitladder.serving.keyed import key_date
-from godwitladder.serving.repeats import KEEP_BYTES, RETENTION_S, JoinableRequests
+from godwitladder.serving.repeats import (
+    MAX_RETAINED_BYTES,
+    RETENTION_S,
+    JoinableRequests,
+)
 
 SECRET = "a secret"
 WINDOW_S = 100.0
@@ -80,13 +84,13 @@
     """Answers are kept for some tries, in bounded memory and time."""
     now = [1.0]
     repeats = JoinableRequests(lambda: now[0])
-    part = b"x" * (KEEP_BYTES // 4)
+    part = b"x" * (MAX_RETAINED_BYTES // 4)
     for index in range(8):
         first, is_first = repeats.begin(f"key-{index}", "body")
         assert is_first
         first.finish([part])
         repeats.keep(f"key-{index}", first)
-    assert repeats.bytes <= KEEP_BYTES
+    assert repeats.bytes <= MAX_RETAINED_BYTES
     assert not repeats.begin("key-7", "body")[1]
     now[0] += RETENTION_S + 1
     last, _ = repeats.begin("last", "body")
