--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -149,7 +149,7 @@
             holder = Holder(issued.host, issued.incarnation)
             return self._ask_holder(call, environ, holder, start_response)
         while True:
-            first, is_first = self.repeats.begin(call.row.key, call.row.body)
+            first, is_first = self.repeats.find_or_add(call.row.key, call.row.body)
             if is_first:
                 return self._serve_first(first, call, issued, environ, start_response)
             if first.digest != call.row.body:
--- a/godwitladder/serving/repeats.py
+++ b/godwitladder/serving/repeats.py
@@ -88,7 +88,9 @@
         self.bytes = 0
         self.lock = threading.Lock()
 
-    def begin(self, key: KeyDigest, body: BodyDigest) -> tuple[OriginalRequest, bool]:
+    def find_or_add(
+        self, key: KeyDigest, body: BodyDigest
+    ) -> tuple[OriginalRequest, bool]:
         """Return the original request with ``key``, and whether it was just added."""
         with self.lock:
             held = self.originals.get(key)
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -86,13 +86,13 @@
     repeats = JoinableRequests(lambda: now[0])
     part = b"x" * (MAX_RETAINED_BYTES // 4)
     for index in range(8):
-        first, is_first = repeats.begin(f"key-{index}", "body")
+        first, is_first = repeats.find_or_add(f"key-{index}", "body")
         assert is_first
         first.finish([part])
         repeats.keep(f"key-{index}", first)
     assert repeats.bytes <= MAX_RETAINED_BYTES
-    assert not repeats.begin("key-7", "body")[1]
+    assert not repeats.find_or_add("key-7", "body")[1]
     now[0] += RETENTION_S + 1
-    last, _ = repeats.begin("last", "body")
+    last, _ = repeats.find_or_add("last", "body")
     repeats.keep("last", last)
     assert list(repeats.originals) == ["last"]
