--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -223,7 +223,7 @@
         except BaseException:
             self.repeats.drop(row.key, first)
             raise
-        self.repeats.keep(row.key, first)
+        self.repeats.retain(row.key, first)
         return answer
 
     def _forget_unfinished(self, first: OriginalRequest, row: RequestRow):
--- a/godwitladder/serving/repeats.py
+++ b/godwitladder/serving/repeats.py
@@ -99,7 +99,7 @@
             first = self.originals[key] = OriginalRequest(body)
             return first, True
 
-    def keep(self, key: KeyDigest, first: OriginalRequest) -> None:
+    def retain(self, key: KeyDigest, first: OriginalRequest) -> None:
         """Retain a finished response, within the limits on time and memory."""
         with self.lock:
             if self.originals.get(key) is not first:
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -89,10 +89,10 @@
         first, is_first = repeats.find_or_add(f"key-{index}", "body")
         assert is_first
         first.finish([part])
-        repeats.keep(f"key-{index}", first)
+        repeats.retain(f"key-{index}", first)
     assert repeats.bytes <= MAX_RETAINED_BYTES
     assert not repeats.find_or_add("key-7", "body")[1]
     now[0] += RETENTION_S + 1
     last, _ = repeats.find_or_add("last", "body")
-    repeats.keep("last", last)
+    repeats.retain("last", last)
     assert list(repeats.originals) == ["last"]
