--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -215,13 +215,13 @@
                 if holder:
                     answer = self._ask_holder(call, environ, holder, start)
                     answer = first.finish(answer)
-                    self.repeats.drop(row.key, first)
+                    self.repeats.discard(row.key, first)
                     return answer
                 on_end = self._release_unrun(first, row)
             call = dataclasses.replace(call, on_end=on_end)
             answer = first.finish(self.run(call, environ, start))
         except BaseException:
-            self.repeats.drop(row.key, first)
+            self.repeats.discard(row.key, first)
             raise
         self.repeats.retain(row.key, first)
         return answer
@@ -229,7 +229,7 @@
     def _forget_unfinished(self, first: OriginalRequest, row: RequestRow):
         def on_end(state: RequestState) -> None:
             if state is not RequestState.COMPLETED:
-                self.repeats.drop(row.key, first)
+                self.repeats.discard(row.key, first)
 
         return on_end
 
@@ -237,7 +237,7 @@
         def on_end(state: RequestState) -> None:
             if state is RequestState.NOT_RUN:
                 self.issued.give_back(row.key)
-                self.repeats.drop(row.key, first)
+                self.repeats.discard(row.key, first)
 
         return on_end
 
@@ -247,7 +247,7 @@
             # next request with this key will run on any host that it reaches.
             if state is RequestState.NOT_RUN:
                 self.claims.tell(GiveUp(key_bytes(row.key), nonce_bytes(row.stream)))
-                self.repeats.drop(row.key, first)
+                self.repeats.discard(row.key, first)
 
         return on_end
 
--- a/godwitladder/serving/repeats.py
+++ b/godwitladder/serving/repeats.py
@@ -109,7 +109,7 @@
             self.bytes += len(first.body or b"")
             self._evict()
 
-    def drop(self, key: KeyDigest, first: OriginalRequest) -> None:
+    def discard(self, key: KeyDigest, first: OriginalRequest) -> None:
         """Remove a request, so that the next one with its key is a new original."""
         with self.lock:
             if self.originals.get(key) is first:
