--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -201,7 +201,7 @@
         row = call.row
 
         def start(status, headers, exc_info=None):
-            first.start(status, headers)
+            first.record_head(status, headers)
             return start_response(status, headers)
 
         try:
--- a/godwitladder/serving/repeats.py
+++ b/godwitladder/serving/repeats.py
@@ -49,7 +49,7 @@
     request: str = ""
     ended: float = 0.0
 
-    def start(self, status: str, headers: list[tuple[str, str]]) -> None:
+    def record_head(self, status: str, headers: list[tuple[str, str]]) -> None:
         """Record status and headers; from here on retries can join a stream."""
         self.status, self.headers = status, headers
         named = dict(headers)
