--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -48,7 +48,7 @@
 from godwitladder.scheduler.rows import Tables
 from godwitladder.scheduler.ticker import Ticker
 from godwitladder.serving.losses import AnswerLost, LossBook
-from godwitladder.serving.passing import Passer
+from godwitladder.serving.passing import RoutedProxy
 from godwitladder.serving.watch import CallWatch
 from godwitladder.supervision import watch_threads
 
@@ -231,7 +231,7 @@
             cores=self.settings.processor.cores,
         )
 
-    def make_passer(self, form: HeaderForm) -> Passer:
+    def make_passer(self, form: HeaderForm) -> RoutedProxy:
         """Return what sends calls on."""
         bounds = self.settings.bounds
         budget = RetryBudget(
@@ -239,7 +239,7 @@
                 bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_s
             )
         )
-        return Passer(
+        return RoutedProxy(
             form,
             self.scheduler,
             self.clock,
--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class Passer:
+class RoutedProxy:
     """What every call needs.
 
     Attributes
@@ -93,7 +93,7 @@
         Longest time between two events of a stream.
     """
 
-    def __init__(self, passer: Passer, call: RoutedCall, gone) -> None:
+    def __init__(self, passer: RoutedProxy, call: RoutedCall, gone) -> None:
         self.passer = passer
         self.call = call
         self.clock = passer.clock
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -18,7 +18,7 @@
 from godwitladder.scheduler.messages import Finished, Returned, ReturnProof, Submit
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.losses import AnswerLost, LossBook, digest_call
-from godwitladder.serving.passing import Passer
+from godwitladder.serving.passing import RoutedProxy
 from godwitladder.serving.upstream import StreamCut
 from godwitladder.serving.watch import CallWatch
 from godwitladder.standins.ingress import start_engine
@@ -117,7 +117,7 @@
         form = PlatformHeaders()
         self.currency = Currency(5.0)
         self.currency.prove(self.clock.boottime())
-        passer = Passer(
+        passer = RoutedProxy(
             form,
             self.desk,
             self.clock,
