--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -214,12 +214,12 @@
                 holder = self._claim(call, environ)
                 if holder:
                     answer = self._ask_holder(call, environ, holder, start)
-                    answer = first.finish(answer)
+                    answer = first.record_answer(answer)
                     self.repeats.discard(row.key, first)
                     return answer
                 on_end = self._release_unrun(first, row)
             call = dataclasses.replace(call, on_end=on_end)
-            answer = first.finish(self.run(call, environ, start))
+            answer = first.record_answer(self.run(call, environ, start))
         except BaseException:
             self.repeats.discard(row.key, first)
             raise
--- a/godwitladder/serving/repeats.py
+++ b/godwitladder/serving/repeats.py
@@ -57,7 +57,7 @@
             self.request = named.get("Request-Id", "")
             self.done.set()
 
-    def finish(self, answer: Iterable[bytes]) -> Iterable[bytes]:
+    def record_answer(self, answer: Iterable[bytes]) -> Iterable[bytes]:
         """Record the response body unless it is a stream, and return ``answer``."""
         if isinstance(answer, list):
             self.body = b"".join(answer)
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -88,7 +88,7 @@
     for index in range(8):
         first, is_first = repeats.find_or_add(f"key-{index}", "body")
         assert is_first
-        first.finish([part])
+        first.record_answer([part])
         repeats.retain(f"key-{index}", first)
     assert repeats.bytes <= MAX_RETAINED_BYTES
     assert not repeats.find_or_add("key-7", "body")[1]
