--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -47,7 +47,7 @@
 from godwitladder.scheduler.messages import HostsChanged, NewConfig, TargetsLeaving
 from godwitladder.scheduler.rows import Tables
 from godwitladder.scheduler.ticker import Ticker
-from godwitladder.serving.losses import AnswerLost, LossBook
+from godwitladder.serving.losses import AnswerLost, LossRegistry
 from godwitladder.serving.passing import RoutedProxy
 from godwitladder.serving.watch import CallWatch
 from godwitladder.supervision import watch_threads
@@ -177,7 +177,7 @@
         self.feed.ask = self.ask_peer
         self.router.takers[FeedNews] = lambda link, news: self.feed.take_news(news)
         self.router.takers[FeedWanted] = self.tell_newcomer
-        self.losses = LossBook(clock, self.mesh.broadcast)
+        self.losses = LossRegistry(clock, self.mesh.broadcast)
         self.router.takers[AnswerLost] = self.take_loss
         self.watch = CallWatch(clock)
         self.app = RoutedApp(
--- a/godwitladder/serving/losses.py
+++ b/godwitladder/serving/losses.py
@@ -23,7 +23,7 @@
     target: TargetName
 
 
-class LossBook:
+class LossRegistry:
     """What this host and its peers know of lost answers.
 
     Parameters
--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -24,7 +24,7 @@
 from godwitladder.serving.answers import internal_fault
 from godwitladder.serving.ending import Ending
 from godwitladder.serving.lateness import judge_lateness
-from godwitladder.serving.losses import LossBook
+from godwitladder.serving.losses import LossRegistry
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.streaming import StreamPassing
 from godwitladder.serving.upstream import NotRun, WholeAnswer, is_stream, read_whole
@@ -64,7 +64,7 @@
     metrics: Metrics
     watch: CallWatch
     budget: RetryBudget
-    losses: LossBook
+    losses: LossRegistry
     hosts: Callable[[], int]
 
     def serve(self, call: RoutedCall, gone, start_response) -> Iterable[bytes]:
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -17,7 +17,7 @@
 from godwitladder.routing.currency import Currency
 from godwitladder.scheduler.messages import Finished, Returned, ReturnProof, Submit
 from godwitladder.scheduler.rows import Dispatch
-from godwitladder.serving.losses import AnswerLost, LossBook, digest_call
+from godwitladder.serving.losses import AnswerLost, LossRegistry, digest_call
 from godwitladder.serving.passing import RoutedProxy
 from godwitladder.serving.upstream import StreamCut
 from godwitladder.serving.watch import CallWatch
@@ -124,7 +124,7 @@
             Metrics(),
             self.watch,
             RetryBudget(RetryLimits()),
-            LossBook(self.clock, lambda message: None),
+            LossRegistry(self.clock, lambda message: None),
             lambda: 1,
         )
         self.app = RoutedApp(form, passer, self.currency, self.clock, Metrics())
