--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -32,7 +32,7 @@
 from godwitladder.scheduler.rows import ClaimState, RequestRow
 from godwitladder.serving.calls import Call, CallRefused
 from godwitladder.serving.forwarding import FORWARDED, Forwarder
-from godwitladder.serving.repeats import JoinableRequests, OriginalRequest
+from godwitladder.serving.retries import JoinableRequests, OriginalRequest
 from godwitladder.settings import Settings
 
 log = component_logger("keys")
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -16,7 +16,7 @@
 from godwitladder.outcomes import RequestState
 from godwitladder.scheduler.rows import ClaimState, IllegalTransition, RequestRow
 from godwitladder.serving.keyed import key_date
-from godwitladder.serving.repeats import (
+from godwitladder.serving.retries import (
     MAX_RETAINED_BYTES,
     RETENTION_S,
     JoinableRequests,
