--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -49,7 +49,7 @@
 from godwitladder.scheduler.ticker import Ticker
 from godwitladder.serving.losses import AnswerLost, LossRegistry
 from godwitladder.serving.passing import RoutedProxy
-from godwitladder.serving.watch import CallWatch
+from godwitladder.serving.watch import CallWatcher
 from godwitladder.supervision import watch_threads
 
 log = component_logger("daemon")
@@ -179,7 +179,7 @@
         self.router.takers[FeedWanted] = self.tell_newcomer
         self.losses = LossRegistry(clock, self.mesh.broadcast)
         self.router.takers[AnswerLost] = self.take_loss
-        self.watch = CallWatch(clock)
+        self.watch = CallWatcher(clock)
         self.app = RoutedApp(
             form,
             self.make_passer(form),
--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -28,7 +28,7 @@
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.streaming import StreamPassing
 from godwitladder.serving.upstream import NotRun, WholeAnswer, is_stream, read_whole
-from godwitladder.serving.watch import CallWatch, Cause, OpenCall
+from godwitladder.serving.watch import CallWatcher, Cause, OpenCall
 
 log = component_logger("passing")
 
@@ -62,7 +62,7 @@
     scheduler: pykka.ActorRef
     clock: Clock
     metrics: Metrics
-    watch: CallWatch
+    watch: CallWatcher
     budget: RetryBudget
     losses: LossRegistry
     hosts: Callable[[], int]
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -20,7 +20,7 @@
 from godwitladder.serving.losses import AnswerLost, LossRegistry, digest_call
 from godwitladder.serving.passing import RoutedProxy
 from godwitladder.serving.upstream import StreamCut
-from godwitladder.serving.watch import CallWatch
+from godwitladder.serving.watch import CallWatcher
 from godwitladder.standins.ingress import start_engine
 from tests.fleet import wait_until
 from tests.platform.test_adapter import CONFIG
@@ -110,7 +110,7 @@
             stack.callback(engine.server_close)
             stack.callback(engine.shutdown)
         self.clock = Clock()
-        self.watch = CallWatch(self.clock)
+        self.watch = CallWatcher(self.clock)
         self.watch.start()
         stack.callback(self.watch.stop)
         self.desk = Desk(engine.address for engine in self.engines)
