--- a/godwitladder/serving/request_ids.py
+++ b/godwitladder/serving/request_ids.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class RequestName:
+class RequestLocator:
     """The content of a signed request id."""
 
     workspace: WorkspaceName
@@ -30,14 +30,14 @@
     stream: StreamId
 
 
-def sign_request(secret: str, name: RequestName) -> str:
+def sign_request(secret: str, name: RequestLocator) -> str:
     """Return the signed, URL-safe request id that contains ``name``."""
     text = json.dumps([name.workspace, name.target, name.stream]).encode()
     signature = _sign(secret, text)
     return base64.urlsafe_b64encode(signature + text).decode().rstrip("=")
 
 
-def read_request(secret: str, identity: str) -> RequestName:
+def read_request(secret: str, identity: str) -> RequestLocator:
     """Return the content of the request id ``identity``.
 
     Raises
@@ -52,7 +52,7 @@
     signature, text = data[:SIGNATURE_BYTES], data[SIGNATURE_BYTES:]
     if not hmac.compare_digest(signature, _sign(secret, text)):
         raise ForgedId(f"{identity!r} is no request id of this system")
-    return RequestName(*json.loads(text))
+    return RequestLocator(*json.loads(text))
 
 
 def _sign(secret: str, text: bytes) -> bytes:
--- a/godwitladder/serving/resuming.py
+++ b/godwitladder/serving/resuming.py
@@ -18,7 +18,7 @@
 from godwitladder.serving.joining import join_chunks
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.relay import AnswerCut, StreamFollower
-from godwitladder.serving.request_ids import ForgedId, RequestName, read_request
+from godwitladder.serving.request_ids import ForgedId, RequestLocator, read_request
 
 RESUME_TIMEOUT_S = 300.0
 # The reason to finish stands in one of the last chunks. They are read again, so
@@ -63,7 +63,7 @@
 
 def find_request(
     identity: str, caller: Caller, config: ConfigState, secret: str
-) -> tuple[RequestName, Target]:
+) -> tuple[RequestLocator, Target]:
     """Return what ``identity`` names and the target that has it.
 
     Raises
