--- a/godwitladder/serving/upstream.py
+++ b/godwitladder/serving/upstream.py
@@ -12,7 +12,7 @@
     """The target says that it did not run the request."""
 
 
-class StreamCut(GodwitladderError):
+class StreamTruncated(GodwitladderError):
     """The rest of a stream can't be had; its answer must look broken."""
 
     logged = True
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -19,7 +19,7 @@
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.losses import AnswerLost, LossRegistry, digest_call
 from godwitladder.serving.passing import RoutedProxy
-from godwitladder.serving.upstream import StreamCut
+from godwitladder.serving.upstream import StreamTruncated
 from godwitladder.serving.watch import CallWatcher
 from godwitladder.standins.ingress import start_engine
 from tests.fleet import wait_until
@@ -90,7 +90,7 @@
             self.pieces = []
             for piece in body:
                 self.pieces.append(piece)
-        except StreamCut:
+        except StreamTruncated:
             self.cut = True
         finally:
             body.close()
