--- a/godwitladder/serving/request_ids.py
+++ b/godwitladder/serving/request_ids.py
@@ -37,7 +37,7 @@
     return base64.urlsafe_b64encode(signature + text).decode().rstrip("=")
 
 
-def read_request(secret: str, identity: str) -> RequestLocator:
+def read_request_id(secret: str, identity: str) -> RequestLocator:
     """Return the content of the request id ``identity``.
 
     Raises
--- a/godwitladder/serving/resuming.py
+++ b/godwitladder/serving/resuming.py
@@ -18,7 +18,7 @@
 from godwitladder.serving.joining import join_chunks
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.relay import AnswerCut, StreamFollower
-from godwitladder.serving.request_ids import ForgedId, RequestLocator, read_request
+from godwitladder.serving.request_ids import ForgedId, RequestLocator, read_request_id
 
 RESUME_TIMEOUT_S = 300.0
 # The reason to finish stands in one of the last chunks. They are read again, so
@@ -72,7 +72,7 @@
         The id is not one of this caller's, or its answer can't be had again.
     """
     try:
-        name = read_request(secret, identity)
+        name = read_request_id(secret, identity)
     except ForgedId as error:
         raise deny(Reason.UNKNOWN_PATH, f"{error}.") from error
     if name.workspace != caller.name:
