--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -27,7 +27,7 @@
 from godwitladder.serving.losses import LossRegistry
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.streaming import StreamPassing
-from godwitladder.serving.upstream import NotRun, WholeAnswer, is_stream, read_whole
+from godwitladder.serving.upstream import BufferedAnswer, NotRun, is_stream, read_whole
 from godwitladder.serving.watch import CallWatcher, Cause, OpenCall
 
 log = component_logger("passing")
@@ -87,7 +87,7 @@
         Whether the scheduler counts it as running at a target.
     resume_from : str
         Last event that the caller has of a stream which goes on elsewhere.
-    kept : WholeAnswer or None
+    kept : BufferedAnswer or None
         A failure that a target made, for want of a better answer.
     pause_s : float
         Longest time between two events of a stream.
@@ -104,7 +104,7 @@
         self.connection = None
         self.running = False
         self.resume_from = ""
-        self.kept: WholeAnswer | None = None
+        self.kept: BufferedAnswer | None = None
         self.pause_s = 0.0
         self.lost: MayHaveRun | None = None
         passer.watch.add(self.open)
@@ -210,7 +210,9 @@
         body = read_whole(response)
         headers = self.passer.form.for_caller(response.headers.items())
         headers.append(("Content-Length", str(len(body))))
-        whole = WholeAnswer(f"{response.status} {response.reason or ''}", headers, body)
+        whole = BufferedAnswer(
+            f"{response.status} {response.reason or ''}", headers, body
+        )
         if response.status >= 500 and self.repeat():
             self.kept = whole
             return None
--- a/godwitladder/serving/upstream.py
+++ b/godwitladder/serving/upstream.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class WholeAnswer:
+class BufferedAnswer:
     """A target's answer that was read to its end."""
 
     status: str
