--- a/godwitladder/serving/dispatching.py
+++ b/godwitladder/serving/dispatching.py
@@ -32,7 +32,7 @@
 from godwitladder.serving.joining import join_chunks
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.relay import AnswerCut, StreamFollower, lost, open_for
-from godwitladder.serving.request_ids import RequestLocator, sign_request
+from godwitladder.serving.request_ids import RequestLocator, sign_request_id
 from godwitladder.settings import Settings
 
 log = component_logger("callers")
@@ -128,7 +128,7 @@
             call, dispatcher.scheduler, dispatcher.clock, dispatcher.metrics
         )
         name = RequestLocator(call.row.workspace, dispatch.target, dispatch.stream)
-        self.identity = sign_request(dispatcher.settings.peers.secret, name)
+        self.identity = sign_request_id(dispatcher.settings.peers.secret, name)
         waited = self.clock.monotonic() - call.row.arrived
         dispatcher.metrics.queue_wait.observe({}, waited)
 
--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -24,7 +24,7 @@
 from godwitladder.serving.calls import Call, Caller, CallRefused
 from godwitladder.serving.forwarding import ForwardedAnswer, ForwardedCall, Forwarder
 from godwitladder.serving.keyed import STOPPING_RETRY_S, KeyedCalls
-from godwitladder.serving.request_ids import RequestLocator, sign_request
+from godwitladder.serving.request_ids import RequestLocator, sign_request_id
 from godwitladder.settings import Settings
 from godwitladder.supervision import supervised
 
@@ -177,7 +177,9 @@
         target = find_stream(self.callers.config, row.service, stream)
         if target is None:
             return ""
-        return sign_request(self.secret, RequestLocator(row.workspace, target, stream))
+        return sign_request_id(
+            self.secret, RequestLocator(row.workspace, target, stream)
+        )
 
 
 def find_stream(
--- a/godwitladder/serving/request_ids.py
+++ b/godwitladder/serving/request_ids.py
@@ -30,7 +30,7 @@
     stream: StreamId
 
 
-def sign_request(secret: str, name: RequestLocator) -> str:
+def sign_request_id(secret: str, name: RequestLocator) -> str:
     """Return the signed, URL-safe request id that contains ``name``."""
     text = json.dumps([name.workspace, name.target, name.stream]).encode()
     signature = _sign(secret, text)
