--- a/godwitladder/serving/resuming.py
+++ b/godwitladder/serving/resuming.py
@@ -17,7 +17,7 @@
 from godwitladder.serving.calls import Caller, CallRefused, deny, read_timeout
 from godwitladder.serving.joining import join_chunks
 from godwitladder.serving.problems import answer_problem
-from godwitladder.serving.relay import AnswerCut, StreamFollower
+from godwitladder.serving.relay import AnswerTruncated, StreamFollower
 from godwitladder.serving.request_ids import ForgedId, RequestLocator, read_request_id
 
 RESUME_TIMEOUT_S = 300.0
@@ -55,7 +55,7 @@
         # The first read comes before the answer starts: a stream that can't
         # be had is told by the status then.
         first = next(batches, [])
-    except AnswerCut as error:
+    except AnswerTruncated as error:
         return answer_problem(start_response, error.refusal, identity)
     start_events(start_response, identity)
     return event_bytes(itertools.chain([first], batches), identity, start)
