--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -295,7 +295,7 @@
             key_bytes(row.key),
             nonce_bytes(row.stream),
             body_bytes(row.body),
-            key_date(environ[KEY_HEADER]),
+            uuid7_time_s(environ[KEY_HEADER]),
             due,
         )
         reply: queue.SimpleQueue[Settled] = queue.SimpleQueue()
@@ -350,7 +350,7 @@
     }
 
 
-def key_date(text: str) -> float:
+def uuid7_time_s(text: str) -> float:
     """Return the creation time of a UUIDv7 key in seconds since the epoch, else 0.
 
     A version 7 UUID contains its creation time in milliseconds, so that a key
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -15,7 +15,7 @@
 )
 from godwitladder.outcomes import RequestState
 from godwitladder.scheduler.rows import ClaimState, IllegalTransition, RequestRow
-from godwitladder.serving.keyed import key_date
+from godwitladder.serving.keyed import uuid7_time_s
 from godwitladder.serving.retries import (
     MAX_RETAINED_BYTES,
     RETENTION_S,
@@ -65,9 +65,9 @@
 def test_date_is_read_from_a_uuid_of_version_7_alone():
     """A key tells its time, or none."""
     dated = uuid.UUID(int=(1_700_000_000_123 << 80) | (7 << 76) | (2 << 62))
-    assert key_date(str(dated)) == 1_700_000_000.123
-    assert key_date(str(uuid.UUID(int=dated.int ^ (3 << 76)))) == 0.0
-    assert key_date("order-7") == 0.0
+    assert uuid7_time_s(str(dated)) == 1_700_000_000.123
+    assert uuid7_time_s(str(uuid.UUID(int=dated.int ^ (3 << 76)))) == 0.0
+    assert uuid7_time_s("order-7") == 0.0
 
 
 def test_unclaimed_request_is_never_dispatched():
