--- a/godwitladder/serving/dispatching.py
+++ b/godwitladder/serving/dispatching.py
@@ -28,7 +28,7 @@
     start_events,
 )
 from godwitladder.serving.calls import Call
-from godwitladder.serving.ending import Ending
+from godwitladder.serving.ending import DispatchReporter
 from godwitladder.serving.joining import join_chunks
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.relay import AnswerTruncated, StreamFollower, lost, open_for
@@ -124,7 +124,7 @@
         self.call = call
         self.dispatch = dispatch
         self.clock = dispatcher.clock
-        self.ending = Ending(
+        self.ending = DispatchReporter(
             call, dispatcher.scheduler, dispatcher.clock, dispatcher.metrics
         )
         name = RequestLocator(call.row.workspace, dispatch.target, dispatch.stream)
--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -22,7 +22,7 @@
 from godwitladder.scheduler.messages import Returned, ReturnProof, Submit, Withdrawn
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.answers import internal_fault
-from godwitladder.serving.ending import Ending
+from godwitladder.serving.ending import DispatchReporter
 from godwitladder.serving.lateness import judge_lateness
 from godwitladder.serving.losses import LossRegistry
 from godwitladder.serving.problems import answer_problem
@@ -100,7 +100,9 @@
         self.sends = 0
         self.target = ""
         self.open = OpenCall(gone, call.until, self.withdraw)
-        self.ending = Ending(call, passer.scheduler, passer.clock, passer.metrics)
+        self.ending = DispatchReporter(
+            call, passer.scheduler, passer.clock, passer.metrics
+        )
         self.connection = None
         self.running = False
         self.resume_from = ""
