--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -67,7 +67,7 @@
     return [body]
 
 
-class KeyParts:
+class KeyComponents:
     """The components of a host that handle claims, issued keys and forwarding.
 
     They are started and stopped together.
