--- a/godwitladder/serving/forwarding.py
+++ b/godwitladder/serving/forwarding.py
@@ -34,7 +34,7 @@
     "HTTP_IDEMPOTENCY_KEY",
     "HTTP_REQUEST_TIER_RANK",
 )
-FORWARDED = "godwitladder.forwarded"
+FORWARDED_KEY = "godwitladder.forwarded"
 
 
 @peer_message
@@ -256,7 +256,7 @@
         "CONTENT_LENGTH": str(len(message.body)),
         "HTTP_REQUEST_TIMEOUT": str(message.timeout_s),
         "wsgi.input": io.BytesIO(message.body),
-        FORWARDED: True,
+        FORWARDED_KEY: True,
         **dict(zip(message.names, message.values, strict=True)),
     }
 
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -31,7 +31,7 @@
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
 from godwitladder.scheduler.rows import ClaimState, RequestRow
 from godwitladder.serving.calls import Call, CallRefused
-from godwitladder.serving.forwarding import FORWARDED, Forwarder
+from godwitladder.serving.forwarding import FORWARDED_KEY, Forwarder
 from godwitladder.serving.retries import JoinableRequests, OriginalRequest
 from godwitladder.settings import Settings
 
@@ -317,7 +317,7 @@
             self.issued.host,
             self.issued.incarnation,
         )
-        if not own and not environ.get(FORWARDED):
+        if not own and not environ.get(FORWARDED_KEY):
             answer = self.forwarder.ask(
                 holder.host,
                 holder.incarnation,
