--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -133,7 +133,7 @@
         )
         self.ticker: Ticker | None = None
 
-    def takers(self) -> dict[type, Callable[[Any, Any], None]]:
+    def message_handlers(self) -> dict[type, Callable[[Any, Any], None]]:
         """Return the handlers of peer messages about keys and crashes, by class."""
         return {
             ForwardedCall: self.forwarder.take,
