--- a/godwitladder/serving/forwarding.py
+++ b/godwitladder/serving/forwarding.py
@@ -27,7 +27,7 @@
 # Calls that other hosts may have under way here; each takes a thread.
 CALLS = 64
 # A message between hosts may have 4 MiB.
-ANSWER_BYTES = 3_145_728
+MAX_ANSWER_BYTES = 3_145_728
 POLL_S = 0.25
 PASSED_HEADERS = (
     "HTTP_AUTHORIZATION",
@@ -268,7 +268,7 @@
     for part in answer:
         parts.append(part)
         length += len(part)
-        if length > ANSWER_BYTES:
+        if length > MAX_ANSWER_BYTES:
             return None
     return b"".join(parts)
 
