--- a/tests/serving/app.py
+++ b/tests/serving/app.py
@@ -136,7 +136,7 @@
         for actor in (allocator, self.scheduler):
             actor.ask(NewConfig(self.app.config))
 
-    def wait_allowed(self) -> None:
+    def wait_for_allowances(self) -> None:
         """Wait until the host has allowances for its targets.
 
         Without an allowance the scheduler asks the allocator, which refuses
