--- a/godwitladder/serving/callers.py
+++ b/godwitladder/serving/callers.py
@@ -22,7 +22,7 @@
 )
 from godwitladder.serving.counting import CountedApp
 from godwitladder.serving.dispatching import Dispatcher
-from godwitladder.serving.keyed import BODY, KeyedCalls
+from godwitladder.serving.keyed import BODY_KEY, KeyedCalls
 from godwitladder.serving.keys import KEYS_PATH, issue_key
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.resuming import resume_request
@@ -70,11 +70,11 @@
         self.metrics = metrics
         self.config = ConfigState()
         self.dispatcher = Dispatcher(
-            settings, scheduler, clock, metrics, self.is_crowded
+            settings, scheduler, clock, metrics, self.exceeds_thread_limit
         )
         self.keyed: KeyedCalls | None = None
 
-    def is_crowded(self) -> bool:
+    def exceeds_thread_limit(self) -> bool:
         """Return whether only the threads reserved for refusals are left."""
         return self.open_calls > self.settings.limits.threads
 
@@ -129,7 +129,7 @@
                 {}, identity, caller, self.config, secret, self.clock, start_response
             )
 
-        environ = {**environ, BODY: body}
+        environ = {**environ, BODY_KEY: body}
         return self.keyed.serve(call, environ, start_response, resume)
 
     def _read_body(self, environ: Mapping) -> bytes:
--- a/godwitladder/serving/calls.py
+++ b/godwitladder/serving/calls.py
@@ -25,7 +25,7 @@
 
 BYTES_PER_TOKEN = 4
 PREFIX_BYTES = 1024
-DEFAULT_OUTPUT = 512
+DEFAULT_OUTPUT_TOKENS = 512
 
 
 class CallRefused(GodwitladderError):
@@ -111,16 +111,16 @@
     name = ServiceName(str(raw.get("model", "")))
     service = find_service(config, name, ServiceKind.MODEL)
     prompt = json.dumps(raw["messages"]).encode()
-    declared = raw.get("max_tokens", DEFAULT_OUTPUT)
+    declared = raw.get("max_tokens", DEFAULT_OUTPUT_TOKENS)
     if not isinstance(declared, int) or isinstance(declared, bool) or declared < 1:
         raise deny(Reason.MALFORMED, f"max_tokens {declared!r} is no whole number.")
     row = make_row(environ, caller, name, service, body, clock, limits)
     row.prompt_tokens = max(1, len(prompt) // BYTES_PER_TOKEN)
     row.declared_tokens = min(declared, service.max_output)
     row.prefix = hashlib.sha256(prompt[:PREFIX_BYTES]).hexdigest()[:16]
-    passed = json.dumps(raw | {"stream": True, "max_tokens": row.declared_tokens})
+    forwarded = json.dumps(raw | {"stream": True, "max_tokens": row.declared_tokens})
     streamed = bool(raw.get("stream", False))
-    return Call(row, service, passed.encode(), "application/json", streamed)
+    return Call(row, service, forwarded.encode(), "application/json", streamed)
 
 
 def read_plain(
@@ -141,8 +141,8 @@
     """
     service = find_service(config, name, ServiceKind.PLAIN)
     row = make_row(environ, caller, name, service, body, clock, limits)
-    kind = environ.get("CONTENT_TYPE") or "application/octet-stream"
-    return Call(row, service, body, kind, False)
+    content_type = environ.get("CONTENT_TYPE") or "application/octet-stream"
+    return Call(row, service, body, content_type, False)
 
 
 def find_service(config: ConfigState, name: ServiceName, kind: ServiceKind) -> Service:
--- a/godwitladder/serving/counting.py
+++ b/godwitladder/serving/counting.py
@@ -6,16 +6,16 @@
 
 
 class CountedAnswer:
-    """A WSGI response that calls ``done`` when the server has finished with it.
+    """A WSGI response that calls ``on_close`` when the server has finished with it.
 
     A graceful shutdown waits until no call is open. The count must therefore
     not fall when the response starts, but when the server has taken its last
     byte.
     """
 
-    def __init__(self, body: Iterable[bytes], done: Callable[[], None]) -> None:
+    def __init__(self, body: Iterable[bytes], on_close: Callable[[], None]) -> None:
         self.body = body
-        self.done = done
+        self.on_close = on_close
 
     def __iter__(self) -> Iterator[bytes]:
         return iter(self.body)
@@ -27,7 +27,7 @@
             if close:
                 close()
         finally:
-            self.done()
+            self.on_close()
 
 
 class CountedApp(abc.ABC):
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -37,23 +37,31 @@
 
 log = component_logger("keys")
 
-POLL_S = 0.5
+POLL_INTERVAL_S = 0.5
 KEY_HEADER = "HTTP_IDEMPOTENCY_KEY"
 # Key of the WSGI environ under which the application stores the unparsed body.
-BODY = "godwitladder.body"
+BODY_KEY = "godwitladder.body"
 # Minimum ratio of the claim window to a request's time until its deadline. It
 # keeps a queued request from being dispatched after its claim was forgotten.
-WINDOW_DEADLINES = 2
+MIN_WINDOW_FACTOR = 2
 UUID_TIME_VERSION = 7
 
-HELD = "Another request holds this key; it may have run."
-GONE = "The process that holds this key can't be reached; its request may have run."
-OTHER_BODY = "This key was used with another body, and this one did not run."
-EXPIRED = "This key is older than the time for which keys are known; it may have run."
-STOPPING = "This host is stopping; another one will take the request."
+KEY_IN_USE_TEXT = "Another request holds this key; it may have run."
+HOLDER_GONE_TEXT = (
+    "The process that holds this key can't be reached; its request may have run."
+)
+KEY_REUSED_TEXT = "This key was used with another body, and this one did not run."
+KEY_EXPIRED_TEXT = (
+    "This key is older than the time for which keys are known; it may have run."
+)
+STOPPING_TEXT = "This host is stopping; another one will take the request."
 STOPPING_RETRY_S = 1.0
-NO_LOG = "The key could not be claimed, since the platform's log does not answer."
-FORGED = "The key has the form of an issued one and was not issued to this workspace."
+LOG_UNAVAILABLE_TEXT = (
+    "The key could not be claimed, since the platform's log does not answer."
+)
+FORGED_KEY_TEXT = (
+    "The key has the form of an issued one and was not issued to this workspace."
+)
 
 
 @dataclass(frozen=True)
@@ -87,7 +95,7 @@
         Forwards calls to other hosts.
     run : callable
         Serves a call that holds its key or needs none.
-    find : callable
+    find_request_id : callable
         Returns the signed request id of a stream if a target of the call's
         service has that stream, else ``""``.
     clock : Clock
@@ -108,7 +116,7 @@
         issued: IssuedKeys,
         forwarder: Forwarder,
         run: Callable[[Call, Mapping, Callable], Iterable[bytes]],
-        find: Callable[[Call, StreamId], str],
+        find_request_id: Callable[[Call, StreamId], str],
         clock: Clock,
         metrics: Metrics,
     ) -> None:
@@ -117,10 +125,10 @@
         self.issued = issued
         self.forwarder = forwarder
         self.run = run
-        self.find = find
+        self.find_request_id = find_request_id
         self.clock = clock
         self.metrics = metrics
-        self.repeats = JoinableRequests(clock.monotonic)
+        self.joinable = JoinableRequests(clock.monotonic)
         self.stopping = False
 
     def serve(
@@ -147,14 +155,18 @@
         issued = self._read_issued(call, environ)
         if issued and not self.issued.is_own(issued) and not call.row.idempotent:
             holder = Holder(issued.host, issued.incarnation)
-            return self._ask_holder(call, environ, holder, start_response)
+            return self._forward_to_holder(call, environ, holder, start_response)
         while True:
-            first, is_first = self.repeats.find_or_add(call.row.key, call.row.body)
-            if is_first:
-                return self._serve_first(first, call, issued, environ, start_response)
-            if first.digest != call.row.body:
-                raise CallRefused(refuse(Reason.KEY_REUSED, OTHER_BODY))
-            answer = self._join(first, call, start_response, resume)
+            original, is_original = self.joinable.find_or_add(
+                call.row.key, call.row.body
+            )
+            if is_original:
+                return self._serve_original(
+                    original, call, issued, environ, start_response
+                )
+            if original.digest != call.row.body:
+                raise CallRefused(refuse(Reason.KEY_REUSED, KEY_REUSED_TEXT))
+            answer = self._join(original, call, start_response, resume)
             if answer is not None:
                 return answer
 
@@ -163,13 +175,13 @@
         try:
             key = read_key(secret, environ[KEY_HEADER])
         except ForgedKey as error:
-            raise CallRefused(refuse(Reason.MALFORMED, FORGED)) from error
+            raise CallRefused(refuse(Reason.MALFORMED, FORGED_KEY_TEXT)) from error
         if key and key.workspace != call.row.workspace:
-            raise CallRefused(refuse(Reason.MALFORMED, FORGED))
+            raise CallRefused(refuse(Reason.MALFORMED, FORGED_KEY_TEXT))
         return key
 
     def _join(
-        self, first: OriginalRequest, call: Call, start_response, resume
+        self, original: OriginalRequest, call: Call, start_response, resume
     ) -> Iterable[bytes] | None:
         """Return the response of the original request.
 
@@ -180,19 +192,19 @@
         CallRefused
             The original request has not been answered by the deadline.
         """
-        while not first.done.wait(POLL_S):
+        while not original.done.wait(POLL_INTERVAL_S):
             if self.clock.monotonic() >= call.row.deadline:
-                raise held(first.request)
-        if first.request:
-            return resume(first.request)
-        if first.body is None:
+                raise key_in_use(original.request)
+        if original.request:
+            return resume(original.request)
+        if original.body is None:
             return None
-        start_response(first.status, first.headers)
-        return [first.body]
+        start_response(original.status, original.headers)
+        return [original.body]
 
-    def _serve_first(
+    def _serve_original(
         self,
-        first: OriginalRequest,
+        original: OriginalRequest,
         call: Call,
         issued: IssuedKey | None,
         environ: Mapping,
@@ -201,64 +213,64 @@
         row = call.row
 
         def start(status, headers, exc_info=None):
-            first.record_head(status, headers)
+            original.record_head(status, headers)
             return start_response(status, headers)
 
         try:
             if row.idempotent:
-                on_end = self._forget_unfinished(first, row)
+                on_end = self._discard_unless_completed(original, row)
             elif issued:
                 self._spend(issued, row)
-                on_end = self._give_back_unrun(first, row)
+                on_end = self._give_back_if_not_run(original, row)
             else:
                 holder = self._claim(call, environ)
                 if holder:
-                    answer = self._ask_holder(call, environ, holder, start)
-                    answer = first.record_answer(answer)
-                    self.repeats.discard(row.key, first)
+                    answer = self._forward_to_holder(call, environ, holder, start)
+                    answer = original.record_answer(answer)
+                    self.joinable.discard(row.key, original)
                     return answer
-                on_end = self._release_unrun(first, row)
+                on_end = self._release_if_not_run(original, row)
             call = dataclasses.replace(call, on_end=on_end)
-            answer = first.record_answer(self.run(call, environ, start))
+            answer = original.record_answer(self.run(call, environ, start))
         except BaseException:
-            self.repeats.discard(row.key, first)
+            self.joinable.discard(row.key, original)
             raise
-        self.repeats.retain(row.key, first)
+        self.joinable.retain(row.key, original)
         return answer
 
-    def _forget_unfinished(self, first: OriginalRequest, row: RequestRow):
+    def _discard_unless_completed(self, original: OriginalRequest, row: RequestRow):
         def on_end(state: RequestState) -> None:
             if state is not RequestState.COMPLETED:
-                self.repeats.discard(row.key, first)
+                self.joinable.discard(row.key, original)
 
         return on_end
 
-    def _give_back_unrun(self, first: OriginalRequest, row: RequestRow):
+    def _give_back_if_not_run(self, original: OriginalRequest, row: RequestRow):
         def on_end(state: RequestState) -> None:
             if state is RequestState.NOT_RUN:
                 self.issued.give_back(row.key)
-                self.repeats.discard(row.key, first)
+                self.joinable.discard(row.key, original)
 
         return on_end
 
-    def _release_unrun(self, first: OriginalRequest, row: RequestRow):
+    def _release_if_not_run(self, original: OriginalRequest, row: RequestRow):
         def on_end(state: RequestState) -> None:
             # Release the key only if the request is known not to have run: the
             # next request with this key will run on any host that it reaches.
             if state is RequestState.NOT_RUN:
                 self.claims.tell(GiveUp(key_bytes(row.key), nonce_bytes(row.stream)))
-                self.repeats.discard(row.key, first)
+                self.joinable.discard(row.key, original)
 
         return on_end
 
     def _spend(self, issued: IssuedKey, row: RequestRow) -> None:
         spending = self.issued.spend(issued, row.key, row.body, self.clock.monotonic())
         if spending is Spending.SPENT:
-            raise held("")
+            raise key_in_use("")
         if spending is Spending.REUSED:
-            raise CallRefused(refuse(Reason.KEY_REUSED, OTHER_BODY))
+            raise CallRefused(refuse(Reason.KEY_REUSED, KEY_REUSED_TEXT))
         if spending is Spending.EXPIRED:
-            raise CallRefused(expired())
+            raise CallRefused(key_expired())
 
     def _claim(self, call: Call, environ: Mapping) -> Holder | None:
         """Claim the key of ``call``; return its holder if another request has it.
@@ -271,8 +283,8 @@
         """
         row = call.row
         if self.stopping:
-            raise CallRefused(refuse(Reason.STOPPING, STOPPING, STOPPING_RETRY_S))
-        window = self.settings.claims.window_s / WINDOW_DEADLINES
+            raise CallRefused(refuse(Reason.STOPPING, STOPPING_TEXT, STOPPING_RETRY_S))
+        window = self.settings.claims.window_s / MIN_WINDOW_FACTOR
         row.deadline = min(row.deadline, row.arrived + window)
         row.claim = ClaimState.NEEDED
         row.change(RequestState.CLAIMING)
@@ -286,7 +298,7 @@
             held_by = settled.holder
             stream = StreamId(held_by.nonce.hex())
             return Holder(held_by.host, held_by.incarnation, stream)
-        raise CallRefused(_refusals()[settled.verdict])
+        raise CallRefused(_claim_refusals()[settled.verdict])
 
     def _await_claim(self, row: RequestRow, environ: Mapping) -> Settled:
         now = self.clock.monotonic()
@@ -302,7 +314,7 @@
         self.claims.tell(Want(wanted, reply))
         return reply.get()
 
-    def _ask_holder(
+    def _forward_to_holder(
         self, call: Call, environ: Mapping, holder: Holder, start_response
     ) -> Iterable[bytes]:
         """Return the response of the process that holds the key.
@@ -322,31 +334,33 @@
                 holder.host,
                 holder.incarnation,
                 environ,
-                environ[BODY],
+                environ[BODY_KEY],
                 call.row.deadline,
             )
             if answer:
                 return answer.start(start_response)
-        request = self.find(call, holder.stream) if holder.stream else ""
-        raise held(request, HELD if own else GONE)
+        request = self.find_request_id(call, holder.stream) if holder.stream else ""
+        raise key_in_use(request, KEY_IN_USE_TEXT if own else HOLDER_GONE_TEXT)
 
 
-def held(request: str, detail: str = HELD) -> CallRefused:
+def key_in_use(request: str, detail: str = KEY_IN_USE_TEXT) -> CallRefused:
     """Return the refusal of a retry whose original request may have run."""
     refusal = Refusal(RequestState.MAY_HAVE_RUN, Reason.KEY_IN_USE, detail)
     return CallRefused(refusal, request)
 
 
-def expired() -> Refusal:
+def key_expired() -> Refusal:
     """Return the refusal of a key that is too old to tell whether it was used."""
-    return Refusal(RequestState.MAY_HAVE_RUN, Reason.KEY_EXPIRED, EXPIRED)
+    return Refusal(RequestState.MAY_HAVE_RUN, Reason.KEY_EXPIRED, KEY_EXPIRED_TEXT)
 
 
-def _refusals() -> dict[Verdict, Refusal]:
+def _claim_refusals() -> dict[Verdict, Refusal]:
     return {
-        Verdict.REUSED: refuse(Reason.KEY_REUSED, OTHER_BODY),
-        Verdict.EXPIRED: expired(),
-        Verdict.UNAVAILABLE: refuse(Reason.LOG_UNAVAILABLE, NO_LOG, RETRY_S),
+        Verdict.REUSED: refuse(Reason.KEY_REUSED, KEY_REUSED_TEXT),
+        Verdict.EXPIRED: key_expired(),
+        Verdict.UNAVAILABLE: refuse(
+            Reason.LOG_UNAVAILABLE, LOG_UNAVAILABLE_TEXT, RETRY_S
+        ),
     }
 
 
--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -34,12 +34,12 @@
 log = component_logger("keys")
 
 KEYS_PATH = "/v1/keys"
-PROBE_S = 1.0
+PROBE_TIMEOUT_S = 1.0
 # Longest time that a graceful shutdown waits for the log to accept outstanding
 # releases. A key whose release is lost is refused until the claim window ends.
-FLUSH_S = 10.0
-FLUSH_POLL_S = 0.05
-STOPPING = "This host is stopping, and its keys would be lost with it."
+FLUSH_TIMEOUT_S = 10.0
+FLUSH_POLL_INTERVAL_S = 0.05
+STOPPING_TEXT = "This host is stopping, and its keys would be lost with it."
 
 
 def issue_key(keyed: KeyedCalls, caller: Caller, start_response) -> list[bytes]:
@@ -51,7 +51,7 @@
         The host is stopping.
     """
     if keyed.stopping:
-        raise CallRefused(refuse(Reason.STOPPING, STOPPING, STOPPING_RETRY_S))
+        raise CallRefused(refuse(Reason.STOPPING, STOPPING_TEXT, STOPPING_RETRY_S))
     key = keyed.issued.issue(caller.name, keyed.clock.monotonic())
     answer = {
         "key": sign_key(keyed.settings.peers.secret, key),
@@ -127,7 +127,7 @@
             IssuedKeys(host, incarnation, window_s),
             self.forwarder,
             self.watch.serve,
-            self.find,
+            self.find_request_id,
             clock,
             metrics,
         )
@@ -157,12 +157,12 @@
 
     def flush(self) -> None:
         """Wait until the log has accepted all releases, or until the timeout."""
-        due = self.clock.monotonic() + FLUSH_S
+        due = self.clock.monotonic() + FLUSH_TIMEOUT_S
         while not self.claims.ask(HasSettled()):
             if self.clock.monotonic() >= due:
                 log.warning("Host stopped before the log had accepted all key releases")
                 return
-            self.clock.sleep(FLUSH_POLL_S)
+            self.clock.sleep(FLUSH_POLL_INTERVAL_S)
 
     def stop(self) -> None:
         """Stop all components."""
@@ -171,7 +171,7 @@
         self.claim_log.stop()
         self.claims.stop()
 
-    def find(self, call: Call, stream: StreamId) -> str:
+    def find_request_id(self, call: Call, stream: StreamId) -> str:
         """Return the signed id of ``stream`` if a target has it, else ``""``."""
         row = call.row
         target = find_stream(self.callers.config, row.service, stream)
@@ -197,7 +197,7 @@
         if service not in target.services:
             continue
         try:
-            resume_stream(target.address, stream, 0, PROBE_S).close()
+            resume_stream(target.address, stream, 0, PROBE_TIMEOUT_S).close()
         except (NotSent, MayHaveRun, TargetRefused):
             continue
         return TargetName(name)
--- a/godwitladder/serving/listener.py
+++ b/godwitladder/serving/listener.py
@@ -27,15 +27,15 @@
 # Response bytes that may be buffered for a caller that reads slowly. Above this
 # limit the thread that writes the response blocks, and stops reading from the
 # engine's stream.
-WATERMARK_BYTES = 65_536
+OUTPUT_WATERMARK_BYTES = 65_536
 # Seconds that sent data may stay unacknowledged before the connection is closed.
 # Without this timeout, a caller that stops reading would occupy a thread, and
 # through it a slot of a target, for as long as its connection stays open.
-STALL_S = 30
+TCP_USER_TIMEOUT_S = 30
 # Threads kept free to send refusals while all others serve requests.
-SPARE_THREADS = 16
-SPARE_CONNECTIONS = 64
-NEVER = 1 << 40
+RESERVED_THREADS = 16
+RESERVED_CONNECTIONS = 64
+NO_OVERFLOW_BYTES = 1 << 40
 
 
 class ProblemTask(ErrorTask):
@@ -48,7 +48,7 @@
         """Write the response and close the connection."""
         error = self.request.error
         self.status = f"{error.code} {error.reason}"
-        body = problem(error.code, error.reason, str(error.body))
+        body = encode_problem(error.code, error.reason, str(error.body))
         self.response_headers.append(("Content-Type", PROBLEM_TYPE))
         self.set_close_on_finish()
         self.content_length = len(body)
@@ -77,12 +77,14 @@
 
     def __init__(self, server, sock, addr, adj, map=None) -> None:
         super().__init__(server, sock, addr, adj, map=map)
-        if len(server.active_channels) > server.connection_bound:
-            self.turn_away()
+        if len(server.active_channels) > server.max_connections:
+            self.refuse_connection()
 
-    def turn_away(self) -> None:
+    def refuse_connection(self) -> None:
         """Respond with status 429 (too many connections) and close."""
-        body = problem(429, "Too Many Requests", "Too many connections are open.")
+        body = encode_problem(
+            429, "Too Many Requests", "Too many connections are open."
+        )
         head = (
             "HTTP/1.1 429 Too Many Requests\r\nConnection: close\r\n"
             f"Retry-After: 1\r\nContent-Type: {PROBLEM_TYPE}\r\n"
@@ -125,9 +127,9 @@
 
     def __new__(cls, *args, **kwargs) -> "TlsSocket":
         """Create the socket together with its lock."""
-        made = super().__new__(cls, *args, **kwargs)
-        made.lock = threading.Lock()
-        return made
+        sock = super().__new__(cls, *args, **kwargs)
+        sock.lock = threading.Lock()
+        return sock
 
     def recv(self, buflen: int = 1024, flags: int = 0) -> bytes:
         """Read, or raise `BlockingIOError` if no data is available."""
@@ -158,7 +160,7 @@
         return sock.fileno() >= 0 and sock.pending() > 0
 
 
-def problem(status: int, title: str, detail: str) -> bytes:
+def encode_problem(status: int, title: str, detail: str) -> bytes:
     """Return the problem document for a request that was not read completely."""
     members = {
         "type": "about:blank",
@@ -205,16 +207,16 @@
     """
     server = waitress.create_server(
         app,
-        _dispatcher=ElasticDispatcher(threads + SPARE_THREADS),
+        _dispatcher=ElasticDispatcher(threads + RESERVED_THREADS),
         sockets=[listen(address, tls)],
-        threads=threads + SPARE_THREADS,
-        connection_limit=limits.connections + SPARE_CONNECTIONS,
+        threads=threads + RESERVED_THREADS,
+        connection_limit=limits.connections + RESERVED_CONNECTIONS,
         # Waitress rejects a body whose size equals the limit.
         max_request_body_size=limits.body_bytes + 1,
         max_request_header_size=limits.header_bytes,
-        inbuf_overflow=NEVER,
-        outbuf_overflow=NEVER,
-        outbuf_high_watermark=WATERMARK_BYTES,
+        inbuf_overflow=NO_OVERFLOW_BYTES,
+        outbuf_overflow=NO_OVERFLOW_BYTES,
+        outbuf_high_watermark=OUTPUT_WATERMARK_BYTES,
         channel_timeout=int(limits.idle_s),
         channel_request_lookahead=1,
         # select() fails with more than 1,024 open files, which a host with a few
@@ -224,9 +226,9 @@
     )
     server.adj.socket_options = [
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, STALL_S * 1000),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_S * 1000),
     ]
     server.channel_class = BoundedChannel
-    server.connection_bound = limits.connections
+    server.max_connections = limits.connections
     server.closing = False
     return server
--- a/godwitladder/serving/operators.py
+++ b/godwitladder/serving/operators.py
@@ -21,14 +21,14 @@
 from godwitladder.serving.submission import (
     DEFAULT_WAIT_S,
     SubmissionFailed,
-    Submitted,
-    TicketDesk,
+    SubmittedTicket,
     TicketRefused,
+    TicketSubmitter,
     is_rejected,
 )
 from godwitladder.settings import Settings
 
-TICKETS = "/v1/tickets"
+TICKETS_PATH = "/v1/tickets"
 
 
 @dataclass(frozen=True)
@@ -101,7 +101,7 @@
         self.follower = follower
         self.metrics = metrics
         self.status = status
-        self.desk = TicketDesk(log, follower)
+        self.submitter = TicketSubmitter(log, follower)
         self.watch: CrashWatch | None = None
 
     def __call__(self, environ: Mapping, start_response) -> Iterable[bytes]:
@@ -116,29 +116,29 @@
     def _route(self, environ: Mapping, start_response) -> Iterable[bytes]:
         method, path = environ["REQUEST_METHOD"], environ["PATH_INFO"]
         if path == "/healthz":
-            return _json(start_response, {"healthy": True})
+            return _answer_json(start_response, {"healthy": True})
         if path == "/readyz":
             ready = self.status().ready
             status = "200 OK" if ready else "503 Service Unavailable"
-            return _json(start_response, {"ready": ready}, status)
+            return _answer_json(start_response, {"ready": ready}, status)
         if path == "/metrics":
             body, headers = self.metrics.render()
             start_response("200 OK", list(headers.items()))
             return [body]
         operator = self._authenticate(environ)
-        if method == "POST" and path == TICKETS:
+        if method == "POST" and path == TICKETS_PATH:
             return self._submit(environ, operator, start_response)
-        if method == "GET" and path == TICKETS:
+        if method == "GET" and path == TICKETS_PATH:
             return self._list_tickets(start_response)
-        if method == "GET" and path.startswith(f"{TICKETS}/"):
-            number = path.removeprefix(f"{TICKETS}/")
+        if method == "GET" and path.startswith(f"{TICKETS_PATH}/"):
+            number = path.removeprefix(f"{TICKETS_PATH}/")
             return self._show_ticket(number, start_response)
         if method == "GET" and path == "/v1/audit":
             return self._audit(environ, start_response)
         if path.startswith(QUARANTINE_PATH):
             return answer_quarantine(self.watch, environ, start_response)
         if method == "GET" and path == "/v1/status":
-            return _json(start_response, asdict(self.status()))
+            return _answer_json(start_response, asdict(self.status()))
         raise deny(Reason.UNKNOWN_PATH, f"There is no {method} {path}.")
 
     def _authenticate(self, environ: Mapping) -> str:
@@ -158,14 +158,14 @@
             raise deny(Reason.TOO_LARGE, f"A ticket has at most {TICKET_BYTES} bytes.")
         body = environ["wsgi.input"].read(length)
         wait_s = _read_number(environ, "wait", DEFAULT_WAIT_S)
-        submitted = self.desk.submit(body, operator, wait_s)
+        submitted = self.submitter.submit(body, operator, wait_s)
         status = "409 Conflict" if is_rejected(submitted) else "202 Accepted"
-        return _json(start_response, submitted_row(submitted), status)
+        return _answer_json(start_response, submitted_row(submitted), status)
 
     def _list_tickets(self, start_response) -> Iterable[bytes]:
         with self.follower.lock:
             rows = [asdict(row) for row in self.follower.ledger.accepted.values()]
-        return _json(start_response, {"tickets": rows})
+        return _answer_json(start_response, {"tickets": rows})
 
     def _show_ticket(self, text: str, start_response) -> Iterable[bytes]:
         if not (text.isascii() and text.isdigit()):
@@ -182,7 +182,7 @@
         if not rows and not names:
             raise deny(Reason.UNKNOWN_PATH, f"No ticket {number} is on record.")
         answer = {"number": number, "verdicts": rows, "in_force": names}
-        return _json(start_response, answer)
+        return _answer_json(start_response, answer)
 
     def _audit(self, environ: Mapping, start_response) -> Iterable[bytes]:
         start = _read_number(environ, "from", 0)
@@ -190,7 +190,7 @@
             entries = list(self.follower.ledger.audit)
             following = self.follower.ledger.next
         rows = [audit_row(entry) for entry in entries if entry.offset >= start]
-        return _json(start_response, {"audit": rows, "next": following})
+        return _answer_json(start_response, {"audit": rows, "next": following})
 
 
 def audit_row(entry: AuditEntry) -> dict:
@@ -207,7 +207,7 @@
     }
 
 
-def submitted_row(submitted: Submitted) -> dict:
+def submitted_row(submitted: SubmittedTicket) -> dict:
     """Return a submitted ticket as the members of a JSON object."""
     entry = submitted.entry
     if entry is None:
@@ -226,7 +226,7 @@
     status = "403 Forbidden" if error.forbidden else "422 Unprocessable Content"
     answer = {"outcome": "not_run", "detail": str(error)}
     answer["findings"] = _finding_rows(error.findings)
-    return _json(start_response, answer, status)
+    return _answer_json(start_response, answer, status)
 
 
 def _read_number(environ: Mapping, name: str, default: float) -> float:
@@ -241,7 +241,7 @@
     return value
 
 
-def _json(start_response, value: dict, status: str = "200 OK") -> list[bytes]:
+def _answer_json(start_response, value: dict, status: str = "200 OK") -> list[bytes]:
     body = json.dumps(value).encode()
     headers = [
         ("Content-Type", "application/json"),
--- a/godwitladder/serving/quarantine.py
+++ b/godwitladder/serving/quarantine.py
@@ -10,7 +10,7 @@
 
 QUARANTINE_PATH = "/v1/quarantine"
 LIFT_PATH = "/v1/quarantine/lift"
-LIFT_BYTES = 4096
+MAX_LIFT_BYTES = 4096
 
 
 def answer_quarantine(
@@ -29,16 +29,16 @@
             {"digest": digest, "ends_in_s": round(seconds, 1)}
             for digest, seconds in watch.held().items()
         ]
-        return _answer(start_response, {"quarantined": rows})
+        return _answer_json(start_response, {"quarantined": rows})
     if method == "POST" and path == LIFT_PATH:
         digest, operator = _read_lift(environ)
         watch.lift(digest, operator)
-        return _answer(start_response, {"lifted": digest})
+        return _answer_json(start_response, {"lifted": digest})
     raise deny(Reason.UNKNOWN_PATH, f"There is no {method} {path}.")
 
 
 def _read_lift(environ: Mapping) -> tuple[BodyDigest, str]:
-    length = min(int(environ.get("CONTENT_LENGTH") or 0), LIFT_BYTES)
+    length = min(int(environ.get("CONTENT_LENGTH") or 0), MAX_LIFT_BYTES)
     try:
         raw = json.loads(environ["wsgi.input"].read(length))
         return BodyDigest(str(raw["digest"])), str(raw["operator"])
@@ -47,7 +47,7 @@
         raise deny(Reason.MALFORMED, text) from error
 
 
-def _answer(start_response, value: dict) -> list[bytes]:
+def _answer_json(start_response, value: dict) -> list[bytes]:
     body = json.dumps(value).encode()
     headers = [
         ("Content-Type", "application/json"),
--- a/godwitladder/serving/retries.py
+++ b/godwitladder/serving/retries.py
@@ -37,7 +37,7 @@
         without a response.
     request : str
         Signed request id if the response is a stream, else ``""``.
-    ended : float
+    finished_at : float
         Monotonic seconds at which the response was complete; 0 before that.
     """
 
@@ -47,7 +47,7 @@
     headers: list[tuple[str, str]] = field(default_factory=list)
     body: bytes | None = None
     request: str = ""
-    ended: float = 0.0
+    finished_at: float = 0.0
 
     def record_head(self, status: str, headers: list[tuple[str, str]]) -> None:
         """Record status and headers; from here on retries can join a stream."""
@@ -93,38 +93,38 @@
     ) -> tuple[OriginalRequest, bool]:
         """Return the original request with ``key``, and whether it was just added."""
         with self.lock:
-            held = self.originals.get(key)
-            if held:
-                return held, False
-            first = self.originals[key] = OriginalRequest(body)
-            return first, True
+            existing = self.originals.get(key)
+            if existing:
+                return existing, False
+            original = self.originals[key] = OriginalRequest(body)
+            return original, True
 
-    def retain(self, key: KeyDigest, first: OriginalRequest) -> None:
+    def retain(self, key: KeyDigest, original: OriginalRequest) -> None:
         """Retain a finished response, within the limits on time and memory."""
         with self.lock:
-            if self.originals.get(key) is not first:
+            if self.originals.get(key) is not original:
                 return
-            first.ended = self.now()
+            original.finished_at = self.now()
             self.originals.move_to_end(key)
-            self.bytes += len(first.body or b"")
+            self.bytes += len(original.body or b"")
             self._evict()
 
-    def discard(self, key: KeyDigest, first: OriginalRequest) -> None:
+    def discard(self, key: KeyDigest, original: OriginalRequest) -> None:
         """Remove a request, so that the next one with its key is a new original."""
         with self.lock:
-            if self.originals.get(key) is first:
+            if self.originals.get(key) is original:
                 self._remove(key)
-        first.done.set()
+        original.done.set()
 
     def _evict(self) -> None:
         oldest = self.now() - RETENTION_S
-        for key, first in list(self.originals.items()):
-            if first.ended and (
-                first.ended < oldest or self.bytes > MAX_RETAINED_BYTES
+        for key, original in list(self.originals.items()):
+            if original.finished_at and (
+                original.finished_at < oldest or self.bytes > MAX_RETAINED_BYTES
             ):
                 self._remove(key)
 
     def _remove(self, key: KeyDigest) -> None:
-        first = self.originals.pop(key)
-        if first.ended:
-            self.bytes -= len(first.body or b"")
+        original = self.originals.pop(key)
+        if original.finished_at:
+            self.bytes -= len(original.body or b"")
--- a/godwitladder/serving/submission.py
+++ b/godwitladder/serving/submission.py
@@ -17,12 +17,12 @@
 # Maximum number of threads that wait for verdicts: half of the eight that serve
 # operators and probes, so that a burst of tickets does not make health probes
 # time out.
-WAITERS = 4
+MAX_WAITERS = 4
 RETRY_AFTER_S = 5.0
 
 
 @dataclass(frozen=True)
-class Submitted:
+class SubmittedTicket:
     """A ticket that is in the log.
 
     Attributes
@@ -68,7 +68,7 @@
         self.refusal = refusal
 
 
-class TicketDesk:
+class TicketSubmitter:
     """Submits operators' tickets and waits for their verdicts.
 
     Parameters
@@ -82,9 +82,9 @@
     def __init__(self, client: LogClient, follower: ConfigFollower) -> None:
         self.client = client
         self.follower = follower
-        self.waiters = threading.Semaphore(WAITERS)
+        self.waiters = threading.Semaphore(MAX_WAITERS)
 
-    def submit(self, data: bytes, operator: str, wait_s: float) -> Submitted:
+    def submit(self, data: bytes, operator: str, wait_s: float) -> SubmittedTicket:
         """Append a ticket and wait up to ``wait_s`` for its verdict.
 
         Parameters
@@ -118,11 +118,11 @@
                 refuse(Reason.LOG_UNAVAILABLE, detail, RETRY_AFTER_S)
             ) from error
         except LogUnavailable as error:
-            return self._settle(ticket, start, wait_s, error)
+            return self._resolve_lost_append(ticket, start, wait_s, error)
         if not self.waiters.acquire(blocking=False):
-            return Submitted(offset, None)
+            return SubmittedTicket(offset, None)
         try:
-            return Submitted(offset, self.follower.await_offset(offset, wait_s))
+            return SubmittedTicket(offset, self.follower.await_offset(offset, wait_s))
         finally:
             self.waiters.release()
 
@@ -149,9 +149,9 @@
                 refuse(Reason.LOG_UNAVAILABLE, detail, RETRY_AFTER_S)
             )
 
-    def _settle(
+    def _resolve_lost_append(
         self, ticket: Ticket, start: Offset, wait_s: float, error: Exception
-    ) -> Submitted:
+    ) -> SubmittedTicket:
         """Look in the stream for a ticket whose append got no answer.
 
         A ticket that is found was appended. One that is not found may still be
@@ -168,7 +168,7 @@
             finally:
                 self.waiters.release()
             if entry:
-                return Submitted(entry.offset, entry)
+                return SubmittedTicket(entry.offset, entry)
         detail = (
             f"The ticket may or may not be in the log: {error}. "
             "Submit the same ticket again; if it is there, that changes nothing."
@@ -183,7 +183,7 @@
         ) from error
 
 
-def is_rejected(submitted: Submitted) -> bool:
+def is_rejected(submitted: SubmittedTicket) -> bool:
     """Return whether the ticket has a verdict and was rejected."""
     entry = submitted.entry
     return entry is not None and entry.verdict is Verdict.REJECTED
--- a/godwitladder/serving/threads.py
+++ b/godwitladder/serving/threads.py
@@ -9,7 +9,7 @@
 
 from waitress.task import ThreadedTaskDispatcher
 
-IDLE_S = 2.0
+IDLE_TIMEOUT_S = 2.0
 """Idle threads take tasks in turn, so the timeout must be short for surplus
 threads to end while calls keep arriving."""
 
@@ -19,15 +19,15 @@
 
     Parameters
     ----------
-    most : int
+    max_threads : int
         Maximum number of threads. Further tasks are queued until one is free.
     idle_s : float
         Seconds without a task after which a thread ends.
     """
 
-    def __init__(self, most: int, idle_s: float = IDLE_S) -> None:
+    def __init__(self, max_threads: int, idle_s: float = IDLE_TIMEOUT_S) -> None:
         super().__init__()
-        self.most = most
+        self.max_threads = max_threads
         self.idle_s = idle_s
         self.next_number = 0
 
@@ -37,10 +37,10 @@
             self.queue.append(task)
             self.queue_cv.notify()
             waiting = len(self.threads) - self.active_count
-            if len(self.queue) > waiting and len(self.threads) < self.most:
-                self.start_one()
+            if len(self.queue) > waiting and len(self.threads) < self.max_threads:
+                self.start_worker()
 
-    def start_one(self) -> None:
+    def start_worker(self) -> None:
         """Start one more thread; the caller must hold the lock."""
         number = self.next_number
         self.next_number += 1
@@ -51,11 +51,11 @@
         except RuntimeError:
             # The system can't create a thread. The task stays queued for a running
             # thread. If none is running, it would never be served.
-            self.end_one(number)
+            self.end_worker(number)
             if not self.threads:
                 raise
 
-    def end_one(self, number: int) -> None:
+    def end_worker(self, number: int) -> None:
         """Remove a thread that ends; the caller must hold the lock."""
         self.active_count -= 1
         self.threads.discard(number)
@@ -67,7 +67,7 @@
             with self.lock:
                 task = self.next_task()
                 if task is None:
-                    self.end_one(thread_no)
+                    self.end_worker(thread_no)
                     return
             try:
                 task.service()
--- a/tests/serving/app.py
+++ b/tests/serving/app.py
@@ -86,7 +86,7 @@
         return json.loads(self.read())
 
 
-class Unkeyed:
+class PassThroughCalls:
     """Replaces `KeyedCalls`; passes every call to the dispatcher."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
@@ -125,14 +125,17 @@
         )
         stack.callback(allocator.stop)
         router.connect(None, None, self.scheduler, allocator)
-        for part, actor in ((ticker, self.scheduler), (Ticker(clock, 0.05), allocator)):
-            part.start(actor)
-            stack.callback(part.stop)
+        for tick_source, actor in (
+            (ticker, self.scheduler),
+            (Ticker(clock, 0.05), allocator),
+        ):
+            tick_source.start(actor)
+            stack.callback(tick_source.stop)
         self.app = CallerApp(
             make_settings(**settings), self.scheduler, clock, self.metrics
         )
         self.app.config = make_config(engine, service)
-        self.app.keyed = Unkeyed(self.app.dispatcher)
+        self.app.keyed = PassThroughCalls(self.app.dispatcher)
         for actor in (allocator, self.scheduler):
             actor.ask(NewConfig(self.app.config))
 
--- a/tests/serving/test_room.py
+++ b/tests/serving/test_room.py
@@ -37,10 +37,10 @@
 @pytest.mark.parametrize("crowded", [False, True])
 def test_room_is_asked_for_only_without_spare_threads(crowded):
     """Every arrival is submitted; room is made only when threads run out."""
-    told = []
+    sent = []
 
     def tell(message) -> None:
-        told.append(type(message))
+        sent.append(type(message))
         if isinstance(message, Submit):
             message.row.decisions.put(refuse(Reason.SHED, "full", 1.0))
 
@@ -53,4 +53,4 @@
     )
     call = SimpleNamespace(row=make_row("r", 0, 0.0), on_end=lambda state: None)
     dispatcher.serve(call, {}, lambda status, headers: None)
-    assert told == ([Submit, MakeRoom] if crowded else [Submit])
+    assert sent == ([Submit, MakeRoom] if crowded else [Submit])
--- a/tests/serving/test_surface.py
+++ b/tests/serving/test_surface.py
@@ -29,8 +29,8 @@
 
 @pytest.fixture
 def stack():
-    with contextlib.ExitStack() as owned:
-        yield owned
+    with contextlib.ExitStack() as resources:
+        yield resources
 
 
 def serve(stack, app, tls=None) -> int:
@@ -130,8 +130,8 @@
 
 @pytest.fixture(scope="module")
 def surface():
-    with contextlib.ExitStack() as owned:
-        yield serve_calls(owned)
+    with contextlib.ExitStack() as resources:
+        yield serve_calls(resources)
 
 
 @pytest.mark.parametrize("name", REFUSED)
@@ -214,7 +214,7 @@
     The kernel closes a connection whose data stays unacknowledged for the
     timeout, and the server then closes the response.
     """
-    monkeypatch.setattr(listener, "STALL_S", 1)
+    monkeypatch.setattr(listener, "TCP_USER_TIMEOUT_S", 1)
     closed = threading.Event()
 
     def app(environ, start_response):
@@ -303,5 +303,5 @@
     server = make_listener(lambda *_: [], address, limits, limits.threads)
     with contextlib.closing(server):
         assert server.adj.inbuf_overflow > limits.body_bytes
-        assert server.adj.outbuf_overflow > listener.WATERMARK_BYTES
+        assert server.adj.outbuf_overflow > listener.OUTPUT_WATERMARK_BYTES
     server.task_dispatcher.shutdown()
--- a/tests/serving/test_threads.py
+++ b/tests/serving/test_threads.py
@@ -8,17 +8,17 @@
 from godwitladder.serving.threads import ElasticDispatcher
 from tests.fleet import wait_until
 
-IDLE_S = 0.05
+IDLE_TIMEOUT_S = 0.05
 
 
 class Task:
     """A call that runs until the test sets ``end``."""
 
     def __init__(self) -> None:
-        self.begun, self.end = threading.Event(), threading.Event()
+        self.started, self.end = threading.Event(), threading.Event()
 
     def service(self) -> None:
-        self.begun.set()
+        self.started.set()
         assert self.end.wait(30)
 
     def cancel(self) -> None:
@@ -27,12 +27,12 @@
 
 @pytest.fixture
 def stack():
-    with contextlib.ExitStack() as owned:
-        yield owned
+    with contextlib.ExitStack() as resources:
+        yield resources
 
 
-def make_dispatcher(stack, most):
-    dispatcher = ElasticDispatcher(most, IDLE_S)
+def make_dispatcher(stack, max_threads):
+    dispatcher = ElasticDispatcher(max_threads, IDLE_TIMEOUT_S)
     stack.callback(dispatcher.shutdown)
     return dispatcher
 
@@ -45,8 +45,8 @@
     return tasks
 
 
-def begun(tasks):
-    return sum(task.begun.is_set() for task in tasks)
+def count_started(tasks):
+    return sum(task.started.is_set() for task in tasks)
 
 
 def test_a_burst_gets_a_thread_for_each_call_and_none_is_left_at_rest(stack):
@@ -58,7 +58,7 @@
     """
     dispatcher = make_dispatcher(stack, 200)
     tasks = add_tasks(stack, dispatcher, 100)
-    wait_until(lambda: begun(tasks) == 100, "all calls to begin")
+    wait_until(lambda: count_started(tasks) == 100, "all calls to begin")
     assert len(dispatcher.threads) == 100
     for task in tasks:
         task.end.set()
@@ -74,11 +74,11 @@
     """
     dispatcher = make_dispatcher(stack, 3)
     tasks = add_tasks(stack, dispatcher, 8)
-    wait_until(lambda: begun(tasks) == 3, "the first calls")
+    wait_until(lambda: count_started(tasks) == 3, "the first calls")
     assert len(dispatcher.threads) == 3
     for task in tasks:
         task.end.set()
-    wait_until(lambda: begun(tasks) == 8, "all calls")
+    wait_until(lambda: count_started(tasks) == 8, "all calls")
     assert len(dispatcher.threads) <= 3
 
 
@@ -91,7 +91,7 @@
     dispatcher = make_dispatcher(stack, 4)
     for _ in range(5):
         (task,) = add_tasks(stack, dispatcher, 1)
-        wait_until(task.begun.is_set, "the call")
+        wait_until(task.started.is_set, "the call")
         task.end.set()
         wait_until(lambda: not dispatcher.threads, "the thread to end")
 
@@ -104,13 +104,13 @@
     """
     dispatcher = make_dispatcher(stack, 4)
     (first,) = add_tasks(stack, dispatcher, 1)
-    wait_until(first.begun.is_set, "the first call")
+    wait_until(first.started.is_set, "the first call")
     start, dispatcher.start_new_thread = dispatcher.start_new_thread, no_thread
     (second,) = add_tasks(stack, dispatcher, 1)
     assert len(dispatcher.threads) == 1
     dispatcher.start_new_thread = start
     first.end.set()
-    wait_until(second.begun.is_set, "the second call")
+    wait_until(second.started.is_set, "the second call")
 
 
 def no_thread(target, number):
@@ -123,11 +123,11 @@
 
     class Failing(Task):
         def service(self):
-            self.begun.set()
+            self.started.set()
             raise ValueError("a fault")
 
     failing = Failing()
     dispatcher.add_task(failing)
-    wait_until(failing.begun.is_set, "the failing call")
+    wait_until(failing.started.is_set, "the failing call")
     (task,) = add_tasks(stack, dispatcher, 1)
-    wait_until(task.begun.is_set, "the next call")
+    wait_until(task.started.is_set, "the next call")
