--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -11,19 +11,19 @@
 from godwitladder.routing.model import (
     CallerBounds,
     Document,
-    Repeat,
     Route,
     RoutedService,
     RoutedWorkspace,
+    RouteKind,
     Split,
     TokenQuota,
 )
 from godwitladder.serving.auth import key_digest
 
 REPEATS = {
-    "idempotent": Repeat.IDEMPOTENT,
-    "non_idempotent": Repeat.NON_IDEMPOTENT,
-    "streaming": Repeat.STREAM,
+    "idempotent": RouteKind.IDEMPOTENT,
+    "non_idempotent": RouteKind.NON_IDEMPOTENT,
+    "streaming": RouteKind.STREAM,
 }
 NO_TIMEOUT_S = 3_600.0
 
@@ -61,14 +61,14 @@
         name=RouteName(str(raw["name"])),
         host=str(raw["host"]).lower(),
         prefix=str(raw["pathPrefix"]),
-        repeat=REPEATS.get(raw["kind"], Repeat.NON_IDEMPOTENT),
+        kind=REPEATS.get(raw["kind"], RouteKind.NON_IDEMPOTENT),
         splits=tuple(
             Split(ServiceName(str(row["service"])), float(row["weight"]))
             for row in splits
         ),
         timeout_s=_seconds(raw.get("timeoutMs")) or NO_TIMEOUT_S,
         aim_s=_seconds(raw.get("targetLatencyMs")),
-        max_sends=max(1, int(raw.get("maxAttempts") or 1)),
+        max_attempts=max(1, int(raw.get("maxAttempts") or 1)),
         rank=int(raw.get("priority") or 0),
         public=bool(raw.get("public")),
         resumable=bool(raw.get("resumable")),
@@ -98,7 +98,7 @@
         quota=TokenQuota(
             rate=float(raw.get("ratePerS") or 0),
             burst=float(raw.get("burst") or 0),
-            plain_tokens=int(raw.get("plainTokens") or 1),
+            default_tokens=int(raw.get("plainTokens") or 1),
         ),
     )
 
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -24,14 +24,14 @@
     PromptPart,
     RoutedCall,
 )
-from godwitladder.routing.currency import Currency
+from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.matching import RouteTable, choose_split, host_of
 from godwitladder.routing.model import (
     Document,
-    Repeat,
     Route,
     RoutedService,
     RoutedWorkspace,
+    RouteKind,
     TokenQuota,
 )
 from godwitladder.scheduler.gate import AdmissionGate
@@ -41,8 +41,8 @@
 from godwitladder.serving.calls import CallRefused
 from godwitladder.serving.counting import CountedApp
 from godwitladder.serving.losses import digest_call
-from godwitladder.serving.passing import RoutedProxy
 from godwitladder.serving.problems import answer_problem
+from godwitladder.serving.proxying import RoutedProxy
 
 log = component_logger("routing")
 
@@ -107,7 +107,7 @@
         self,
         form: HeaderForm,
         passer: RoutedProxy,
-        currency: Currency,
+        freshness: DocumentFreshness,
         clock: Clock,
         metrics: Metrics,
         most_calls: int = UNBOUNDED,
@@ -118,7 +118,7 @@
         self.gate = gate or AdmissionGate()
         self.form = form
         self.passer = passer
-        self.currency = currency
+        self.freshness = freshness
         self.clock = clock
         self.metrics = metrics
         self.in_force = put_in_force(Document())
@@ -149,7 +149,7 @@
             "reason": refusal.reason.value,
             "detail": refusal.detail,
             "version": self.in_force.document.version,
-            "age_s": round(self.currency.age_s(self.clock.boottime()), 3),
+            "age_s": round(self.freshness.age_s(self.clock.boottime()), 3),
             "retry_after_s": refusal.retry_after_s,
         }
         log.info("A call was turned away", extra=extra)
@@ -177,7 +177,7 @@
         route = in_force.routes.find(
             host_of(environ.get("HTTP_HOST", "")), path.partition("?")[0]
         )
-        current = self.currency.holds(self.clock.boottime())
+        current = self.freshness.is_fresh(self.clock.boottime())
         if route is None:
             # An older document may lack a route that is there by now.
             self.need_current(current)
@@ -266,7 +266,7 @@
         )
         row.start_by = now + start_within_s(route, wait_s)
         if route.aim_s:
-            row.aim = now + route.aim_s
+            row.ttft_deadline = now + route.aim_s
         row.gap_s, row.event_tokens = route.gap_s, known.event_tokens
         row.charge = charge_of(facts, workspace.quota)
         return RoutedCall(
@@ -297,7 +297,7 @@
 
     A caller leaves a stream after a silence, before its first event too.
     """
-    if route.repeat is Repeat.STREAM:
+    if route.kind is RouteKind.STREAM:
         silence_s = max(LEAST_SILENCE_S, AIMS * route.aim_s, GAPS * route.gap_s)
         wait_s = min(wait_s, silence_s)
     return wait_s * START_PART
@@ -305,7 +305,7 @@
 
 def may_repeat(route: Route) -> bool:
     """Return whether a request may run more than once."""
-    return route.repeat is Repeat.IDEMPOTENT or route.resumable
+    return route.kind is RouteKind.IDEMPOTENT or route.resumable
 
 
 def shared_start(parts: Sequence[PromptPart]) -> str:
@@ -319,7 +319,7 @@
 
 def charge_of(facts: CallFacts, quota: TokenQuota) -> int:
     """Return the tokens that a request counts for in its workspace's quota."""
-    return facts.prompt_tokens + facts.output_tokens or quota.plain_tokens
+    return facts.prompt_tokens + facts.output_tokens or quota.default_tokens
 
 
 def read_headers(environ: Mapping) -> Headers:
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -38,7 +38,7 @@
 from godwitladder.metrics import Metrics
 from godwitladder.routing.app import ReadinessApp, RoutedApp, put_in_force
 from godwitladder.routing.calls import HeaderForm
-from godwitladder.routing.currency import Currency
+from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.settings import RoutedSettings, read_routed_settings
 from godwitladder.routing.state import state_of
 from godwitladder.routing.status import StatusApp
@@ -47,9 +47,9 @@
 from godwitladder.scheduler.messages import HostsChanged, NewConfig, TargetsLeaving
 from godwitladder.scheduler.rows import Tables
 from godwitladder.scheduler.ticker import Ticker
+from godwitladder.serving.call_watcher import CallWatcher
 from godwitladder.serving.losses import AnswerLost, LossRegistry
-from godwitladder.serving.passing import RoutedProxy
-from godwitladder.serving.watch import CallWatcher
+from godwitladder.serving.proxying import RoutedProxy
 from godwitladder.supervision import watch_threads
 
 log = component_logger("daemon")
@@ -107,7 +107,7 @@
         self.span = Zone(settings.region)
         self.hosts: tuple[HostId, ...] = (settings.host,)
         self.hubs: frozenset[HostId] = frozenset()
-        self.currency = Currency(settings.bounds.revoke_s)
+        self.freshness = DocumentFreshness(settings.bounds.revoke_s)
         self.router = Router(settings.host)
         self.ticker = Ticker(clock, IDLE_TICK_S)
         tables = Tables(
@@ -115,9 +115,9 @@
             self.span,
             self.incarnation,
             hosts=(settings.host,),
-            place=settings.zone,
+            availability_zone=settings.zone,
             standing=False,
-            helps_itself=True,
+            early_fallback=True,
         )
         self.scheduler = self.start_actor(
             Scheduler,
@@ -143,7 +143,7 @@
             settings.host,
             source,
             clock,
-            self.currency,
+            self.freshness,
             self.publish_view,
             reads_first=not settings.first_start or settings.listen.peers in seeds,
         )
@@ -183,7 +183,7 @@
         self.app = RoutedApp(
             form,
             self.make_passer(form),
-            self.currency,
+            self.freshness,
             clock,
             self.metrics,
             settings.limits.threads,
@@ -210,7 +210,7 @@
 
         The host that lost it has links to hubs alone; one of them tells the rest.
         """
-        self.losses.take(news)
+        self.losses.record_loss(news)
         hubs = self.hubs
         if link.peer in hubs or publisher_of(link.peer, hubs) != self.host:
             return
@@ -274,7 +274,7 @@
     def ready(self) -> bool:
         """Return whether callers should be sent here."""
         known = self.app.in_force.document.version >= 0
-        current = self.currency.holds(self.clock.boottime())
+        current = self.freshness.is_fresh(self.clock.boottime())
         return (
             known
             and current
@@ -324,7 +324,7 @@
             log.warning("New settings are refused", extra={"error": str(error)})
             return
         self.mesh.seeds = frozenset(settings.peers.seeds) - {self.mesh.address}
-        self.currency.bound_s = settings.bounds.revoke_s
+        self.freshness.max_age_s = settings.bounds.revoke_s
         self.settings = settings
         log.info("Settings were read again", extra={"host": settings.host})
 
--- a/godwitladder/serving/dispatching.py
+++ b/godwitladder/serving/dispatching.py
@@ -15,7 +15,7 @@
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
 from godwitladder.scheduler.messages import (
-    MakeRoom,
+    NoFreeThread,
     NothingSent,
     Submit,
     Withdrawn,
@@ -28,7 +28,7 @@
     start_events,
 )
 from godwitladder.serving.calls import Call
-from godwitladder.serving.ending import DispatchReporter
+from godwitladder.serving.dispatch_reporter import DispatchReporter
 from godwitladder.serving.joining import join_chunks
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.relay import AnswerTruncated, StreamFollower, lost, open_for
@@ -79,7 +79,7 @@
         gone = environ.get("waitress.client_disconnected", lambda: False)
         self.scheduler.tell(Submit(call.row))
         if self.is_crowded():
-            self.scheduler.tell(MakeRoom())
+            self.scheduler.tell(NoFreeThread())
         while True:
             decision = self._await_decision(call, gone)
             if isinstance(decision, Refusal):
--- a/godwitladder/serving/forwarding.py
+++ b/godwitladder/serving/forwarding.py
@@ -112,7 +112,7 @@
         self.waiting: dict[str, queue.SimpleQueue[ForwardedAnswer]] = {}
         self.slots = threading.BoundedSemaphore(CALLS)
 
-    def ask(
+    def forward(
         self,
         host: HostId,
         incarnation: Incarnation,
@@ -133,7 +133,9 @@
         finally:
             del self.waiting[call.query]
 
-    def take(self, link: Link, message: ForwardedCall | ForwardedAnswer) -> None:
+    def handle_message(
+        self, link: Link, message: ForwardedCall | ForwardedAnswer
+    ) -> None:
         """Take in a message of a peer."""
         if isinstance(message, ForwardedAnswer):
             self._take_answer(message)
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -330,7 +330,7 @@
             self.issued.incarnation,
         )
         if not own and not environ.get(FORWARDED_KEY):
-            answer = self.forwarder.ask(
+            answer = self.forwarder.forward(
                 holder.host,
                 holder.incarnation,
                 environ,
--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -136,8 +136,8 @@
     def message_handlers(self) -> dict[type, Callable[[Any, Any], None]]:
         """Return the handlers of peer messages about keys and crashes, by class."""
         return {
-            ForwardedCall: self.forwarder.take,
-            ForwardedAnswer: self.forwarder.take,
+            ForwardedCall: self.forwarder.handle_message,
+            ForwardedAnswer: self.forwarder.handle_message,
             Crash: self.watch.take,
             Cleared: self.watch.take,
             Lifted: self.watch.take,
--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/proxying.py
@@ -22,13 +22,13 @@
 from godwitladder.scheduler.messages import Returned, ReturnProof, Submit, Withdrawn
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.answers import internal_fault
-from godwitladder.serving.ending import DispatchReporter
+from godwitladder.serving.call_watcher import CallWatcher, Cause, OpenCall
+from godwitladder.serving.dispatch_reporter import DispatchReporter
 from godwitladder.serving.lateness import judge_lateness
 from godwitladder.serving.losses import LossRegistry
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.streaming import StreamPassing
 from godwitladder.serving.upstream import BufferedAnswer, NotRun, is_stream, read_whole
-from godwitladder.serving.watch import CallWatcher, Cause, OpenCall
 
 log = component_logger("passing")
 
@@ -295,7 +295,7 @@
         """Return whether one more send is within all bounds."""
         if self.open.cause is not None or self.left_s() < LEAST_S:
             return False
-        if self.sends >= self.call.route.max_sends:
+        if self.sends >= self.call.route.max_attempts:
             return False
         now = self.clock.monotonic()
         return self.passer.budget.take(self.call.row.service, self.passer.hosts(), now)
@@ -350,7 +350,7 @@
     def note_loss(self) -> None:
         """Remember that the target lost the answer, unless it was cut here."""
         if self.open.cause is None:
-            self.passer.losses.note(self.call.row.body, self.target)
+            self.passer.losses.report_loss(self.call.row.body, self.target)
 
     def note_send(self, dispatch: Dispatch, left_s: float) -> None:
         """Log a send."""
--- a/tests/claims/test_forwarding.py
+++ b/tests/claims/test_forwarding.py
@@ -36,7 +36,7 @@
         if self.lose:
             self.peers.clear()
         else:
-            self.forwarders[host].take(FakeLink(self.host), message)
+            self.forwarders[host].handle_message(FakeLink(self.host), message)
         return True
 
 
@@ -63,7 +63,7 @@
 
 def ask(host: Forwarder, to: str, incarnation: int = 1):
     deadline = host.clock.monotonic() + 20
-    return host.ask(to, incarnation, ENVIRON, b"one euro", deadline)
+    return host.forward(to, incarnation, ENVIRON, b"one euro", deadline)
 
 
 @pytest.mark.parametrize(
