--- a/godwitladder/serving/retries.py
+++ b/godwitladder/serving/retries.py
@@ -85,7 +85,7 @@
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
         self.originals: OrderedDict[KeyDigest, OriginalRequest] = OrderedDict()
-        self.bytes = 0
+        self.retained_bytes = 0
         self.lock = threading.Lock()
 
     def find_or_add(
@@ -106,7 +106,7 @@
                 return
             original.finished_at = self.now()
             self.originals.move_to_end(key)
-            self.bytes += len(original.body or b"")
+            self.retained_bytes += len(original.body or b"")
             self._evict()
 
     def discard(self, key: KeyDigest, original: OriginalRequest) -> None:
@@ -120,11 +120,12 @@
         oldest = self.now() - RETENTION_S
         for key, original in list(self.originals.items()):
             if original.finished_at and (
-                original.finished_at < oldest or self.bytes > MAX_RETAINED_BYTES
+                original.finished_at < oldest
+                or self.retained_bytes > MAX_RETAINED_BYTES
             ):
                 self._remove(key)
 
     def _remove(self, key: KeyDigest) -> None:
         original = self.originals.pop(key)
         if original.finished_at:
-            self.bytes -= len(original.body or b"")
+            self.retained_bytes -= len(original.body or b"")
