--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -9,7 +9,7 @@
 
 from godwitladder.ids import KeyDigest, RouteName, ServiceName, WorkspaceName
 from godwitladder.routing.model import (
-    CallerBounds,
+    CallerLimits,
     Document,
     Route,
     RoutedService,
@@ -49,7 +49,7 @@
             routes=tuple(map(_route, raw.get("routes") or ())),
             services={row.name: row for row in services},
             workspaces={row.name: row for row in workspaces},
-            bounds=_bounds(raw.get("limits") or {}),
+            limits=_bounds(raw.get("limits") or {}),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise BadDocument(f"no configuration: {error!r}") from error
@@ -103,9 +103,9 @@
     )
 
 
-def _bounds(raw: dict[str, Any]) -> CallerBounds:
-    default = CallerBounds()
-    return CallerBounds(
+def _bounds(raw: dict[str, Any]) -> CallerLimits:
+    default = CallerLimits()
+    return CallerLimits(
         header_bytes=int(raw.get("maxHeaderBytes") or default.header_bytes),
         body_bytes=int(raw.get("maxBodyBytes") or default.body_bytes),
         idle_s=_seconds(raw.get("idleTimeoutMs")) or default.idle_s,
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -124,7 +124,7 @@
 
 
 @dataclass(frozen=True)
-class CallerBounds:
+class CallerLimits:
     """What a caller may send: bytes, and idle seconds of a connection."""
 
     header_bytes: int = 16_384
@@ -146,7 +146,7 @@
     routes: tuple[Route, ...] = ()
     services: Mapping[ServiceName, RoutedService] = field(default_factory=dict)
     workspaces: Mapping[WorkspaceName, RoutedWorkspace] = field(default_factory=dict)
-    bounds: CallerBounds = CallerBounds()
+    limits: CallerLimits = CallerLimits()
 
     def __post_init__(self) -> None:
         self.__dict__["workspace_of"] = {
