--- a/bench/region.py
+++ b/bench/region.py
@@ -26,7 +26,7 @@
 from godwitladder.configuration.state import ConfigState
 from godwitladder.ids import HostId, RequestId, StreamId, Zone
 from godwitladder.outcomes import Refusal, RequestState
-from godwitladder.routing.app import ROUTE_STEP, START_PART
+from godwitladder.routing.app import MAX_START_FRACTION, ROUTE_RANK_WEIGHT
 from godwitladder.routing.state import DECODE_TPS, PREFILL_TPS
 from godwitladder.scheduler.pools import make_pools
 from godwitladder.scheduler.reports import (
@@ -38,7 +38,6 @@
 )
 from godwitladder.scheduler.role import PoolRole
 from godwitladder.scheduler.rows import RequestRow, Tables
-from godwitladder.scheduler.stretches import record_progress
 from godwitladder.scheduler.systems import (
     add_request,
     finish_request,
@@ -47,6 +46,7 @@
     refuse_request,
     run_systems,
 )
+from godwitladder.scheduler.throughput import record_progress
 
 SERVICE = "letters"
 HOST = HostId("h0")
@@ -322,7 +322,7 @@
             StreamId(name),
             f"w{hash((call.prompt, call.output)) % 5}",
             SERVICE,
-            ROUTE_STEP * kind.rank,
+            ROUTE_RANK_WEIGHT * kind.rank,
             call.prompt,
             call.declared,
             self.now,
@@ -331,7 +331,7 @@
         )
         row.ttft_deadline = self.now + kind.aim_s
         row.gap_s, row.event_tokens = kind.gap_s, self.load.mix.event_tokens
-        row.start_by = self.now + min(patience_s, kind.silence_s) * START_PART
+        row.start_by = self.now + min(patience_s, kind.silence_s) * MAX_START_FRACTION
         row.body = call.body
         predictor = self.tables.predictor
         row.predicted_tokens = predictor.predict(row.workspace, SERVICE, call.declared)
--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -10,11 +10,11 @@
 from godwitladder.ids import KeyDigest, RouteName, ServiceName, WorkspaceName
 from godwitladder.routing.model import (
     CallerLimits,
-    Document,
     Route,
     RoutedService,
     RoutedWorkspace,
     RouteKind,
+    RoutingDocument,
     Split,
     TokenQuota,
 )
@@ -28,23 +28,23 @@
 NO_TIMEOUT_S = 3_600.0
 
 
-class BadDocument(ValueError):
+class InvalidDocument(ValueError):
     """The bytes are no configuration."""
 
 
-def decode_document(data: bytes) -> Document:
+def decode_document(data: bytes) -> RoutingDocument:
     """Return the configuration in ``data``.
 
     Raises
     ------
-    BadDocument
+    InvalidDocument
         It can't be read as one.
     """
     try:
         raw = json.loads(data)
         services = map(_service, raw.get("services") or ())
         workspaces = map(_workspace, raw.get("tenants") or ())
-        return Document(
+        return RoutingDocument(
             version=int(raw["version"]),
             routes=tuple(map(_route, raw.get("routes") or ())),
             services={row.name: row for row in services},
@@ -52,7 +52,7 @@
             limits=_bounds(raw.get("limits") or {}),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise BadDocument(f"no configuration: {error!r}") from error
+        raise InvalidDocument(f"no configuration: {error!r}") from error
 
 
 def _route(raw: dict[str, Any]) -> Route:
@@ -67,7 +67,7 @@
             for row in splits
         ),
         timeout_s=_seconds(raw.get("timeoutMs")) or NO_TIMEOUT_S,
-        aim_s=_seconds(raw.get("targetLatencyMs")),
+        ttft_budget_s=_seconds(raw.get("targetLatencyMs")),
         max_attempts=max(1, int(raw.get("maxAttempts") or 1)),
         rank=int(raw.get("priority") or 0),
         public=bool(raw.get("public")),
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -36,11 +36,11 @@
 from godwitladder.membership.messages import Heartbeat
 from godwitladder.membership.router import Router
 from godwitladder.metrics import Metrics
-from godwitladder.routing.app import ReadinessApp, RoutedApp, put_in_force
-from godwitladder.routing.calls import HeaderForm
+from godwitladder.routing.app import ReadinessApp, RoutedApp, index_document
+from godwitladder.routing.calls import HeaderCodec
 from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.settings import RoutedSettings, read_routed_settings
-from godwitladder.routing.state import state_of
+from godwitladder.routing.state import make_config_state
 from godwitladder.routing.status import StatusApp
 from godwitladder.scheduler.actor import Scheduler
 from godwitladder.scheduler.allocator import Allocator, AllocatorTables
@@ -80,7 +80,7 @@
         What it holds now.
     source : Source
         The platform's store.
-    form : HeaderForm
+    form : HeaderCodec
         The platform's names of headers.
     clock : Clock
         Handed to every part that needs the time.
@@ -91,7 +91,7 @@
         path: Path,
         settings: RoutedSettings,
         source: Source,
-        form: HeaderForm,
+        form: HeaderCodec,
         clock: Clock,
     ) -> None:
         super().__init__(settings.host, clock, settings.limits)
@@ -231,7 +231,7 @@
             cores=self.settings.processor.cores,
         )
 
-    def make_passer(self, form: HeaderForm) -> RoutedProxy:
+    def make_passer(self, form: HeaderCodec) -> RoutedProxy:
         """Return what sends calls on."""
         bounds = self.settings.bounds
         budget = RetryBudget(
@@ -339,12 +339,12 @@
 
     def publish_view(self, view: StoreView) -> None:
         """Put what the store says now in force on this host."""
-        state = state_of(view, self.span)
+        state = make_config_state(view, self.span)
         # Targets first: a call on a new route may come as soon as it is there.
         self.scheduler.tell(NewConfig(state))
         self.allocator.tell(NewConfig(state))
         if view.document is not self.app.in_force.document:
-            self.app.in_force = put_in_force(view.document)
+            self.app.in_force = index_document(view.document)
         self.metrics.config_offset.set({}, view.document.version)
 
     def publish_members(self, message: HostsChanged | TargetsLeaving) -> None:
@@ -388,7 +388,7 @@
     path: Path,
     settings: RoutedSettings,
     make_source: Callable[[RoutedSettings], Source],
-    form: HeaderForm,
+    form: HeaderCodec,
 ) -> None:
     """Run one host until SIGTERM or SIGINT, then stop as planned."""
     host = RoutingHost(path, settings, make_source(settings), form, Clock())
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -60,7 +60,7 @@
     kind: RouteKind
     splits: tuple[Split, ...]
     timeout_s: float
-    aim_s: float
+    ttft_budget_s: float
     max_attempts: int
     rank: int
     public: bool = False
@@ -133,7 +133,7 @@
 
 
 @dataclass(frozen=True)
-class Document:
+class RoutingDocument:
     """Everything in force at one version.
 
     Attributes
@@ -156,6 +156,6 @@
         }
 
     @property
-    def keyed(self) -> bool:
+    def requires_keys(self) -> bool:
         """Return whether requests need a key at all."""
         return bool(self.workspaces)
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -19,8 +19,8 @@
 )
 from godwitladder.scheduler.pools import make_pools, pool_key
 from godwitladder.scheduler.rows import RequestRow, Tables, TargetRow
-from godwitladder.scheduler.stretches import take_stretches
 from godwitladder.scheduler.systems import refuse_request, waiting_order
+from godwitladder.scheduler.throughput import take_stretches
 
 HEARTBEAT_S = 1.0
 """Longest time between two reports on a pool that is in use."""
@@ -93,9 +93,11 @@
     knows its zone's allocator and passes messages on.
     """
     for name, access in tables.pools.items():
-        hosts = tables.allocators if access.home else tables.linked.get(name.zone, ())
-        key = pool_key(name) if access.home else tables.host
-        access.ask(choose_host(hosts, key), now)
+        hosts = (
+            tables.allocators if access.is_local else tables.linked.get(name.zone, ())
+        )
+        key = pool_key(name) if access.is_local else tables.host
+        access.set_allocator(choose_host(hosts, key), now)
 
 
 def due_reports(tables: Tables, now: float) -> list[tuple[HostId, PoolReport]]:
@@ -149,7 +151,7 @@
     is silent: hundreds of idle hosts would take most of their allocator's time.
     One that was not answered yet says again what its workspaces have spent.
     """
-    if access.home and (tables.standing or access.holder is None):
+    if access.is_local and (tables.standing or access.holder is None):
         return True
     if access.asked or access.grants:
         return True
@@ -326,7 +328,7 @@
         return
     if not access.take(offer, now):
         return
-    if access.home:
+    if access.is_local:
         tables.gate.set(offer.pool, offer.shares, now)
     for request in offer.spill:
         row = tables.waiting.get(request)
--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -18,7 +18,7 @@
 from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
-from godwitladder.routing.calls import HeaderForm, RoutedCall, SendFacts
+from godwitladder.routing.calls import DispatchMetadata, HeaderCodec, RoutedCall
 from godwitladder.scheduler.messages import Returned, ReturnProof, Submit, Withdrawn
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.answers import internal_fault
@@ -52,13 +52,13 @@
 
     Attributes
     ----------
-    form : HeaderForm
+    form : HeaderCodec
         Names of headers on this platform.
     hosts : callable
         Returns how many hosts share the budget of repeats.
     """
 
-    form: HeaderForm
+    form: HeaderCodec
     scheduler: pykka.ActorRef
     clock: Clock
     metrics: Metrics
@@ -99,7 +99,7 @@
         self.clock = passer.clock
         self.sends = 0
         self.target = ""
-        self.open = OpenCall(gone, call.until, self.withdraw)
+        self.open = OpenCall(gone, call.deadline, self.withdraw)
         self.ending = DispatchReporter(
             call, passer.scheduler, passer.clock, passer.metrics
         )
@@ -179,7 +179,7 @@
             raise NotSent("the call is over")
         self.open.attach(connection.sock)
         self.sends += 1
-        facts = SendFacts(
+        facts = DispatchMetadata(
             left_s, dispatch.target, self.call.workspace, self.resume_from
         )
         headers = self.passer.form.for_target(self.call.headers, facts)
@@ -197,7 +197,7 @@
         if facts.not_run or response.status == MISDIRECTED:
             raise NotRun(f"answered {response.status}")
         # A target may hand out another request's answer; its id tells.
-        if facts.attempt != self.call.facts.attempt:
+        if facts.attempt != self.call.metadata.attempt:
             raise MayHaveRun("the answer belongs to another request")
         if 200 <= response.status < 300 and not facts.signature:
             raise MayHaveRun("the answer bears no signature")
@@ -315,7 +315,7 @@
 
     def left_s(self) -> float:
         """Return the seconds left of the call's time."""
-        return self.call.until - self.clock.monotonic()
+        return self.call.deadline - self.clock.monotonic()
 
     def disconnect(self) -> None:
         """Close the connection to the target."""
@@ -332,7 +332,7 @@
     def names(self) -> dict[str, str]:
         """Return what a log line says of which call it is about."""
         return {
-            "request": self.call.facts.attempt,
+            "request": self.call.metadata.attempt,
             "route": self.call.route.name,
             "target": self.target,
         }
