--- a/tests/serving/test_room.py
+++ b/tests/serving/test_room.py
@@ -18,7 +18,7 @@
     return RequestRow(name, name, "w", "letters", rank, 1, 1, arrived, 1e9, True)
 
 
-def test_room_is_made_by_the_last_of_the_lowest_tier():
+def test_the_latest_of_the_least_important_tier_is_shed():
     """An urgent request takes the thread of a less important one.
 
     All threads are occupied by queued requests. The urgent request that arrives
@@ -34,9 +34,9 @@
     assert (refusal.outcome, refusal.reason) == (RequestState.NOT_RUN, Reason.SHED)
 
 
-@pytest.mark.parametrize("crowded", [False, True])
-def test_room_is_asked_for_only_without_spare_threads(crowded):
-    """Every arrival is submitted; room is made only when threads run out."""
+@pytest.mark.parametrize("no_free_thread", [False, True])
+def test_the_scheduler_is_told_when_no_thread_is_free(no_free_thread):
+    """Every arrival is submitted; `NoFreeThread` follows only if none is free."""
     sent = []
 
     def tell(message) -> None:
@@ -49,8 +49,8 @@
         SimpleNamespace(tell=tell),
         Clock(),
         Metrics(),
-        lambda: crowded,
+        lambda: no_free_thread,
     )
     call = SimpleNamespace(row=make_row("r", 0, 0.0), on_end=lambda state: None)
     dispatcher.serve(call, {}, lambda status, headers: None)
-    assert sent == ([Submit, NoFreeThread] if crowded else [Submit])
+    assert sent == ([Submit, NoFreeThread] if no_free_thread else [Submit])
--- a/tests/serving/test_surface.py
+++ b/tests/serving/test_surface.py
@@ -56,7 +56,7 @@
     return stack.enter_context(sock)
 
 
-def answer_to(stack, port, request: bytes) -> http.client.HTTPResponse:
+def send_request(stack, port, request: bytes) -> http.client.HTTPResponse:
     """Send raw bytes on a new connection and return the response."""
     sock = connect(stack, port)
     sock.sendall(request)
@@ -69,7 +69,7 @@
     return answer
 
 
-def sized(head: bytes, body: bytes) -> bytes:
+def make_request(head: bytes, body: bytes) -> bytes:
     return head + KEY + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
@@ -89,8 +89,8 @@
         401,
     ),
     "unknown path": (b"GET /v2 HTTP/1.1\r\nHost: h\r\n" + KEY + b"\r\n", 404),
-    "unknown service": (sized(CALL.replace(b"lookup", b"nothing"), b"x"), 404),
-    "model as plain": (sized(CALL.replace(b"lookup", b"letters"), b"x"), 404),
+    "unknown service": (make_request(CALL.replace(b"lookup", b"nothing"), b"x"), 404),
+    "model as plain": (make_request(CALL.replace(b"lookup", b"letters"), b"x"), 404),
     "forged id": (
         b"GET /v1/requests/AAAA HTTP/1.1\r\nHost: h\r\n" + KEY + b"\r\n",
         404,
@@ -110,50 +110,56 @@
         413,
     ),
     "head too large": (CALL + b"X: " + b"x" * 5000 + b"\r\n\r\n", 431),
-    "long key": (sized(CALL + b"Idempotency-Key: " + b"k" * 41 + b"\r\n", b"x"), 400),
-    "empty key": (sized(CALL + b"Idempotency-Key:\r\n", b"x"), 400),
-    "odd timeout": (sized(CALL + b"Request-Timeout: soon\r\n", b"x"), 400),
-    "no timeout": (sized(CALL + b"Request-Timeout: nan\r\n", b"x"), 400),
-    "odd rank": (sized(CALL + b"Request-Tier-Rank: \xb2\r\n", b"x"), 400),
-    "no body": (sized(CHAT, b""), 400),
-    "no JSON": (sized(CHAT, b"{"), 400),
-    "no UTF-8": (sized(CHAT, b'{"messages": "\xff\xfe"}'), 400),
-    "deep JSON": (sized(CHAT, b"[" * 4900), 400),
-    "NaN": (sized(CHAT, chat(temperature=float("nan"))), 400),
-    "long number": (sized(CHAT, b'{"messages": [], "n": %b}' % (b"9" * 4800)), 400),
-    "no messages": (sized(CHAT, b"{}"), 400),
-    "odd max_tokens": (sized(CHAT, chat(max_tokens="many")), 400),
-    "boolean max_tokens": (sized(CHAT, chat(max_tokens=True)), 400),
-    "odd model": (sized(CHAT, chat(model=["letters"])), 404),
+    "long key": (
+        make_request(CALL + b"Idempotency-Key: " + b"k" * 41 + b"\r\n", b"x"),
+        400,
+    ),
+    "empty key": (make_request(CALL + b"Idempotency-Key:\r\n", b"x"), 400),
+    "odd timeout": (make_request(CALL + b"Request-Timeout: soon\r\n", b"x"), 400),
+    "no timeout": (make_request(CALL + b"Request-Timeout: nan\r\n", b"x"), 400),
+    "odd rank": (make_request(CALL + b"Request-Tier-Rank: \xb2\r\n", b"x"), 400),
+    "no body": (make_request(CHAT, b""), 400),
+    "no JSON": (make_request(CHAT, b"{"), 400),
+    "no UTF-8": (make_request(CHAT, b'{"messages": "\xff\xfe"}'), 400),
+    "deep JSON": (make_request(CHAT, b"[" * 4900), 400),
+    "NaN": (make_request(CHAT, chat(temperature=float("nan"))), 400),
+    "long number": (
+        make_request(CHAT, b'{"messages": [], "n": %b}' % (b"9" * 4800)),
+        400,
+    ),
+    "no messages": (make_request(CHAT, b"{}"), 400),
+    "odd max_tokens": (make_request(CHAT, chat(max_tokens="many")), 400),
+    "boolean max_tokens": (make_request(CHAT, chat(max_tokens=True)), 400),
+    "odd model": (make_request(CHAT, chat(model=["letters"])), 404),
 }
 
 
 @pytest.fixture(scope="module")
-def surface():
+def served_calls():
     with contextlib.ExitStack() as resources:
         yield serve_calls(resources)
 
 
 @pytest.mark.parametrize("name", REFUSED)
-def test_a_bad_request_gets_a_clear_answer_and_harms_nobody(stack, surface, name):
+def test_an_invalid_request_is_refused_and_affects_no_others(stack, served_calls, name):
     """An invalid request is refused as not run and does not affect others.
 
     Each refusal is a problem document with this outcome, whether the application
     or waitress detected the problem. A valid call on another connection succeeds
     right after, and is the only one that reached the service.
     """
-    port, service = surface
+    port, service = served_calls
     request, status = REFUSED[name]
     before = len(service.runs)
-    answer = answer_to(stack, port, request)
+    answer = send_request(stack, port, request)
     assert answer.status == status
     assert answer.headers["Content-Type"] == "application/problem+json"
     assert json.loads(answer.read())["outcome"] == "not_run"
-    assert answer_to(stack, port, sized(CALL, b"sound")).status == 200
+    assert send_request(stack, port, make_request(CALL, b"sound")).status == 200
     assert len(service.runs) == before + 1
 
 
-def test_slow_and_cut_bodies_hold_up_nobody(stack):
+def test_slow_and_truncated_bodies_occupy_no_thread(stack):
     """Callers that send half a body, or none, occupy no thread.
 
     There are more such callers than threads. The server's loop buffers each
@@ -164,50 +170,50 @@
         connect(stack, port).sendall(CALL + KEY + b"Content-Length: 50\r\n\r\nhalf")
         connect(stack, port).close()
     connect(stack, port).sendall(b"POST /v1/serv")
-    assert answer_to(stack, port, sized(CALL, b"x")).status == 200
+    assert send_request(stack, port, make_request(CALL, b"x")).status == 200
     assert len(service.runs) == 1
 
 
-def test_a_connection_too_many_is_told_so(stack):
+def test_too_many_connections_get_a_response(stack):
     """A caller beyond the connection limit gets status 429.
 
     Otherwise the connection would stay in the system's accept queue, where the
     caller sees it as open but never gets a response.
     """
     port, _ = serve_calls(stack)
-    held = [connect(stack, port) for _ in range(LIMITS.connections)]
+    open_connections = [connect(stack, port) for _ in range(LIMITS.connections)]
     assert read_answer(connect(stack, port)).status == 429
-    for sock in held:
+    for sock in open_connections:
         sock.close()
     wait_until(
-        lambda: answer_to(stack, port, sized(CALL, b"x")).status == 200,
+        lambda: send_request(stack, port, make_request(CALL, b"x")).status == 200,
         "a free connection",
     )
 
 
-def test_a_caller_that_reads_nothing_holds_little_memory(stack):
+def test_a_response_to_a_caller_that_reads_nothing_is_not_buffered(stack):
     """A response that the caller does not read is not buffered without limit.
 
     The application yields far more blocks than the buffers hold. The server takes
     a few more than the socket's buffers can hold, and then blocks the application.
     """
-    made = []
+    blocks = []
 
     def app(environ, start_response):
         start_response("200 OK", [("Content-Type", "text/plain")])
-        while len(made) < 1000:
-            made.append(1)
+        while len(blocks) < 1000:
+            blocks.append(1)
             yield b"x" * 65_536
 
     port = serve(stack, app)
     sock = connect(stack, port)
     sock.sendall(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-    wait_until(lambda: made, "the first block")
-    assert settled_length(made) < 200
+    wait_until(lambda: blocks, "the first block")
+    assert settled_length(blocks) < 200
     sock.close()
 
 
-def test_a_caller_that_never_reads_is_given_up(stack, monkeypatch):
+def test_a_caller_that_never_reads_is_disconnected(stack, monkeypatch):
     """A caller that stops reading can't occupy a thread and a slot forever.
 
     Its connection stays open, because the caller's system still answers for it.
@@ -230,16 +236,16 @@
     assert closed.wait(30)
 
 
-def settled_length(made: list) -> int:
-    """Return the length of ``made`` once it has stopped growing."""
+def settled_length(blocks: list) -> int:
+    """Return the length of ``blocks`` once it has stopped growing."""
     settled = 0
-    while len(made) != settled:
-        settled = len(made)
+    while len(blocks) != settled:
+        settled = len(blocks)
         threading.Event().wait(0.2)
     return settled
 
 
-def test_tls_serves_many_callers_and_refuses_plain_ones(stack, tmp_path):
+def test_tls_serves_many_callers_and_refuses_plaintext(stack, tmp_path):
     """TLS callers are served; a plaintext caller is not and affects no others."""
     authority = trustme.CA()
     issued = authority.issue_cert("127.0.0.1")
@@ -248,8 +254,8 @@
         blob.write_to_path(certificate, append=True)
     issued.private_key_pem.write_to_path(key)
     port, service = serve_calls(stack, TlsSettings(str(certificate), str(key)))
-    plain = connect(stack, port)
-    plain.sendall(sized(CALL, b"x"))
+    plaintext = connect(stack, port)
+    plaintext.sendall(make_request(CALL, b"x"))
     connect(stack, port)
     context = ssl.create_default_context()
     authority.configure_trust(context)
@@ -268,21 +274,21 @@
         assert answer.status == 200
     assert len(service.runs) == len(bodies)
     with contextlib.suppress(ConnectionResetError):
-        assert b"HTTP/1.1 200" not in plain.recv(1000)
+        assert b"HTTP/1.1 200" not in plaintext.recv(1000)
 
 
-def test_tls_passes_an_answer_larger_than_any_buffer(stack, tmp_path):
+def test_tls_sends_a_response_larger_than_any_buffer(stack, tmp_path):
     """A long response over TLS is complete although the caller reads it late."""
     authority = trustme.CA()
     issued = authority.issue_cert("127.0.0.1")
     path = tmp_path / "both.pem"
     issued.private_key_and_cert_chain_pem.write_to_path(path)
-    block, made = bytes(range(250)) * 200, []
+    block, blocks = bytes(range(250)) * 200, []
 
     def app(environ, start_response):
         start_response("200 OK", [("Content-Type", "text/plain")])
-        while len(made) < 400:
-            made.append(1)
+        while len(blocks) < 400:
+            blocks.append(1)
             yield block
 
     port = serve(stack, app, TlsSettings(str(path), str(path)))
@@ -292,11 +298,11 @@
     answer = pool.request(
         "GET", f"https://127.0.0.1:{port}/", timeout=10, preload_content=False
     )
-    assert 0 < settled_length(made) < 400
+    assert 0 < settled_length(blocks) < 400
     assert answer.read() == block * 400
 
 
-def test_buffers_stay_off_the_disk():
+def test_buffers_are_not_written_to_disk():
     """The server buffers in memory only, because hosts have no disk."""
     limits = LimitSettings(threads=4)
     address = f"127.0.0.1:{free_ports(1)[0]}"
--- a/tests/serving/test_threads.py
+++ b/tests/serving/test_threads.py
@@ -49,7 +49,7 @@
     return sum(task.started.is_set() for task in tasks)
 
 
-def test_a_burst_gets_a_thread_for_each_call_and_none_is_left_at_rest(stack):
+def test_a_burst_gets_a_thread_for_each_call_and_none_is_left_when_idle(stack):
     """A hundred calls arrive at once on an idle host.
 
     Each starts while all others are still running, so that no caller waits for
@@ -58,7 +58,7 @@
     """
     dispatcher = make_dispatcher(stack, 200)
     tasks = add_tasks(stack, dispatcher, 100)
-    wait_until(lambda: count_started(tasks) == 100, "all calls to begin")
+    wait_until(lambda: count_started(tasks) == 100, "all calls to start")
     assert len(dispatcher.threads) == 100
     for task in tasks:
         task.end.set()
@@ -66,7 +66,7 @@
     assert dispatcher.active_count == 0
 
 
-def test_calls_beyond_the_bound_wait_and_lose_nothing(stack):
+def test_calls_beyond_the_maximum_are_queued_and_none_is_lost(stack):
     """More calls arrive than the maximum number of threads.
 
     The excess calls are queued until a thread is free and are then served in
@@ -82,7 +82,7 @@
     assert len(dispatcher.threads) <= 3
 
 
-def test_a_call_comes_just_when_the_last_thread_has_ended(stack):
+def test_a_call_that_arrives_after_the_last_thread_ended_is_served(stack):
     """Calls arrive one at a time, with pauses in which all threads end.
 
     Each call is started: a thread that is about to end either takes the call or
@@ -96,7 +96,7 @@
         wait_until(lambda: not dispatcher.threads, "the thread to end")
 
 
-def test_a_system_without_threads_keeps_the_call_for_one_that_runs(stack):
+def test_if_no_thread_can_be_started_the_call_is_queued(stack):
     """The system can't create another thread while a call is served.
 
     The new call is queued for the running thread instead of being lost, and the
@@ -105,7 +105,10 @@
     dispatcher = make_dispatcher(stack, 4)
     (first,) = add_tasks(stack, dispatcher, 1)
     wait_until(first.started.is_set, "the first call")
-    start, dispatcher.start_new_thread = dispatcher.start_new_thread, no_thread
+    start, dispatcher.start_new_thread = (
+        dispatcher.start_new_thread,
+        fail_to_start_thread,
+    )
     (second,) = add_tasks(stack, dispatcher, 1)
     assert len(dispatcher.threads) == 1
     dispatcher.start_new_thread = start
@@ -113,11 +116,11 @@
     wait_until(second.started.is_set, "the second call")
 
 
-def no_thread(target, number):
+def fail_to_start_thread(target, number):
     raise RuntimeError("can't start new thread")
 
 
-def test_a_call_that_fails_takes_no_thread_with_it(stack):
+def test_the_next_call_is_served_after_one_that_fails(stack):
     """A call fails with an unexpected exception; the next call is served."""
     dispatcher = make_dispatcher(stack, 1)
 
