--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -268,7 +268,7 @@
             deadline=now + wait_s,
             idempotent=may_repeat(route),
             body=digest,
-            prefix=shared_start(facts.parts),
+            prefix=shared_prefix_name(facts.parts),
         )
         row.start_by = now + start_within_s(route, wait_s)
         if route.ttft_budget_s:
@@ -314,7 +314,7 @@
     return route.kind is RouteKind.IDEMPOTENT or route.resumable
 
 
-def shared_start(parts: Sequence[PromptPart]) -> str:
+def shared_prefix_name(parts: Sequence[PromptPart]) -> str:
     """Return by what the start of a prompt is known that others have too.
 
     The last part belongs to the request alone. A target that keeps the part before
--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -166,7 +166,7 @@
 
     def take(self, offer: GrantOffer, now: float) -> bool:
         """Take in an offer; return False for one that is late or foreign."""
-        if self.home and self.allocator not in (offer.allocator, offer.via):
+        if self.is_local and self.allocator not in (offer.allocator, offer.via):
             return False
         if (offer.allocator, offer.term) != (self.holder, self.term):
             self.drop()
