--- a/godwitladder/serving/listener.py
+++ b/godwitladder/serving/listener.py
@@ -28,9 +28,10 @@
 # limit the thread that writes the response blocks, and stops reading from the
 # engine's stream.
 OUTPUT_WATERMARK_BYTES = 65_536
-# Seconds that sent data may stay unacknowledged before the connection is closed.
-# Without this timeout, a caller that stops reading would occupy a thread, and
-# through it a slot of a target, for as long as its connection stays open.
+# Seconds that sent data may stay unacknowledged before the connection is closed:
+# the caller is then gone or will never read. Without this timeout, a caller that
+# stops reading would occupy a thread, and through it a slot of a target, for as
+# long as its connection stays open.
 TCP_USER_TIMEOUT_S = 30
 # Threads kept free to send refusals while all others serve requests.
 RESERVED_THREADS = 16
