--- a/godwitladder/serving/operators.py
+++ b/godwitladder/serving/operators.py
@@ -1,4 +1,4 @@
-"""The WSGI application that operators and their monitoring reach."""
+"""WSGI application for operators and their monitoring."""
 
 import json
 import math
@@ -21,32 +21,35 @@
 from godwitladder.serving.submission import (
     DEFAULT_WAIT_S,
     SubmissionFailed,
-    Submitted,
-    TicketDesk,
+    SubmittedTicket,
     TicketRefused,
+    TicketSubmitter,
     is_rejected,
 )
 from godwitladder.settings import Settings
 
-TICKETS = "/v1/tickets"
+TICKETS_PATH = "/v1/tickets"
 
 
 @dataclass(frozen=True)
 class HostStatus:
-    """What a host tells operators of itself.
+    """Status of a host as reported to operators.
 
     Attributes
     ----------
     config_offset : int
-        Offset of the next record to replay; all before it are in force.
+        Offset of the next configuration record to replay; all records before it
+        are in force.
     config_phase : str
         See `godwitladder.configuration.replica.Phase`.
     log_reachable : bool
-        Whether the log answered when it was last asked.
+        Whether the log answered the last request to it.
     peers : tuple of str
-        Hosts to which a link is up.
+        Hosts to which a connection is established.
     targets : dict
-        State of each target in force, by name.
+        State of each configured target, by name.
+    waiting, running : int
+        Number of requests that are queued and that are dispatched.
     """
 
     host: str
@@ -63,7 +66,28 @@
 
 
 class OperatorApp:
-    """Serves operators: tickets, audit, status; and probes without a token."""
+    """Serves tickets, audit trail, quarantine and status to operators.
+
+    Health and readiness probes and metrics need no token.
+
+    Parameters
+    ----------
+    settings : Settings
+        The host's settings, with the digests of the operators' tokens.
+    log : LogClient
+        Client of the log that tickets are appended to.
+    follower : ConfigFollower
+        Follower of that log, with the ledger of tickets and verdicts.
+    metrics : Metrics
+        Metrics to expose.
+    status : callable
+        Returns the host's current status.
+
+    Attributes
+    ----------
+    watch : CrashWatch or None
+        The host's quarantine. None until the host has set it.
+    """
 
     def __init__(
         self,
@@ -77,11 +101,11 @@
         self.follower = follower
         self.metrics = metrics
         self.status = status
-        self.desk = TicketDesk(log, follower)
+        self.submitter = TicketSubmitter(log, follower)
         self.watch: CrashWatch | None = None
 
     def __call__(self, environ: Mapping, start_response) -> Iterable[bytes]:
-        """Answer one request (WSGI)."""
+        """Serve one request (WSGI)."""
         try:
             return self._route(environ, start_response)
         except (CallRefused, SubmissionFailed) as error:
@@ -92,33 +116,33 @@
     def _route(self, environ: Mapping, start_response) -> Iterable[bytes]:
         method, path = environ["REQUEST_METHOD"], environ["PATH_INFO"]
         if path == "/healthz":
-            return _json(start_response, {"healthy": True})
+            return _answer_json(start_response, {"healthy": True})
         if path == "/readyz":
             ready = self.status().ready
             status = "200 OK" if ready else "503 Service Unavailable"
-            return _json(start_response, {"ready": ready}, status)
+            return _answer_json(start_response, {"ready": ready}, status)
         if path == "/metrics":
             body, headers = self.metrics.render()
             start_response("200 OK", list(headers.items()))
             return [body]
         operator = self._authenticate(environ)
-        if method == "POST" and path == TICKETS:
+        if method == "POST" and path == TICKETS_PATH:
             return self._submit(environ, operator, start_response)
-        if method == "GET" and path == TICKETS:
+        if method == "GET" and path == TICKETS_PATH:
             return self._list_tickets(start_response)
-        if method == "GET" and path.startswith(f"{TICKETS}/"):
-            number = path.removeprefix(f"{TICKETS}/")
+        if method == "GET" and path.startswith(f"{TICKETS_PATH}/"):
+            number = path.removeprefix(f"{TICKETS_PATH}/")
             return self._show_ticket(number, start_response)
         if method == "GET" and path == "/v1/audit":
             return self._audit(environ, start_response)
         if path.startswith(QUARANTINE_PATH):
             return answer_quarantine(self.watch, environ, start_response)
         if method == "GET" and path == "/v1/status":
-            return _json(start_response, asdict(self.status()))
+            return _answer_json(start_response, asdict(self.status()))
         raise deny(Reason.UNKNOWN_PATH, f"There is no {method} {path}.")
 
     def _authenticate(self, environ: Mapping) -> str:
-        """Return the operator's name; empty for a token without one."""
+        """Return the operator's name; empty for a token without a name."""
         names = {row.digest: row.name for row in self.settings.operators}
         known = [*names, *self.settings.operator_token_digests]
         digest = matching_digest(bearer_digest(environ), known)
@@ -134,14 +158,14 @@
             raise deny(Reason.TOO_LARGE, f"A ticket has at most {TICKET_BYTES} bytes.")
         body = environ["wsgi.input"].read(length)
         wait_s = _read_number(environ, "wait", DEFAULT_WAIT_S)
-        submitted = self.desk.submit(body, operator, wait_s)
+        submitted = self.submitter.submit(body, operator, wait_s)
         status = "409 Conflict" if is_rejected(submitted) else "202 Accepted"
-        return _json(start_response, submitted_row(submitted), status)
+        return _answer_json(start_response, submitted_row(submitted), status)
 
     def _list_tickets(self, start_response) -> Iterable[bytes]:
         with self.follower.lock:
             rows = [asdict(row) for row in self.follower.ledger.accepted.values()]
-        return _json(start_response, {"tickets": rows})
+        return _answer_json(start_response, {"tickets": rows})
 
     def _show_ticket(self, text: str, start_response) -> Iterable[bytes]:
         if not (text.isascii() and text.isdigit()):
@@ -158,7 +182,7 @@
         if not rows and not names:
             raise deny(Reason.UNKNOWN_PATH, f"No ticket {number} is on record.")
         answer = {"number": number, "verdicts": rows, "in_force": names}
-        return _json(start_response, answer)
+        return _answer_json(start_response, answer)
 
     def _audit(self, environ: Mapping, start_response) -> Iterable[bytes]:
         start = _read_number(environ, "from", 0)
@@ -166,11 +190,11 @@
             entries = list(self.follower.ledger.audit)
             following = self.follower.ledger.next
         rows = [audit_row(entry) for entry in entries if entry.offset >= start]
-        return _json(start_response, {"audit": rows, "next": following})
+        return _answer_json(start_response, {"audit": rows, "next": following})
 
 
 def audit_row(entry: AuditEntry) -> dict:
-    """Return an audit entry as members of a JSON object."""
+    """Return an audit entry as the members of a JSON object."""
     return {
         "offset": entry.offset,
         "time": entry.time,
@@ -183,8 +207,8 @@
     }
 
 
-def submitted_row(submitted: Submitted) -> dict:
-    """Return a submitted ticket as members of a JSON object."""
+def submitted_row(submitted: SubmittedTicket) -> dict:
+    """Return a submitted ticket as the members of a JSON object."""
     entry = submitted.entry
     if entry is None:
         return {"offset": submitted.offset, "verdict": "pending"}
@@ -202,11 +226,11 @@
     status = "403 Forbidden" if error.forbidden else "422 Unprocessable Content"
     answer = {"outcome": "not_run", "detail": str(error)}
     answer["findings"] = _finding_rows(error.findings)
-    return _json(start_response, answer, status)
+    return _answer_json(start_response, answer, status)
 
 
 def _read_number(environ: Mapping, name: str, default: float) -> float:
-    """Return a number from the query."""
+    """Return the query parameter ``name``, which must not be negative."""
     text = parse_qs(environ.get("QUERY_STRING", "")).get(name, [str(default)])[0]
     try:
         value = float(text)
@@ -217,7 +241,7 @@
     return value
 
 
-def _json(start_response, value: dict, status: str = "200 OK") -> list[bytes]:
+def _answer_json(start_response, value: dict, status: str = "200 OK") -> list[bytes]:
     body = json.dumps(value).encode()
     headers = [
         ("Content-Type", "application/json"),
--- a/godwitladder/serving/threads.py
+++ b/godwitladder/serving/threads.py
@@ -1,47 +1,47 @@
-"""Threads that serve calls: started as calls come, ended when idle.
+"""Thread pool for serving calls that grows on demand and shrinks when idle.
 
-A host of a large fleet serves a few calls at once and must bear a burst of
-many. With a thread for each call that it could bear, hundreds of hosts would
-hold tens of thousands of threads that do nothing.
+A host in a large fleet usually serves a few calls at once, but must handle
+bursts of many. With one permanent thread per call of such a burst, hundreds of
+hosts would hold tens of thousands of idle threads.
 """
 
 from typing import Any
 
 from waitress.task import ThreadedTaskDispatcher
 
-IDLE_S = 2.0
-"""Waiting threads are woken in turn, so a short time lets the surplus end even
-while calls keep coming."""
+IDLE_TIMEOUT_S = 2.0
+"""Idle threads take tasks in turn, so the timeout must be short for surplus
+threads to end while calls keep arriving."""
 
 
 class ElasticDispatcher(ThreadedTaskDispatcher):
-    """Runs tasks on as many threads as they need, up to a bound.
+    """Runs tasks on as many threads as they need, up to a maximum.
 
     Parameters
     ----------
-    most : int
-        Threads at once; further tasks wait for one to be free.
+    max_threads : int
+        Maximum number of threads. Further tasks are queued until one is free.
     idle_s : float
         Seconds without a task after which a thread ends.
     """
 
-    def __init__(self, most: int, idle_s: float = IDLE_S) -> None:
+    def __init__(self, max_threads: int, idle_s: float = IDLE_TIMEOUT_S) -> None:
         super().__init__()
-        self.most = most
+        self.max_threads = max_threads
         self.idle_s = idle_s
         self.next_number = 0
 
     def add_task(self, task: Any) -> None:
-        """Run ``task`` on a thread that waits, or on a new one."""
+        """Run ``task`` on an idle thread or a new one, or queue it."""
         with self.lock:
             self.queue.append(task)
             self.queue_cv.notify()
             waiting = len(self.threads) - self.active_count
-            if len(self.queue) > waiting and len(self.threads) < self.most:
-                self.start_one()
+            if len(self.queue) > waiting and len(self.threads) < self.max_threads:
+                self.start_worker()
 
-    def start_one(self) -> None:
-        """Start one more thread; the lock is held."""
+    def start_worker(self) -> None:
+        """Start one more thread; the caller must hold the lock."""
         number = self.next_number
         self.next_number += 1
         self.threads.add(number)
@@ -49,25 +49,25 @@
         try:
             self.start_new_thread(self.handler_thread, number)
         except RuntimeError:
-            # The system has no thread to give. The task waits for one of those
-            # that run; with none at all nobody would ever take it.
-            self.end_one(number)
+            # The system can't create a thread. The task stays queued for a running
+            # thread. If none is running, it would never be served.
+            self.end_worker(number)
             if not self.threads:
                 raise
 
-    def end_one(self, number: int) -> None:
-        """Forget a thread that ends; the lock is held."""
+    def end_worker(self, number: int) -> None:
+        """Remove a thread that ends; the caller must hold the lock."""
         self.active_count -= 1
         self.threads.discard(number)
         self.thread_exit_cv.notify()
 
     def handler_thread(self, thread_no: int) -> None:
-        """Run tasks until none came for a while."""
+        """Run tasks until the idle timeout passes without one."""
         while True:
             with self.lock:
                 task = self.next_task()
                 if task is None:
-                    self.end_one(thread_no)
+                    self.end_worker(thread_no)
                     return
             try:
                 task.service()
@@ -75,7 +75,7 @@
                 self.logger.exception("Exception when servicing %r", task)
 
     def next_task(self) -> Any:
-        """Return the next task; None if the thread is to end."""
+        """Return the next task, or None if the thread should end."""
         while self.stop_count == 0:
             if self.queue:
                 return self.queue.popleft()
--- a/tests/serving/test_room.py
+++ b/tests/serving/test_room.py
@@ -1,4 +1,4 @@
-"""A host that runs out of threads sheds from the lowest tier it holds."""
+"""Tests that a host without free threads sheds from its least important tier."""
 
 from types import SimpleNamespace
 
@@ -18,11 +18,11 @@
     return RequestRow(name, name, "w", "letters", rank, 1, 1, arrived, 1e9, True)
 
 
-def test_room_is_made_by_the_last_of_the_lowest_tier():
-    """An urgent caller gets the thread of a caller that matters less.
+def test_the_latest_of_the_least_important_tier_is_shed():
+    """An urgent request takes the thread of a less important one.
 
-    All threads are held by requests that wait. The urgent one that arrives
-    last stays; the latest one of the lowest tier is told to come back.
+    All threads are occupied by queued requests. The urgent request that arrives
+    last stays queued, and the latest one of the least important tier is shed.
     """
     tables = Tables("host", "a", hosts=("host",))
     rows = [make_row(f"r{n}", rank, n) for n, rank in enumerate((0, 1, 1, 0))]
@@ -34,13 +34,13 @@
     assert (refusal.outcome, refusal.reason) == (RequestState.NOT_RUN, Reason.SHED)
 
 
-@pytest.mark.parametrize("crowded", [False, True])
-def test_room_is_asked_for_only_without_spare_threads(crowded):
-    """The scheduler sees every arrival, also the one that finds no thread."""
-    told = []
+@pytest.mark.parametrize("no_free_thread", [False, True])
+def test_the_scheduler_is_told_when_no_thread_is_free(no_free_thread):
+    """Every arrival is submitted; `NoFreeThread` follows only if none is free."""
+    sent = []
 
     def tell(message) -> None:
-        told.append(type(message))
+        sent.append(type(message))
         if isinstance(message, Submit):
             message.row.decisions.put(refuse(Reason.SHED, "full", 1.0))
 
@@ -49,8 +49,8 @@
         SimpleNamespace(tell=tell),
         Clock(),
         Metrics(),
-        lambda: crowded,
+        lambda: no_free_thread,
     )
     call = SimpleNamespace(row=make_row("r", 0, 0.0), on_end=lambda state: None)
     dispatcher.serve(call, {}, lambda status, headers: None)
-    assert told == ([Submit, NoFreeThread] if crowded else [Submit])
+    assert sent == ([Submit, NoFreeThread] if no_free_thread else [Submit])
