--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -14,16 +14,21 @@
 
 import pykka
 
-from godwitladder.claims.actor import GiveUp, Want
-from godwitladder.claims.collector import RETRY_S, Settled, Verdict, Wanted
+from godwitladder.claims.actor import ReleaseClaim, SubmitClaim
 from godwitladder.claims.issued import (
     ForgedKey,
     IssuedKey,
     IssuedKeys,
-    Spending,
+    KeyUseResult,
     read_key,
 )
 from godwitladder.claims.records import body_bytes, key_bytes, nonce_bytes
+from godwitladder.claims.tracker import (
+    RETRY_DELAY_S,
+    ClaimRequest,
+    ClaimResult,
+    Verdict,
+)
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId, Incarnation, StreamId
 from godwitladder.logs import component_logger
@@ -248,7 +253,7 @@
     def _give_back_if_not_run(self, original: OriginalRequest, row: RequestRow):
         def on_end(state: RequestState) -> None:
             if state is RequestState.NOT_RUN:
-                self.issued.give_back(row.key)
+                self.issued.restore(row.key)
                 self.joinable.discard(row.key, original)
 
         return on_end
@@ -258,18 +263,20 @@
             # Release the key only if the request is known not to have run: the
             # next request with this key will run on any host that it reaches.
             if state is RequestState.NOT_RUN:
-                self.claims.tell(GiveUp(key_bytes(row.key), nonce_bytes(row.stream)))
+                self.claims.tell(
+                    ReleaseClaim(key_bytes(row.key), nonce_bytes(row.stream))
+                )
                 self.joinable.discard(row.key, original)
 
         return on_end
 
     def _spend(self, issued: IssuedKey, row: RequestRow) -> None:
-        spending = self.issued.spend(issued, row.key, row.body, self.clock.monotonic())
-        if spending is Spending.SPENT:
+        spending = self.issued.use(issued, row.key, row.body, self.clock.monotonic())
+        if spending is KeyUseResult.SPENT:
             raise key_in_use("")
-        if spending is Spending.REUSED:
+        if spending is KeyUseResult.REUSED:
             raise CallRefused(refuse(Reason.KEY_REUSED, KEY_REUSED_TEXT))
-        if spending is Spending.EXPIRED:
+        if spending is KeyUseResult.EXPIRED:
             raise CallRefused(key_expired())
 
     def _claim(self, call: Call, environ: Mapping) -> Holder | None:
@@ -300,18 +307,18 @@
             return Holder(held_by.host, held_by.incarnation, stream)
         raise CallRefused(_claim_refusals()[settled.verdict])
 
-    def _await_claim(self, row: RequestRow, environ: Mapping) -> Settled:
+    def _await_claim(self, row: RequestRow, environ: Mapping) -> ClaimResult:
         now = self.clock.monotonic()
         due = min(row.deadline, now + self.settings.claims.patience_s)
-        wanted = Wanted(
+        wanted = ClaimRequest(
             key_bytes(row.key),
             nonce_bytes(row.stream),
             body_bytes(row.body),
             uuid7_time_s(environ[KEY_HEADER]),
             due,
         )
-        reply: queue.SimpleQueue[Settled] = queue.SimpleQueue()
-        self.claims.tell(Want(wanted, reply))
+        reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
+        self.claims.tell(SubmitClaim(wanted, reply))
         return reply.get()
 
     def _forward_to_holder(
@@ -359,7 +366,7 @@
         Verdict.REUSED: refuse(Reason.KEY_REUSED, KEY_REUSED_TEXT),
         Verdict.EXPIRED: key_expired(),
         Verdict.UNAVAILABLE: refuse(
-            Reason.LOG_UNAVAILABLE, LOG_UNAVAILABLE_TEXT, RETRY_S
+            Reason.LOG_UNAVAILABLE, LOG_UNAVAILABLE_TEXT, RETRY_DELAY_S
         ),
     }
 
