--- a/godwitladder/clients/__init__.py
+++ b/godwitladder/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the log, host list and weight store off the users' platform."""
+"""Clients of the platform's log, host list and weight store."""
--- a/godwitladder/clients/hosts.py
+++ b/godwitladder/clients/hosts.py
@@ -1,4 +1,4 @@
-"""Client of the platform's lagging list of live and leaving hosts."""
+"""Client of the platform's list of live and leaving hosts, which lags behind."""
 
 import json
 
@@ -10,11 +10,11 @@
 
 
 class HostListUnavailable(GodwitladderError):
-    """The host list did not answer."""
+    """The host list did not answer, or its answer was invalid."""
 
 
 class HostListClient:
-    """Reads the list; what it says is late and only a hint."""
+    """Reads the host list; its contents are out of date and serve only as a hint."""
 
     def __init__(self, url: str, zone: Zone, timeout_s: float = 2.0) -> None:
         self.url = url.rstrip("/")
@@ -26,7 +26,13 @@
         self.pool.clear()
 
     def read(self) -> tuple[ListedHost, ...]:
-        """Return the rows of the list."""
+        """Return the hosts on the list.
+
+        Raises
+        ------
+        HostListUnavailable
+            The list did not answer, or its answer was invalid.
+        """
         try:
             answer = self.pool.request(
                 "GET", f"{self.url}/hosts", timeout=self.timeout_s
@@ -40,4 +46,6 @@
         except urllib3.exceptions.HTTPError as error:
             raise HostListUnavailable(f"host list did not answer: {error}") from error
         except (ValueError, KeyError, TypeError) as error:
-            raise HostListUnavailable(f"host list is no list: {error!r}") from error
+            raise HostListUnavailable(
+                f"host list sent an invalid answer: {error!r}"
+            ) from error
--- a/godwitladder/clients/log.py
+++ b/godwitladder/clients/log.py
@@ -1,8 +1,8 @@
 """Client of the platform's append-only log service.
 
-The only module to change when the platform's own form of the log differs:
-``POST /log/{stream}`` appends one batch, ``GET /log/{stream}?from=&wait=``
-reads from an offset on and waits for news.
+``POST /log/{stream}`` appends one batch; ``GET /log/{stream}?from=&wait=`` reads
+from an offset and waits for new records. This is the only module to change for a
+platform whose log has another interface.
 """
 
 import base64
@@ -28,12 +28,12 @@
 
 
 class LogNotReached(LogUnavailable):
-    """No connection was made: nothing was sent, an append was not applied."""
+    """No connection was made: nothing was sent, and no append was applied."""
 
 
 @dataclass(frozen=True)
 class Record:
-    """One record; ``time`` is the log's own, in seconds since the epoch."""
+    """One record; ``time`` is set by the log, in seconds since the epoch."""
 
     offset: Offset
     time: float
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Page:
-    """Records from a read; ``first`` is the oldest offset still kept."""
+    """Result of a read; ``first`` is the oldest offset that the log retains."""
 
     first: Offset
     next: Offset
@@ -55,11 +55,11 @@
     Parameters
     ----------
     url : str
-        Root of the service.
+        Base URL of the service.
     zone : str
-        Availability zone of this host, told to the service for its records.
+        Availability zone of this host, sent to the service for its records.
     timeout_s : float
-        Longest wait for an answer, in seconds.
+        Timeout of a request, in seconds.
     """
 
     def __init__(self, url: str, zone: Zone, timeout_s: float = 2.0) -> None:
@@ -81,8 +81,8 @@
         LogNotReached
             Nothing was sent.
         LogUnavailable
-            No answer: the batch may or may not have been applied. Only
-            reading the stream can tell.
+            No valid answer: the batch may have been applied. Only reading the
+            stream shows whether it was.
         """
         body = json.dumps([base64.b64encode(data).decode() for data in records])
         answer = self._request("POST", f"/log/{stream}", body, self.timeout_s)
@@ -92,7 +92,13 @@
             raise LogUnavailable(f"log answered no offset: {error!r}") from error
 
     def read(self, stream: str, start: Offset, wait_s: float = 0.0) -> Page:
-        """Return the records from ``start`` on, waiting up to ``wait_s`` for one."""
+        """Return the records from offset ``start``, waiting up to ``wait_s`` seconds.
+
+        Raises
+        ------
+        LogUnavailable
+            The log did not answer, or its answer was invalid.
+        """
         path = f"/log/{stream}?from={start}&wait={wait_s}"
         answer = self._request("GET", path, None, self.timeout_s + wait_s)
         try:
--- a/godwitladder/clients/weights.py
+++ b/godwitladder/clients/weights.py
@@ -9,15 +9,15 @@
 
 
 class WeightsUnavailable(GodwitladderError):
-    """The store did not answer, or doesn't have the weights."""
+    """The store did not answer, or does not have the weights."""
 
 
 class WeightsBusy(WeightsUnavailable):
-    """The store turned the read away for its rate limit."""
+    """The store rejected the read because of its rate limit."""
 
 
 class WeightClient:
-    """Reads of the store; each uses up one of the reads that it allows."""
+    """Checks for weights in the store; each check counts against its rate limit."""
 
     def __init__(self, url: str, zone: Zone, timeout_s: float = 2.0) -> None:
         self.url = url.rstrip("/")
@@ -29,19 +29,21 @@
         self.pool.clear()
 
     def check(self, name: str) -> None:
-        """Make sure that the store has the weights called ``name``.
+        """Check that the store has the weights ``name``.
 
         Raises
         ------
-        WeightsBusy, WeightsUnavailable
-            It can't be told now, or it has not.
+        WeightsBusy
+            The rate limit is reached; it is unknown whether the store has them.
+        WeightsUnavailable
+            The store did not answer, or does not have the weights.
         """
         url = f"{self.url}/weights/{quote(name)}"
         try:
             answer = self.pool.request("GET", url, timeout=self.timeout_s)
         except urllib3.exceptions.HTTPError as error:
-            raise WeightsUnavailable(f"no weights: {error}") from error
+            raise WeightsUnavailable(f"weight store did not answer: {error}") from error
         if answer.status == 429:
-            raise WeightsBusy("the weight store has its limit of reads")
+            raise WeightsBusy("the weight store reached its read limit")
         if answer.status != 200:
             raise WeightsUnavailable(f"weight store answered {answer.status}")
