--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -1,4 +1,4 @@
-"""Targets and documents as hosts read them from the store or from each other."""
+"""Tests of how hosts get targets and documents from the store and from peers."""
 
 from dataclasses import replace
 
@@ -32,7 +32,7 @@
 
 
 class MemorySource:
-    """A store in memory whose records are documents and targets by name."""
+    """In-memory store; a record's value names one of `KNOWN`, or is a version."""
 
     def __init__(self):
         self.documents, self.entries = [], []
@@ -79,13 +79,13 @@
     views = []
     feed = Feed(host, source, clock, DocumentFreshness(5.0), views.append)
     feed.hosts = hosts
-    # No host that started a while ago waits for a peer to tell it all.
+    # As if started long ago: the feed does not wait for a peer's state.
     feed.started = clock.boottime() - UNTOLD_S
     return feed, views
 
 
 def make_newcomer(source, clock, tellers, host="h2"):
-    """Return a feed that has just started, and asks the feeds in ``tellers``."""
+    """Return a newly started feed that requests state from the feeds in ``tellers``."""
     feed, views = make_feed(source, clock, host)
     feed.started = clock.boottime()
 
@@ -113,10 +113,11 @@
 
 
 def test_targets_that_lapsed_with_the_store_are_kept_until_they_are_back():
-    """The store was away, and all entries have lapsed in it meanwhile.
+    """Guards against refusing all callers after a store outage.
 
-    Every target works and writes itself anew within two seconds. Dropped at
-    once, each caller would be refused for that long with all targets idle.
+    All entries expired in the store during the outage. Every target works and rewrites
+    its entry within 2 s; if entries were removed at once, all callers would be refused
+    for that time while every target is idle.
     """
     table = TargetTable()
     table.put(ONE)
@@ -137,7 +138,7 @@
 
 
 def test_an_older_document_never_comes_back():
-    """A host reads version 5, then a peer that is behind passes on version 4."""
+    """Guards against a return to version 4, read after version 5 is in use."""
     source, clock = MemorySource(), ManualClock()
     source.put_document(5)
     feed, views = make_feed(source, clock)
@@ -185,12 +186,12 @@
 
 
 def test_a_target_that_came_back_while_the_reader_stood_still_is_known_to_all():
-    """The host that reads for all is paused; a target leaves and comes back.
+    """Guards against a target that one host never learns of again.
 
-    The second host reads by itself meanwhile, after the target has gone. The
-    first one wakes, finds the target as it knew it, and tells of its read. Left
-    out of that, the target was unknown to the second host for good, and callers
-    waited there for the others.
+    The reader is paused while a target leaves and comes back. The second host reads
+    the store after the target has left. The reader resumes, finds the target as it
+    knew it, and broadcasts its read. If that omitted the target, the second host would
+    never learn of it again, and callers there would wait for the other targets.
     """
     source, clock = MemorySource(), ManualClock()
     source.put(b"one")
@@ -211,7 +212,7 @@
 
 
 def test_a_host_that_hears_nothing_reads_by_itself():
-    """The host that read for all is gone; no news comes any more."""
+    """Guards against stale state when the reader has failed and no news arrive."""
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     feed, _ = make_feed(source, clock, host="h2")
@@ -226,10 +227,11 @@
 
 
 def test_news_after_a_gap_says_nothing():
-    """A host missed one message: a target's leaving was in it.
+    """Guards against state that counts as fresh although a message was lost.
 
-    The next message begins after it. Taken in, it would prove the host's
-    knowledge to be fresh, and the target would be used until it is gone.
+    The lost message says that a target leaves. The next one starts after it; if it
+    were applied, the host's state would count as fresh, and the host would use the
+    target until it is gone.
     """
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
@@ -247,7 +249,7 @@
 
 
 def test_history_that_is_gone_is_read_as_a_snapshot():
-    """A target left, and the records that told so were compacted away."""
+    """Guards against a target that stays after its removal record was compacted."""
     source, clock = MemorySource(), ManualClock()
     source.put(b"one")
     source.put(b"two", "e2")
@@ -291,11 +293,11 @@
 
 
 def test_a_host_that_starts_while_the_store_is_away_learns_all_from_a_peer():
-    """The store is down, and a host starts; its peers serve on.
+    """Guards against a host that refuses all callers until the store is back.
 
-    Without what they know it would refuse every caller for as long as the
-    store is away. It takes over the age of their proof too, so that it believes
-    in keys no longer than they do.
+    The host starts during a store outage while its peers keep serving, and gets its
+    state from a peer. It takes over the age of that state too, so that it accepts keys
+    no longer than the peer does.
     """
     source, clock = MemorySource(), ManualClock()
     source.put_document(3)
@@ -334,10 +336,10 @@
 
 
 def test_hosts_that_start_together_read_once_for_all():
-    """All hosts start at once, and nobody can tell anybody anything yet.
+    """Guards against a store read by every host when all start at once.
 
-    The one that reads for all reads; the others ask until it can tell them,
-    and make no calls of their own.
+    No host has any state yet. The reader reads the store; the others repeat their
+    requests until it can answer, and do not read the store themselves.
     """
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
@@ -354,7 +356,7 @@
 
 @pytest.mark.parametrize(("tellers", "patience_s"), [(0, UNLINKED_S), (1, UNTOLD_S)])
 def test_a_newcomer_that_nobody_tells_reads_by_itself(tellers, patience_s):
-    """It has no peer, or one that knows as little as it does itself."""
+    """Guards against endless waiting without a peer, or for one without state."""
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     mute = [make_feed(source, clock)[0] for _ in range(tellers)]
@@ -369,9 +371,10 @@
 
 
 def test_a_host_that_knows_nothing_yet_answers_once_it_does():
-    """All hosts were killed; one asks another that has just started as well.
+    """Guards against a second request after a failure of all hosts.
 
-    It is told as soon as the other one has read, without asking again.
+    The peer that gets the request has just started too. It answers as soon as it has
+    read the store.
     """
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
--- a/tests/discovery/test_hostlist.py
+++ b/tests/discovery/test_hostlist.py
@@ -1,4 +1,4 @@
-"""Which hosts use the store's list of hosts, and when."""
+"""Tests of which hosts use the store's host list, and when."""
 
 from godwitladder.discovery.hostlist import (
     KEEPERS,
@@ -13,7 +13,7 @@
 
 
 class MemoryList:
-    """A list of hosts in memory, which may be away."""
+    """In-memory host list that can be made unavailable."""
 
     def __init__(self):
         self.rows, self.reads, self.away = {}, 0, False
@@ -33,7 +33,7 @@
 
 
 def make_lists(store):
-    """Return each host's part in the list, and what each was told."""
+    """Return a `HostList` for each host, and the hosts reported to each."""
     told = {host: [] for host in HOSTS}
     lists = [
         HostList(host, store, ListedHost(f"{host}:1", "a", False), told[host].append)
@@ -51,7 +51,7 @@
 
 
 def test_a_host_without_any_link_looks_often_and_finds_those_that_are_listed():
-    """All seeds are gone, and a host starts: nobody else could tell it of any."""
+    """Guards against a host that starts when all seeds are gone and finds no peer."""
     store = MemoryList()
     lists, told = make_lists(store)
     for one in lists[:-1]:
@@ -86,7 +86,7 @@
 
 
 def test_a_store_that_is_away_is_tried_again_soon():
-    """The store takes nothing; the host is not listed, and tries again."""
+    """Guards against a host that stays unlisted after the store has failed."""
     store = MemoryList()
     store.away = True
     lists, told = make_lists(store)
--- a/tests/discovery/test_rollouts.py
+++ b/tests/discovery/test_rollouts.py
@@ -1,4 +1,4 @@
-"""What becomes of a new version of a service's targets."""
+"""Tests of rollouts of a new version of a service's targets."""
 
 import json
 from dataclasses import replace
@@ -33,7 +33,7 @@
 
 
 class FakeStore:
-    """Keeps what is appended; away if a test says so."""
+    """Stores what is appended; can be made unavailable."""
 
     def __init__(self):
         self.appended = []
@@ -46,7 +46,7 @@
 
 
 def test_an_unproved_version_takes_no_calls_beside_another():
-    """Guards against a bad version that gets a full share from its first second."""
+    """Guards against a bad version that gets a full share of calls at once."""
     assert held_back(make_orders(), [OLD, NEW, OTHER]) == {"e2"}
     view = StoreView(1, RoutingDocument(), (OLD, NEW), frozenset({"e2"}))
     targets = make_config_state(view, "region").targets
@@ -55,7 +55,7 @@
 
 
 def test_a_service_that_has_only_the_new_version_is_served_by_it():
-    """Guards against a service without targets when the old ones are gone."""
+    """Guards against a service left without targets when the old ones are gone."""
     assert held_back(make_orders(), [NEW]) == frozenset()
     assert held_back(make_orders(), [replace(OLD, leaving=True), NEW]) == frozenset()
 
@@ -66,7 +66,7 @@
 
 
 def test_an_order_is_answered_once_and_again_after_the_store_was_away():
-    """Guards against an operator who never hears what became of an order."""
+    """Guards against an order that is never answered after a failed write."""
     store = FakeStore()
     desk = RolloutDesk(PlatformSource(store))
     desk.take(Batch(0, 8, (make_record(),)), now=100.0)
@@ -83,7 +83,7 @@
 
 
 def test_a_version_is_held_back_until_its_roll_out_is_over():
-    """Guards against targets that stand idle for an order of long ago."""
+    """Guards against targets that stay idle because of an expired order."""
     desk = RolloutDesk(PlatformSource(FakeStore()))
     assert desk.take(Batch(0, 8, (make_record(),)), now=100.0)
     assert desk.orders == make_orders()
--- a/tests/discovery/test_slow_store.py
+++ b/tests/discovery/test_slow_store.py
@@ -1,4 +1,4 @@
-"""How often hosts tell each other of what they read, while the store is slow."""
+"""Tests of how often hosts read and broadcast while the store is slow."""
 
 from dataclasses import dataclass, field
 
@@ -14,14 +14,14 @@
 
 @dataclass
 class SlowRegion:
-    """Hosts that are all linked, and a store that takes its time.
+    """Fully linked hosts with a slow store.
 
     Attributes
     ----------
     reading : dict
-        Of each host that reads: when the read began, when it ends, what it finds.
+        Start, end and results of the read in progress, by host.
     told : int
-        Copies of documents that hosts have sent to others.
+        Number of document copies that hosts have sent to others.
     """
 
     count: int
@@ -57,7 +57,7 @@
                 feed.take_news(news)
 
     def play(self, seconds: float) -> None:
-        """Let time pass; a read ends a while after it began."""
+        """Advance the clock; a read ends ``read_s`` seconds after its start."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.advance(STEP_S)
             now = self.clock.boottime()
@@ -78,10 +78,11 @@
 
 
 def test_a_document_is_told_to_each_host_once_while_the_store_is_slow():
-    """Guards against hosts that fill all links with what each of them has read.
+    """Guards against hosts that fill all links with the same document.
 
-    Reads take 0.8 s, so that news are older than hosts wait for them. All read
-    by themselves, and each told all others of the whole new document.
+    Reads take 0.8 s, so that news arrive later than hosts wait for them without
+    regard to the duration of a read. All hosts then read the store themselves, and
+    each sends the whole new document to all others.
     """
     region = SlowRegion(count=24, read_s=0.8)
     region.play(5)
@@ -102,7 +103,7 @@
 
 
 def test_a_host_that_restarts_among_others_does_not_tell_them_what_they_know():
-    """Guards against a whole document over each link with each restart."""
+    """Guards against a whole document sent over each link at every restart."""
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     restarted, _ = make_newcomer(source, clock, [], host="h2")
@@ -115,7 +116,7 @@
 
 
 def test_a_change_that_came_while_the_reader_restarted_is_known_to_all_at_once():
-    """Guards against hosts that go by an old document until each reads by itself."""
+    """Guards against hosts that use an old document until each reads the store."""
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     other, _ = make_feed(source, clock, host="h2")
@@ -147,7 +148,7 @@
 
 
 def test_a_newcomer_asks_one_peer_at_a_time():
-    """Guards against the whole document from every peer at once."""
+    """Guards against answers with the whole document from every peer at once."""
     source, clock = MemorySource(), ManualClock()
     feed, _ = make_newcomer(source, clock, [])
     asked = []
@@ -162,7 +163,7 @@
 def test_hosts_that_the_store_turns_away_hear_from_any_other():
     """Guards against strong hosts that serve nobody while weak ones read the store.
 
-    The store turns away all that may read for others.
+    The store turns away all hosts in the reading order.
     """
     source, away, clock = MemorySource(), MemorySource(), ManualClock()
     source.put_document(1)
