--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -42,7 +42,8 @@
 
 PERIOD_S = 0.6
 """Interval between reads. All hosts must know of a target that leaves, or of a changed
-document, within 2 s: that covers one interval, the store's answer and one missed interval."""
+document, within 2 s: that covers one interval, the store's answer and one missed
+interval."""
 STEP_S = 0.1
 """Interval at which a host checks whether it should read."""
 SILENCE_S = 1.0
