--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -29,7 +29,7 @@
 )
 from godwitladder.membership.codec import encode
 from godwitladder.membership.contacts import ListedHost
-from godwitladder.membership.hubs import MESH_HOSTS, publisher_of
+from godwitladder.membership.hubs import MAX_MESH_HOSTS, choose_publisher
 from godwitladder.membership.links import Link
 from godwitladder.membership.members import Members
 from godwitladder.membership.mesh import Mesh
@@ -155,7 +155,7 @@
             self.router.deliver,
             settings.peers.seeds,
             self.link_up,
-            closed=lambda peer: self.membership.tell(LinkDown(peer)),
+            on_link_down=lambda peer: self.membership.tell(LinkDown(peer)),
         )
         self.membership = self.start_actor(
             Membership,
@@ -164,7 +164,7 @@
             self.mesh,
             clock,
             self.publish_members,
-            MESH_HOSTS,
+            MAX_MESH_HOSTS,
         )
         self.host_list = HostList(
             settings.host,
@@ -175,10 +175,12 @@
         self.router.connect(self.mesh, self.membership, self.scheduler, self.allocator)
         self.feed.spread = self.mesh.broadcast
         self.feed.ask = self.ask_peer
-        self.router.takers[FeedNews] = lambda link, news: self.feed.take_news(news)
-        self.router.takers[FeedWanted] = self.tell_newcomer
+        self.router.message_handlers[FeedNews] = lambda link, news: self.feed.take_news(
+            news
+        )
+        self.router.message_handlers[FeedWanted] = self.tell_newcomer
         self.losses = LossRegistry(clock, self.mesh.broadcast)
-        self.router.takers[AnswerLost] = self.take_loss
+        self.router.message_handlers[AnswerLost] = self.take_loss
         self.watch = CallWatcher(clock)
         self.app = RoutedApp(
             form,
@@ -212,10 +214,10 @@
         """
         self.losses.record_loss(news)
         hubs = self.hubs
-        if link.peer in hubs or publisher_of(link.peer, hubs) != self.host:
+        if link.peer in hubs or choose_publisher(link.peer, hubs) != self.host:
             return
         rest = [row for row in self.mesh.current() if row.peer not in hubs]
-        self.mesh.spread([row for row in rest if row is not link], encode(news))
+        self.mesh.multicast([row for row in rest if row is not link], encode(news))
 
     def make_heartbeat(self) -> Heartbeat:
         """Return this host's first heartbeat."""
@@ -227,7 +229,7 @@
             self.incarnation,
             False,
             0,
-            place=self.settings.zone,
+            availability_zone=self.settings.zone,
             cores=self.settings.processor.cores,
         )
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,8 +5,8 @@
 TIMEOUT_S = 3.0
 
 
-def member(host: str, incarnation: int = 1, count: int = 0, heard: float = 0.0):
-    return Member(host, "a", "127.0.0.1:1", incarnation, heard, count=count)
+def member(host: str, incarnation: int = 1, count: int = 0, last_heard: float = 0.0):
+    return Member(host, "a", "127.0.0.1:1", incarnation, last_heard, count=count)
 
 
 def live(members: Members, now: float) -> list[str]:
@@ -41,7 +41,9 @@
     """
     members = Members(TIMEOUT_S)
     assert members.record_heartbeat(member("host-a1", incarnation=2))
-    assert not members.record_heartbeat(member("host-a1", incarnation=1, heard=2.0))
+    assert not members.record_heartbeat(
+        member("host-a1", incarnation=1, last_heard=2.0)
+    )
     members.record_gossip("host-a1", 1, 50, 2.0)
     assert members.rows["host-a1"].incarnation == 2
     assert live(members, 3.0) == []
