--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -110,7 +110,7 @@
         Notified of each confirmation that the document is the newest.
     publish : callable
         Called with a new `StoreView` after each change.
-    reads_first : bool
+    reads_at_start : bool
         Whether this host reads the store at its start without waiting for a peer.
 
     Attributes
@@ -132,7 +132,7 @@
         clock: Clock,
         freshness: DocumentFreshness,
         publish: Callable[[StoreView], None],
-        reads_first: bool = False,
+        reads_at_start: bool = False,
     ) -> None:
         self.host = host
         self.source = source
@@ -141,7 +141,7 @@
         self.publish = publish
         self.spread: Callable[[FeedNews], None] = lambda news: None
         self.ask: Callable[[FeedWanted], bool] = lambda wanted: False
-        self.reads_first = reads_first
+        self.reads_at_start = reads_at_start
         self.unanswered: list[Callable[[FeedNews], None]] = []
         self.started = clock.boottime()
         self.asked_at = float("-inf")
@@ -206,7 +206,7 @@
 
     def awaits_peer(self, now: float) -> bool:
         """Return whether this host has no state yet and waits for a peer to send it."""
-        if self.knows() or self.reads_first or self.is_reader():
+        if self.knows() or self.reads_at_start or self.is_reader():
             return False
         return now - self.started < (UNTOLD_S if self.linked else UNLINKED_S)
 
@@ -356,7 +356,7 @@
         unheard_s = self.clock.boottime() - self.heard_at
         if self.host not in self.hosts and unheard_s <= UNHEARD_S:
             return None
-        if self.reads_first and not self.knows() and not self.is_reader():
+        if self.reads_at_start and not self.knows() and not self.is_reader():
             return None
         documents = since(documents, self.next_document)
         entries = since(self.changed(entries), self.next_entry)
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -145,7 +145,7 @@
             clock,
             self.freshness,
             self.publish_view,
-            reads_first=not settings.first_start or settings.listen.peers in seeds,
+            reads_at_start=not settings.first_start or settings.listen.peers in seeds,
         )
         self.mesh = Mesh(
             settings.host,
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -392,6 +392,6 @@
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     feed, _ = make_newcomer(source, clock, [])
-    feed.reads_first = True
+    feed.reads_at_start = True
     feed.step()
     assert feed.document.version == 1
--- a/tests/discovery/test_slow_store.py
+++ b/tests/discovery/test_slow_store.py
@@ -107,7 +107,7 @@
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     restarted, _ = make_newcomer(source, clock, [], host="h2")
-    restarted.reads_first = True
+    restarted.reads_at_start = True
     told = []
     restarted.spread = told.append
     restarted.step()
@@ -123,7 +123,7 @@
     other.step()
     source.put_document(2)
     reader, _ = make_newcomer(source, clock, [], host="h1")
-    reader.reads_first = True
+    reader.reads_at_start = True
     reader.spread = other.take_news
     reader.step()
     assert other.document.version == 2
