--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -139,7 +139,7 @@
         self.clock = clock
         self.freshness = freshness
         self.publish = publish
-        self.spread: Callable[[FeedNews], None] = lambda news: None
+        self.broadcast: Callable[[FeedNews], None] = lambda news: None
         self.ask: Callable[[FeedWanted], bool] = lambda wanted: False
         self.reads_at_start = reads_at_start
         self.unanswered: list[Callable[[FeedNews], None]] = []
@@ -304,7 +304,7 @@
             self.take(documents, entries, began)
             self.note_duration(self.clock.boottime() - began)
         if news is not None:
-            self.spread(replace(news, age_s=self.clock.boottime() - began))
+            self.broadcast(replace(news, age_s=self.clock.boottime() - began))
         if self.answers_orders():
             self.desk.answer()
 
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -173,7 +173,7 @@
             lambda rows: self.membership.tell(HostListRead(rows)),
         )
         self.router.connect(self.mesh, self.membership, self.scheduler, self.allocator)
-        self.feed.spread = self.mesh.broadcast
+        self.feed.broadcast = self.mesh.broadcast
         self.feed.ask = self.ask_peer
         self.router.message_handlers[FeedNews] = lambda link, news: self.feed.take_news(
             news
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -157,7 +157,7 @@
     reader, _ = make_feed(source, clock)
     other, views = make_feed(source, clock, host="h2")
     reader.step(), other.step()
-    reader.spread = other.take_news
+    reader.broadcast = other.take_news
     reads = source.reads
     for _ in range(10):
         source.put(b"one")
@@ -177,7 +177,7 @@
     feed, _ = make_feed(source, clock)
     feed.step()
     news = []
-    feed.spread = news.append
+    feed.broadcast = news.append
     source.put(b"one")
     source.put(b"two", "e2")
     clock.advance(PERIOD_S)
@@ -197,7 +197,7 @@
     source.put(b"one")
     one, _ = make_feed(source, clock, "h1")
     two, _ = make_feed(source, clock, "h2")
-    one.spread = two.take_news
+    one.broadcast = two.take_news
     one.step()
     assert names(two) == ["e1"]
     source.put(b"one leaves")
@@ -242,7 +242,7 @@
     source.put(b"one leaves")
     clock.advance(PERIOD_S)
     reader.step()
-    reader.spread = other.take_news
+    reader.broadcast = other.take_news
     clock.advance(PERIOD_S)
     reader.step()
     assert other.freshness.age_s(clock.boottime()) > 1.5 * PERIOD_S
@@ -315,7 +315,7 @@
     source.away = False
     source.put(b"one leaves")
     clock.advance(PERIOD_S)
-    peer.spread = feed.take_news
+    peer.broadcast = feed.take_news
     peer.step()
     assert views[-1].targets == (replace(ONE, leaving=True), TWO)
 
--- a/tests/discovery/test_slow_store.py
+++ b/tests/discovery/test_slow_store.py
@@ -44,7 +44,7 @@
             )
             feed.hosts = self.names
             feed.step()
-            feed.spread = lambda news, teller=feed: self.tell(teller, news)
+            feed.broadcast = lambda news, teller=feed: self.tell(teller, news)
             self.feeds.append(feed)
         for feed in self.feeds:
             feed.read()
@@ -109,7 +109,7 @@
     restarted, _ = make_newcomer(source, clock, [], host="h2")
     restarted.reads_at_start = True
     told = []
-    restarted.spread = told.append
+    restarted.broadcast = told.append
     restarted.step()
     assert restarted.document.version == 1
     assert not told
@@ -124,7 +124,7 @@
     source.put_document(2)
     reader, _ = make_newcomer(source, clock, [], host="h1")
     reader.reads_at_start = True
-    reader.spread = other.take_news
+    reader.broadcast = other.take_news
     reader.step()
     assert other.document.version == 2
 
@@ -137,11 +137,11 @@
     source.put_document(1)
     began = clock.boottime()
     documents, entries = source.read_documents(0), source.read_entries(0)
-    one.spread = two.take_news
+    one.broadcast = two.take_news
     clock.advance(PERIOD_S)
     one.step()
     told = []
-    two.spread = told.append
+    two.broadcast = told.append
     two.finish_read(documents, entries, began)
     (news,) = told
     assert (news.documents.start, news.documents.records) == (1, ())
@@ -170,7 +170,7 @@
     strong, _ = make_feed(source, clock, hosts=("h1",))
     weak, _ = make_feed(source, clock, host="h9", hosts=("h1",))
     strong.step(), weak.step()
-    weak.spread = strong.take_news
+    weak.broadcast = strong.take_news
     strong.source, away.away = away, True
     for _ in range(60):
         clock.advance(0.1)
