--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -140,7 +140,7 @@
         self.freshness = freshness
         self.publish = publish
         self.broadcast: Callable[[FeedNews], None] = lambda news: None
-        self.ask: Callable[[FeedWanted], bool] = lambda wanted: False
+        self.send_request: Callable[[FeedWanted], bool] = lambda wanted: False
         self.reads_at_start = reads_at_start
         self.unanswered: list[Callable[[FeedNews], None]] = []
         self.started = clock.boottime()
@@ -248,7 +248,7 @@
         now = self.clock.boottime()
         if self.knows() or now - self.asked_at < ASK_S:
             return
-        asked = (ask or self.ask)(FeedWanted(self.host))
+        asked = (ask or self.send_request)(FeedWanted(self.host))
         if ask is None:
             self.linked = asked
         if asked:
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -174,7 +174,7 @@
         )
         self.router.connect(self.mesh, self.membership, self.scheduler, self.allocator)
         self.feed.broadcast = self.mesh.broadcast
-        self.feed.ask = self.ask_peer
+        self.feed.send_request = self.ask_peer
         self.router.message_handlers[FeedNews] = lambda link, news: self.feed.take_news(
             news
         )
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -97,7 +97,7 @@
                 feed.take_news(decode(encode(news)))
         return bool(tellers)
 
-    feed.ask = ask
+    feed.send_request = ask
     return feed, views
 
 
