--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -386,7 +386,7 @@
         held = self.table.rows.get(record.key)
         return entry is None or entry != held or record.key in self.table.missing
 
-    def take_news(self, news: FeedNews) -> None:
+    def apply_news(self, news: FeedNews) -> None:
         """Apply what another host has read.
 
         News that start beyond the last record of this host leave a gap. They are
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -175,8 +175,8 @@
         self.router.connect(self.mesh, self.membership, self.scheduler, self.allocator)
         self.feed.broadcast = self.mesh.broadcast
         self.feed.send_request = self.ask_peer
-        self.router.message_handlers[FeedNews] = lambda link, news: self.feed.take_news(
-            news
+        self.router.message_handlers[FeedNews] = lambda link, news: (
+            self.feed.apply_news(news)
         )
         self.router.message_handlers[FeedWanted] = self.tell_newcomer
         self.losses = LossRegistry(clock, self.mesh.broadcast)
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -94,7 +94,7 @@
         for teller in tellers:
             news = teller.all_news()
             if news is not None:
-                feed.take_news(decode(encode(news)))
+                feed.apply_news(decode(encode(news)))
         return bool(tellers)
 
     feed.send_request = ask
@@ -157,7 +157,7 @@
     reader, _ = make_feed(source, clock)
     other, views = make_feed(source, clock, host="h2")
     reader.step(), other.step()
-    reader.broadcast = other.take_news
+    reader.broadcast = other.apply_news
     reads = source.reads
     for _ in range(10):
         source.put(b"one")
@@ -197,7 +197,7 @@
     source.put(b"one")
     one, _ = make_feed(source, clock, "h1")
     two, _ = make_feed(source, clock, "h2")
-    one.broadcast = two.take_news
+    one.broadcast = two.apply_news
     one.step()
     assert names(two) == ["e1"]
     source.put(b"one leaves")
@@ -242,7 +242,7 @@
     source.put(b"one leaves")
     clock.advance(PERIOD_S)
     reader.step()
-    reader.broadcast = other.take_news
+    reader.broadcast = other.apply_news
     clock.advance(PERIOD_S)
     reader.step()
     assert other.freshness.age_s(clock.boottime()) > 1.5 * PERIOD_S
@@ -315,7 +315,7 @@
     source.away = False
     source.put(b"one leaves")
     clock.advance(PERIOD_S)
-    peer.broadcast = feed.take_news
+    peer.broadcast = feed.apply_news
     peer.step()
     assert views[-1].targets == (replace(ONE, leaving=True), TWO)
 
--- a/tests/discovery/test_slow_store.py
+++ b/tests/discovery/test_slow_store.py
@@ -54,7 +54,7 @@
         for feed in self.feeds:
             if feed is not teller:
                 self.told += len(news.documents.records)
-                feed.take_news(news)
+                feed.apply_news(news)
 
     def play(self, seconds: float) -> None:
         """Advance the clock; a read ends ``read_s`` seconds after its start."""
@@ -124,7 +124,7 @@
     source.put_document(2)
     reader, _ = make_newcomer(source, clock, [], host="h1")
     reader.reads_at_start = True
-    reader.broadcast = other.take_news
+    reader.broadcast = other.apply_news
     reader.step()
     assert other.document.version == 2
 
@@ -137,7 +137,7 @@
     source.put_document(1)
     began = clock.boottime()
     documents, entries = source.read_documents(0), source.read_entries(0)
-    one.broadcast = two.take_news
+    one.broadcast = two.apply_news
     clock.advance(PERIOD_S)
     one.step()
     told = []
@@ -170,7 +170,7 @@
     strong, _ = make_feed(source, clock, hosts=("h1",))
     weak, _ = make_feed(source, clock, host="h9", hosts=("h1",))
     strong.step(), weak.step()
-    weak.broadcast = strong.take_news
+    weak.broadcast = strong.apply_news
     strong.source, away.away = away, True
     for _ in range(60):
         clock.advance(0.1)
