--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -218,7 +218,7 @@
         """Return whether this host has any state from the store."""
         return self.next_document >= 0
 
-    def answer(self, reply: Callable[[FeedNews], None]) -> None:
+    def answer_request(self, reply: Callable[[FeedNews], None]) -> None:
         """Call ``reply`` with the full state, now or once this host has any."""
         with self.lock:
             news = self.all_news()
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -200,7 +200,7 @@
 
     def tell_newcomer(self, link: Link, wanted: FeedWanted) -> None:
         """Tell a host that has just started what this one knows of the store."""
-        self.feed.answer(lambda news: link.send(encode(news)))
+        self.feed.answer_request(lambda news: link.send(encode(news)))
 
     def link_up(self, link: Link) -> None:
         """Tell the membership of a new link; ask at once what this host lacks."""
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -380,11 +380,11 @@
     source.put_document(1)
     reader, _ = make_feed(source, clock)
     told = []
-    reader.answer(told.append)
+    reader.answer_request(told.append)
     assert not told
     reader.step()
     assert [news.documents.next for news in told] == [1]
-    reader.answer(told.append)
+    reader.answer_request(told.append)
     assert len(told) == 2
 
 
