--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -383,7 +383,7 @@
     def is_news(self, record: Record) -> bool:
         """Return whether a record differs from the entry that this host has."""
         entry = self.source.decode_entry(record) if record.value else None
-        held = self.table.rows.get(record.key)
+        held = self.table.entries.get(record.key)
         return entry is None or entry != held or record.key in self.table.missing
 
     def apply_news(self, news: FeedNews) -> None:
@@ -462,7 +462,7 @@
     def tell(self) -> None:
         """Publish a new view of the current state."""
         self.version += 1
-        targets = tuple(self.table.rows.values())
+        targets = tuple(self.table.entries.values())
         unproved = held_back(self.desk.orders, targets)
         log.info(
             "Store view published",
--- a/godwitladder/discovery/targets.py
+++ b/godwitladder/discovery/targets.py
@@ -50,7 +50,7 @@
         Time at which the store last became available again.
     """
 
-    rows: dict[TargetName, TargetEntry] = field(default_factory=dict)
+    entries: dict[TargetName, TargetEntry] = field(default_factory=dict)
     missing: dict[TargetName, float] = field(default_factory=dict)
     returned: float = float("-inf")
 
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -102,14 +102,14 @@
 
 
 def names(feed):
-    return sorted(feed.table.rows)
+    return sorted(feed.table.entries)
 
 
 def test_a_target_that_leaves_the_list_is_gone_at_once():
     table = TargetTable()
     table.put(ONE)
     assert table.drop("e1", now=100.0)
-    assert not table.rows
+    assert not table.entries
 
 
 def test_targets_that_lapsed_with_the_store_are_kept_until_they_are_back():
@@ -124,10 +124,10 @@
     table.put(TWO)
     table.store_returned(100.0)
     assert not table.keep_only(set(), now=100.1)
-    assert set(table.rows) == {"e1", "e2"}
+    assert set(table.entries) == {"e1", "e2"}
     table.put(ONE)
     assert table.expire(100.0 + RETURN_S)
-    assert set(table.rows) == {"e1"}
+    assert set(table.entries) == {"e1"}
 
 
 def test_a_target_that_had_said_it_leaves_is_not_waited_for():
