--- a/godwitladder/discovery/targets.py
+++ b/godwitladder/discovery/targets.py
@@ -61,8 +61,8 @@
     def put(self, entry: TargetEntry) -> bool:
         """Add or update an entry; return whether the table changed."""
         self.missing.pop(entry.name, None)
-        changed = self.rows.get(entry.name) != entry
-        self.rows[entry.name] = entry
+        changed = self.entries.get(entry.name) != entry
+        self.entries[entry.name] = entry
         return changed
 
     def drop(self, name: TargetName, now: float) -> bool:
@@ -71,18 +71,18 @@
         Shortly after a store outage the removal is delayed, unless the target had
         announced that it leaves.
         """
-        row = self.rows.get(name)
+        row = self.entries.get(name)
         if row is None or name in self.missing:
             return False
         if now - self.returned < RETURN_S and not row.leaving:
             self.missing[name] = self.returned + RETURN_S
             return False
-        del self.rows[name]
+        del self.entries[name]
         return True
 
     def keep_only(self, names: set[TargetName], now: float) -> bool:
         """Remove entries not in ``names``; return whether the table changed."""
-        gone = [name for name in self.rows if name not in names]
+        gone = [name for name in self.entries if name not in names]
         return any([self.drop(name, now) for name in gone])
 
     def expire(self, now: float) -> bool:
@@ -90,5 +90,5 @@
         late = [name for name, until in self.missing.items() if until <= now]
         for name in late:
             del self.missing[name]
-            self.rows.pop(name, None)
+            self.entries.pop(name, None)
         return bool(late)
