--- a/godwitladder/discovery/hostlist.py
+++ b/godwitladder/discovery/hostlist.py
@@ -57,7 +57,7 @@
         self.report = report
         self.listed = False
 
-    def look(self, linked: bool, hosts: Collection[HostId]) -> float:
+    def update(self, linked: bool, hosts: Collection[HostId]) -> float:
         """Register and poll as needed; return the seconds until the next call.
 
         Parameters
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -373,7 +373,7 @@
         period_s = FIRST_LOOK_S
         while not self.clock.wait(self.stopping, period_s):
             linked = bool(self.mesh.current())
-            period_s = self.host_list.look(linked, self.feed.hosts)
+            period_s = self.host_list.update(linked, self.feed.hosts)
             self.reload_if_changed()
 
 
