--- a/godwitladder/discovery/hostlist.py
+++ b/godwitladder/discovery/hostlist.py
@@ -90,7 +90,7 @@
     def write(self, row: ListedHost) -> bool:
         """Write ``row`` to the list; return whether the store accepted it."""
         try:
-            self.source.list_host(row)
+            self.source.register_host(row)
         except StoreUnavailable as error:
             log.info(
                 "Could not write this host to the host list",
--- a/godwitladder/discovery/source.py
+++ b/godwitladder/discovery/source.py
@@ -65,7 +65,7 @@
     def read_hosts(self) -> tuple[ListedHost, ...]:
         """Return the hosts that have registered themselves."""
 
-    def list_host(self, host: ListedHost) -> None:
+    def register_host(self, host: ListedHost) -> None:
         """Register this host, or mark it as leaving."""
 
     def decode_document(self, record: Record) -> RoutingDocument | None:
--- a/tests/discovery/test_hostlist.py
+++ b/tests/discovery/test_hostlist.py
@@ -23,7 +23,7 @@
         self.reads += 1
         return tuple(self.rows.values())
 
-    def list_host(self, row):
+    def register_host(self, row):
         self.fail_if_away()
         self.rows[row.address] = row
 
