--- a/godwitladder/discovery/rolloutdesk.py
+++ b/godwitladder/discovery/rolloutdesk.py
@@ -87,7 +87,7 @@
             "state": state.value,
         }
         try:
-            self.source.tell_rollout(record, order, state)
+            self.source.write_rollout_state(record, order, state)
         except StoreUnavailable as error:
             log.warning(
                 "Could not answer a rollout order", extra=extra | {"error": str(error)}
--- a/godwitladder/discovery/source.py
+++ b/godwitladder/discovery/source.py
@@ -74,7 +74,7 @@
     def decode_rollout(self, record: Record) -> RolloutOrder | None:
         """Return the rollout order in ``record``; None if there is none."""
 
-    def tell_rollout(
+    def write_rollout_state(
         self, record: Record, order: RolloutOrder, state: RolloutState
     ) -> None:
         """Write the state of the rollout that ``record`` orders."""
--- a/godwitladder/platform/source.py
+++ b/godwitladder/platform/source.py
@@ -82,7 +82,7 @@
             return None
         return result.unwrap()
 
-    def tell_rollout(
+    def write_rollout_state(
         self, record: Record, order: RolloutOrder, state: RolloutState
     ) -> None:
         """Write how the roll-out that ``record`` orders stands."""
