--- a/godwitladder/discovery/targets.py
+++ b/godwitladder/discovery/targets.py
@@ -19,7 +19,7 @@
 
     Attributes
     ----------
-    born_ms : int
+    started_ms : int
         Start time of the target's process, in milliseconds. A process restarted
         under the same name has no state from the previous one.
     leaving : bool
@@ -33,7 +33,7 @@
     address: str
     zone: Zone
     slots: int
-    born_ms: int = 0
+    started_ms: int = 0
     leaving: bool = False
     release: str = ""
 
