--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -192,7 +192,7 @@
         """Read the store if this host should, and remove expired targets and orders."""
         now = self.clock.boottime()
         if not self.knows():
-            self.ask_peer()
+            self.request_state()
         if (
             not self.awaits_peer(now)
             and now - self.read_at >= PERIOD_S
@@ -233,7 +233,7 @@
         for reply in waiting:
             reply(self.all_news())
 
-    def ask_peer(self, ask: Callable[[FeedWanted], bool] | None = None) -> None:
+    def request_state(self, ask: Callable[[FeedWanted], bool] | None = None) -> None:
         """Request the full state from one peer, unless a request was sent just before.
 
         Each peer answers with whole documents. Requests to all peers at once made
--- a/tests/discovery/test_slow_store.py
+++ b/tests/discovery/test_slow_store.py
@@ -153,10 +153,10 @@
     feed, _ = make_newcomer(source, clock, [])
     asked = []
     for peer in range(8):
-        feed.ask_peer(lambda wanted, peer=peer: asked.append(peer) is None)
+        feed.request_state(lambda wanted, peer=peer: asked.append(peer) is None)
     assert asked == [0]
     clock.advance(ASK_S)
-    feed.ask_peer(lambda wanted: asked.append(8) is None)
+    feed.request_state(lambda wanted: asked.append(8) is None)
     assert asked == [0, 8]
 
 
