--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -205,7 +205,7 @@
     def link_up(self, link: Link) -> None:
         """Tell the membership of a new link; ask at once what this host lacks."""
         self.membership.tell(LinkUp(link))
-        self.feed.ask_peer(lambda wanted: link.send(encode(wanted)))
+        self.feed.request_state(lambda wanted: link.send(encode(wanted)))
 
     def take_loss(self, link: Link, news: AnswerLost) -> None:
         """Take in a lost answer, and pass it on to hosts that can't have it yet.
