--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -23,7 +23,7 @@
     since,
 )
 from godwitladder.discovery.messages import FeedNews, FeedWanted
-from godwitladder.discovery.rolloutdesk import RolloutDesk
+from godwitladder.discovery.rollout_tracker import RolloutDesk
 from godwitladder.discovery.rollouts import held_back
 from godwitladder.discovery.source import (
     Batch,
