--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -13,7 +13,7 @@
 from godwitladder.clock import Clock
 from godwitladder.decisions.retry_budget import RetryBudget, RetryLimits
 from godwitladder.discovery.feed import Feed, StoreView
-from godwitladder.discovery.hostlist import HostList
+from godwitladder.discovery.host_list import HostList
 from godwitladder.discovery.messages import FeedNews, FeedWanted
 from godwitladder.discovery.source import Source
 from godwitladder.drain import count_unfinished, stop_accepting
--- a/tests/discovery/test_hostlist.py
+++ b/tests/discovery/test_hostlist.py
@@ -1,6 +1,6 @@
 """Tests of which hosts use the store's host list, and when."""
 
-from godwitladder.discovery.hostlist import (
+from godwitladder.discovery.host_list import (
     KEEPERS,
     LONELY_PERIOD_S,
     PERIOD_S,
