--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -16,14 +16,14 @@
 
 from godwitladder.clock import Clock
 from godwitladder.discovery.batches import (
-    fits,
-    keep_newest,
-    raw_batch,
-    read_batch,
-    since,
+    apply_batch,
+    decode_batch,
+    drop_known,
+    encode_batch,
+    is_contiguous,
 )
 from godwitladder.discovery.messages import FeedNews, FeedWanted
-from godwitladder.discovery.rollout_tracker import RolloutDesk
+from godwitladder.discovery.rollout_tracker import RolloutTracker
 from godwitladder.discovery.rollouts import held_back
 from godwitladder.discovery.source import (
     Batch,
@@ -40,39 +40,39 @@
 
 log = component_logger("feed")
 
-PERIOD_S = 0.6
+READ_INTERVAL_S = 0.6
 """Interval between reads. All hosts must know of a target that leaves, or of a changed
 document, within 2 s: that covers one interval, the store's answer and one missed
 interval."""
-STEP_S = 0.1
+STEP_INTERVAL_S = 0.1
 """Interval at which a host checks whether it should read."""
-SILENCE_S = 1.0
+NEWS_TIMEOUT_S = 1.0
 """Age of the state after which a host reads the store itself; allows for one missed
 interval."""
-TURN_S = 0.1
-"""Added to `SILENCE_S` for each host that precedes this one in the reading order, so
-that the hosts do not all start to read at once when the reader fails."""
-TURNS = 10
+TAKEOVER_DELAY_S = 0.1
+"""Added to `NEWS_TIMEOUT_S` for each host that precedes this one in the reading order,
+so that the hosts do not all start to read at once when the reader fails."""
+MAX_TAKEOVER_RANK = 10
 """Maximum number of preceding hosts for which that delay is added."""
-UNLINKED_S = 0.4
+UNLINKED_START_TIMEOUT_S = 0.4
 """Time after its start at which a host that has found no peer reads the store itself.
 It is short because after a failure of all hosts no caller is served before one of
 them has read."""
-UNTOLD_S = 1.2
+PEER_ANSWER_TIMEOUT_S = 1.2
 """Time after its start at which a host that has peers, but has received nothing from
 them, reads the store itself."""
-ASK_S = 0.25
+REQUEST_INTERVAL_S = 0.25
 """Interval between the requests of a host that has no state yet. An answer can contain
 a whole document, which occupies a slow host's link while it is sent."""
-LONGEST_READ_S = 1.0
+MAX_READ_S = 1.0
 """Upper bound on the read duration that hosts allow for when they wait for news."""
-LONGEST_SILENCE_S = 2.5
+MAX_NEWS_TIMEOUT_S = 2.5
 """Age of the state at which any host reads the store itself, however slow the store is.
 It is half the time for which keys are accepted without a new confirmation."""
-UNHEARD_S = 3.0
+READER_LOSS_TIMEOUT_S = 3.0
 """Time without news after which a host outside the reading order broadcasts its own
 reads: by then the store has turned away every host in the order."""
-AWAY_S = 1.5
+OUTAGE_THRESHOLD_S = 1.5
 """Time without a successful read that counts as a store outage, during which entries of
 live targets may have expired."""
 
@@ -115,12 +115,12 @@
 
     Attributes
     ----------
-    heard_at : float
+    last_news_at : float
         Time at which news from another host were last applied.
     read_s : float
         Duration of the latest read, by this host or by the sender of the latest news,
         in seconds.
-    unanswered : list of callable
+    pending_replies : list of callable
         Replies to requests that arrived before this host had any state; called with
         the full state once there is one.
     """
@@ -142,22 +142,22 @@
         self.broadcast: Callable[[FeedNews], None] = lambda news: None
         self.send_request: Callable[[FeedWanted], bool] = lambda wanted: False
         self.reads_at_start = reads_at_start
-        self.unanswered: list[Callable[[FeedNews], None]] = []
+        self.pending_replies: list[Callable[[FeedNews], None]] = []
         self.started = clock.boottime()
-        self.asked_at = float("-inf")
+        self.requested_at = float("-inf")
         self.linked = False
         self.hosts: tuple[HostId, ...] = (host,)
         self.table = TargetTable()
         self.newest_documents: dict[str, Record] = {}
         self.newest_entries: dict[str, Record] = {}
         self.document = RoutingDocument()
-        self.desk = RolloutDesk(source)
+        self.rollouts = RolloutTracker(source)
         self.next_document = -1
         self.next_entry = -1
         self.read_at = float("-inf")
-        self.heard_at = clock.boottime()
+        self.last_news_at = clock.boottime()
         self.read_s = 0.0
-        self.answered_at = clock.boottime()
+        self.store_answered_at = clock.boottime()
         self.reachable = False
         self.version = 0
         self.lock = threading.RLock()
@@ -184,56 +184,63 @@
         old.
         """
         reads = not self.hosts or self.hosts[0] == self.host
-        if reads or not self.knows() or self.table.missing:
-            return STEP_S
-        return max(STEP_S, SILENCE_S - self.freshness.age_s(self.clock.boottime()))
+        if reads or not self.has_state() or self.table.pending_removals:
+            return STEP_INTERVAL_S
+        return max(
+            STEP_INTERVAL_S,
+            NEWS_TIMEOUT_S - self.freshness.age_s(self.clock.boottime()),
+        )
 
     def step(self) -> None:
         """Read the store if this host should, and remove expired targets and orders."""
         now = self.clock.boottime()
-        if not self.knows():
+        if not self.has_state():
             self.request_state()
         if (
-            not self.awaits_peer(now)
-            and now - self.read_at >= PERIOD_S
-            and self.is_turn(now)
+            not self.waits_for_peer(now)
+            and now - self.read_at >= READ_INTERVAL_S
+            and self.should_read(now)
         ):
             self.read()
         with self.lock:
             now = self.clock.boottime()
-            if self.table.expire(now) | self.desk.expire(now):
-                self.tell()
+            if self.table.expire(now) | self.rollouts.expire(now):
+                self.publish_view()
 
-    def awaits_peer(self, now: float) -> bool:
+    def waits_for_peer(self, now: float) -> bool:
         """Return whether this host has no state yet and waits for a peer to send it."""
-        if self.knows() or self.reads_at_start or self.is_reader():
+        if self.has_state() or self.reads_at_start or self.is_reader():
             return False
-        return now - self.started < (UNTOLD_S if self.linked else UNLINKED_S)
+        return now - self.started < (
+            PEER_ANSWER_TIMEOUT_S if self.linked else UNLINKED_START_TIMEOUT_S
+        )
 
     def is_reader(self) -> bool:
         """Return whether this host reads the store for other hosts."""
         return len(self.hosts) > 1 and self.hosts[0] == self.host
 
-    def knows(self) -> bool:
+    def has_state(self) -> bool:
         """Return whether this host has any state from the store."""
         return self.next_document >= 0
 
     def answer_request(self, reply: Callable[[FeedNews], None]) -> None:
         """Call ``reply`` with the full state, now or once this host has any."""
         with self.lock:
-            news = self.all_news()
+            news = self.make_full_news()
             if news is None:
-                self.unanswered.append(reply)
+                self.pending_replies.append(reply)
         if news is not None:
             reply(news)
 
-    def answer_all(self) -> None:
+    def answer_pending(self) -> None:
         """Answer the requests that arrived before this host had any state."""
-        waiting, self.unanswered = self.unanswered, []
-        for reply in waiting:
-            reply(self.all_news())
+        replies, self.pending_replies = self.pending_replies, []
+        for reply in replies:
+            reply(self.make_full_news())
 
-    def request_state(self, ask: Callable[[FeedWanted], bool] | None = None) -> None:
+    def request_state(
+        self, send_request: Callable[[FeedWanted], bool] | None = None
+    ) -> None:
         """Request the full state from one peer, unless a request was sent just before.
 
         Each peer answers with whole documents. Requests to all peers at once made
@@ -241,34 +248,34 @@
 
         Parameters
         ----------
-        ask : callable or None
+        send_request : callable or None
             Sends the request to a certain peer and returns whether it was sent; None
             for any peer.
         """
         now = self.clock.boottime()
-        if self.knows() or now - self.asked_at < ASK_S:
+        if self.has_state() or now - self.requested_at < REQUEST_INTERVAL_S:
             return
-        asked = (ask or self.send_request)(FeedWanted(self.host))
-        if ask is None:
-            self.linked = asked
-        if asked:
-            self.asked_at = now
+        sent = (send_request or self.send_request)(FeedWanted(self.host))
+        if send_request is None:
+            self.linked = sent
+        if sent:
+            self.requested_at = now
 
-    def all_news(self) -> FeedNews | None:
+    def make_full_news(self) -> FeedNews | None:
         """Return the full state of this host; None if it has none."""
         with self.lock:
-            if not self.knows():
+            if not self.has_state():
                 return None
             documents = tuple(self.newest_documents.values())
             entries = tuple(self.newest_entries.values())
             return FeedNews(
                 self.host,
                 self.freshness.age_s(self.clock.boottime()),
-                raw_batch(Batch(-1, self.next_document, documents)),
-                raw_batch(Batch(-1, self.next_entry, entries)),
+                encode_batch(Batch(-1, self.next_document, documents)),
+                encode_batch(Batch(-1, self.next_entry, entries)),
             )
 
-    def is_turn(self, now: float) -> bool:
+    def should_read(self, now: float) -> bool:
         """Return whether this host should read the store now."""
         if not self.hosts or self.hosts[0] == self.host or self.next_document < 0:
             return True
@@ -281,9 +288,13 @@
         then read the store and broadcast the same records, a changed document would
         fill every link for seconds.
         """
-        place = self.hosts.index(self.host) if self.host in self.hosts else TURNS
-        turn_s = max(TURN_S, self.read_s) * min(place, TURNS)
-        return min(SILENCE_S + 2 * self.read_s + turn_s, LONGEST_SILENCE_S)
+        rank = (
+            self.hosts.index(self.host)
+            if self.host in self.hosts
+            else MAX_TAKEOVER_RANK
+        )
+        takeover_s = max(TAKEOVER_DELAY_S, self.read_s) * min(rank, MAX_TAKEOVER_RANK)
+        return min(NEWS_TIMEOUT_S + 2 * self.read_s + takeover_s, MAX_NEWS_TIMEOUT_S)
 
     def read(self) -> None:
         """Read the new records and broadcast them."""
@@ -292,29 +303,29 @@
             documents = self.fetch(self.source.read_documents, self.next_document)
             entries = self.fetch(self.source.read_entries, self.next_entry)
         except StoreUnavailable as error:
-            self.note_lost(error)
+            self.record_store_failure(error)
             return
         self.finish_read(documents, entries, began)
 
     def finish_read(self, documents: Batch, entries: Batch, began: float) -> None:
         """Apply a read that started at ``began``, and broadcast it."""
         with self.lock:
-            self.note_answer()
-            news = self.news(documents, entries)
-            self.take(documents, entries, began)
-            self.note_duration(self.clock.boottime() - began)
+            self.record_store_answer()
+            news = self.make_news(documents, entries)
+            self.apply(documents, entries, began)
+            self.record_read_duration(self.clock.boottime() - began)
         if news is not None:
             self.broadcast(replace(news, age_s=self.clock.boottime() - began))
         if self.answers_orders():
-            self.desk.answer()
+            self.rollouts.answer_orders()
 
     def answers_orders(self) -> bool:
         """Return whether this host is the one that answers rollout orders."""
         return not self.hosts or self.hosts[0] == self.host
 
-    def note_duration(self, seconds: float) -> None:
+    def record_read_duration(self, seconds: float) -> None:
         """Record the duration of a read, in seconds."""
-        self.read_s = min(seconds, LONGEST_READ_S)
+        self.read_s = min(seconds, MAX_READ_S)
 
     def fetch(self, read: Callable[[int], Batch], offset: int) -> Batch:
         """Read from ``offset``; read a snapshot if those records are gone."""
@@ -323,20 +334,20 @@
         except StoreTrimmed:
             return read(-1)
 
-    def note_lost(self, error: StoreUnavailable) -> None:
+    def record_store_failure(self, error: StoreUnavailable) -> None:
         """Record that the store did not answer."""
         if self.reachable:
             extra = {"error": str(error), "age_s": self.age_s()}
             log.warning("Store unavailable", extra=extra)
         self.reachable = False
 
-    def note_answer(self) -> None:
+    def record_store_answer(self) -> None:
         """Record that the store answered; after an outage, delay target removals."""
         now = self.clock.boottime()
-        away_s = now - self.answered_at
-        self.answered_at = now
-        if away_s > AWAY_S:
-            self.table.store_returned(now)
+        away_s = now - self.store_answered_at
+        self.store_answered_at = now
+        if away_s > OUTAGE_THRESHOLD_S:
+            self.table.record_store_return(now)
         if not self.reachable:
             log.info("Store available", extra={"away_s": round(away_s, 3)})
         self.reachable = True
@@ -345,7 +356,7 @@
         """Return the time since the state was last confirmed, in seconds."""
         return round(self.freshness.age_s(self.clock.boottime()), 3)
 
-    def news(self, documents: Batch, entries: Batch) -> FeedNews | None:
+    def make_news(self, documents: Batch, entries: Batch) -> FeedNews | None:
         """Return the news to broadcast after a read, or None for none.
 
         It must be called before the read is applied. A host outside the reading
@@ -353,16 +364,16 @@
         started host contains whole documents: only the reader broadcasts them, since
         the document may have changed while there was no reader.
         """
-        unheard_s = self.clock.boottime() - self.heard_at
-        if self.host not in self.hosts and unheard_s <= UNHEARD_S:
+        since_news_s = self.clock.boottime() - self.last_news_at
+        if self.host not in self.hosts and since_news_s <= READER_LOSS_TIMEOUT_S:
             return None
-        if self.reads_at_start and not self.knows() and not self.is_reader():
+        if self.reads_at_start and not self.has_state() and not self.is_reader():
             return None
-        documents = since(documents, self.next_document)
-        entries = since(self.changed(entries), self.next_entry)
-        return FeedNews(self.host, 0.0, raw_batch(documents), raw_batch(entries))
+        documents = drop_known(documents, self.next_document)
+        entries = drop_known(self.drop_unchanged(entries), self.next_entry)
+        return FeedNews(self.host, 0.0, encode_batch(documents), encode_batch(entries))
 
-    def changed(self, entries: Batch) -> Batch:
+    def drop_unchanged(self, entries: Batch) -> Batch:
         """Return ``entries`` without the heartbeats that change nothing.
 
         Each target writes its entry once a second; broadcasting all of these would
@@ -373,18 +384,20 @@
         paused, another one may have read the removal alone, and would otherwise never
         learn of the target again.
         """
-        if entries.whole:
+        if entries.is_snapshot:
             return entries
         newest = {record.key: record for record in entries.records}
-        moved = {record.key for record in entries.records if self.is_news(record)}
-        kept = tuple(record for key, record in newest.items() if key in moved)
+        changed = {record.key for record in entries.records if self.is_change(record)}
+        kept = tuple(record for key, record in newest.items() if key in changed)
         return replace(entries, records=kept)
 
-    def is_news(self, record: Record) -> bool:
+    def is_change(self, record: Record) -> bool:
         """Return whether a record differs from the entry that this host has."""
         entry = self.source.decode_entry(record) if record.value else None
         held = self.table.entries.get(record.key)
-        return entry is None or entry != held or record.key in self.table.missing
+        return (
+            entry is None or entry != held or record.key in self.table.pending_removals
+        )
 
     def apply_news(self, news: FeedNews) -> None:
         """Apply what another host has read.
@@ -394,33 +407,35 @@
         """
         began = self.clock.boottime() - news.age_s
         with self.lock:
-            if fits(news.documents, self.next_document) and fits(
+            if is_contiguous(news.documents, self.next_document) and is_contiguous(
                 news.entries, self.next_entry
             ):
-                self.answered_at = max(self.answered_at, began)
-                self.heard_at = self.clock.boottime()
-                self.note_duration(news.age_s)
-                self.take(read_batch(news.documents), read_batch(news.entries), began)
-
-    def take(self, documents: Batch, entries: Batch, began: float) -> None:
+                self.store_answered_at = max(self.store_answered_at, began)
+                self.last_news_at = self.clock.boottime()
+                self.record_read_duration(news.age_s)
+                self.apply(
+                    decode_batch(news.documents), decode_batch(news.entries), began
+                )
+
+    def apply(self, documents: Batch, entries: Batch, began: float) -> None:
         """Apply a read that started at ``began``."""
         changed = False
         if documents.next >= self.next_document:
             self.next_document = documents.next
-            keep_newest(self.newest_documents, documents)
-            changed |= self.take_documents(documents)
-            changed |= self.desk.take(documents, self.clock.boottime())
+            apply_batch(self.newest_documents, documents)
+            changed |= self.apply_documents(documents)
+            changed |= self.rollouts.apply(documents, self.clock.boottime())
             self.freshness.confirm(began)
         if entries.next >= self.next_entry:
             self.next_entry = entries.next
-            keep_newest(self.newest_entries, entries)
-            changed |= self.take_entries(entries)
+            apply_batch(self.newest_entries, entries)
+            changed |= self.apply_entries(entries)
         if changed:
-            self.tell()
-        if self.unanswered:
-            self.answer_all()
+            self.publish_view()
+        if self.pending_replies:
+            self.answer_pending()
 
-    def take_documents(self, batch: Batch) -> bool:
+    def apply_documents(self, batch: Batch) -> bool:
         """Adopt the newest document, if it is newer than the current one.
 
         The version must never decrease: a snapshot or a peer that lags behind must
@@ -444,7 +459,7 @@
                 changed = True
         return changed
 
-    def take_entries(self, batch: Batch) -> bool:
+    def apply_entries(self, batch: Batch) -> bool:
         """Update the targets from a batch of entries."""
         now = self.clock.boottime()
         changed = False
@@ -453,17 +468,17 @@
             if entry is not None:
                 changed |= self.table.put(entry)
             else:
-                changed |= self.table.drop(record.key, now)
-        if batch.whole:
+                changed |= self.table.remove(record.key, now)
+        if batch.is_snapshot:
             keys = {record.key for record in batch.records if record.value}
             changed |= self.table.keep_only(keys, now)
         return changed
 
-    def tell(self) -> None:
+    def publish_view(self) -> None:
         """Publish a new view of the current state."""
         self.version += 1
         targets = tuple(self.table.entries.values())
-        unproved = held_back(self.desk.orders, targets)
+        unproved = held_back(self.rollouts.orders, targets)
         log.info(
             "Store view published",
             extra={
--- a/godwitladder/discovery/host_list.py
+++ b/godwitladder/discovery/host_list.py
@@ -16,12 +16,12 @@
 
 log = component_logger("hosts")
 
-PERIOD_S = 10.0
-LONELY_PERIOD_S = 1.0
+POLL_INTERVAL_S = 10.0
+UNLINKED_POLL_INTERVAL_S = 1.0
 """Interval for hosts that have no link to any other or are not registered yet."""
-KEEPERS = 3
+REGISTERED_HOSTS = 3
 """Number of linked hosts that are on the list; two of them may fail at once."""
-KEY = "list of hosts"
+RANKING_KEY = "list of hosts"
 
 
 class HostList:
@@ -40,7 +40,7 @@
 
     Attributes
     ----------
-    listed : bool
+    registered : bool
         Whether the store has accepted this host's entry.
     """
 
@@ -55,7 +55,7 @@
         self.source = source
         self.row = row
         self.report = report
-        self.listed = False
+        self.registered = False
 
     def update(self, linked: bool, hosts: Collection[HostId]) -> float:
         """Register and poll as needed; return the seconds until the next call.
@@ -67,15 +67,20 @@
         hosts : collection of HostId
             Hosts from which those that register and poll are chosen.
         """
-        if linked and self.host not in rank_hosts(hosts, KEY)[:KEEPERS]:
-            return PERIOD_S
-        self.listed = self.listed or self.write(self.row)
+        if (
+            linked
+            and self.host not in rank_hosts(hosts, RANKING_KEY)[:REGISTERED_HOSTS]
+        ):
+            return POLL_INTERVAL_S
+        self.registered = self.registered or self.write(self.row)
         self.read()
-        return PERIOD_S if linked and self.listed else LONELY_PERIOD_S
+        return (
+            POLL_INTERVAL_S if linked and self.registered else UNLINKED_POLL_INTERVAL_S
+        )
 
     def leave(self) -> None:
         """Mark this host as leaving, if it is registered."""
-        if self.listed:
+        if self.registered:
             self.write(ListedHost(self.row.address, self.row.zone, leaving=True))
 
     def read(self) -> None:
--- a/godwitladder/discovery/source.py
+++ b/godwitladder/discovery/source.py
@@ -48,7 +48,7 @@
     records: tuple[Record, ...]
 
     @property
-    def whole(self) -> bool:
+    def is_snapshot(self) -> bool:
         """Whether this is a snapshot: keys that it lacks have been deleted."""
         return self.start < 0
 
--- a/godwitladder/discovery/targets.py
+++ b/godwitladder/discovery/targets.py
@@ -7,7 +7,7 @@
 
 from godwitladder.ids import ServiceName, TargetName, Zone
 
-RETURN_S = 2.0
+REMOVAL_DELAY_S = 2.0
 """How long after a store outage an expired entry is kept. Targets rewrite entries that
 expired during the outage within 2 s of its end; removing the entries at once would
 leave no targets for that time and refuse every request although all targets work."""
@@ -44,38 +44,38 @@
 
     Attributes
     ----------
-    missing : dict
+    pending_removals : dict
         Time at which each entry missing from the store is removed, by target name.
-    returned : float
+    store_returned_at : float
         Time at which the store last became available again.
     """
 
     entries: dict[TargetName, TargetEntry] = field(default_factory=dict)
-    missing: dict[TargetName, float] = field(default_factory=dict)
-    returned: float = float("-inf")
+    pending_removals: dict[TargetName, float] = field(default_factory=dict)
+    store_returned_at: float = float("-inf")
 
-    def store_returned(self, now: float) -> None:
+    def record_store_return(self, now: float) -> None:
         """Record that the store answers again after an outage."""
-        self.returned = now
+        self.store_returned_at = now
 
     def put(self, entry: TargetEntry) -> bool:
         """Add or update an entry; return whether the table changed."""
-        self.missing.pop(entry.name, None)
+        self.pending_removals.pop(entry.name, None)
         changed = self.entries.get(entry.name) != entry
         self.entries[entry.name] = entry
         return changed
 
-    def drop(self, name: TargetName, now: float) -> bool:
+    def remove(self, name: TargetName, now: float) -> bool:
         """Remove an entry; return whether the table changed.
 
         Shortly after a store outage the removal is delayed, unless the target had
         announced that it leaves.
         """
         row = self.entries.get(name)
-        if row is None or name in self.missing:
+        if row is None or name in self.pending_removals:
             return False
-        if now - self.returned < RETURN_S and not row.leaving:
-            self.missing[name] = self.returned + RETURN_S
+        if now - self.store_returned_at < REMOVAL_DELAY_S and not row.leaving:
+            self.pending_removals[name] = self.store_returned_at + REMOVAL_DELAY_S
             return False
         del self.entries[name]
         return True
@@ -83,12 +83,12 @@
     def keep_only(self, names: set[TargetName], now: float) -> bool:
         """Remove entries not in ``names``; return whether the table changed."""
         gone = [name for name in self.entries if name not in names]
-        return any([self.drop(name, now) for name in gone])
+        return any([self.remove(name, now) for name in gone])
 
     def expire(self, now: float) -> bool:
         """Apply the delayed removals that are due; return whether there were any."""
-        late = [name for name, until in self.missing.items() if until <= now]
-        for name in late:
-            del self.missing[name]
+        due = [name for name, until in self.pending_removals.items() if until <= now]
+        for name in due:
+            del self.pending_removals[name]
             self.entries.pop(name, None)
-        return bool(late)
+        return bool(due)
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -6,12 +6,12 @@
 
 from godwitladder.clock import ManualClock
 from godwitladder.discovery.feed import (
-    AWAY_S,
-    PERIOD_S,
-    SILENCE_S,
-    TURN_S,
-    UNLINKED_S,
-    UNTOLD_S,
+    NEWS_TIMEOUT_S,
+    OUTAGE_THRESHOLD_S,
+    PEER_ANSWER_TIMEOUT_S,
+    READ_INTERVAL_S,
+    TAKEOVER_DELAY_S,
+    UNLINKED_START_TIMEOUT_S,
     Feed,
 )
 from godwitladder.discovery.messages import FeedWanted
@@ -21,7 +21,7 @@
     StoreTrimmed,
     StoreUnavailable,
 )
-from godwitladder.discovery.targets import RETURN_S, TargetEntry, TargetTable
+from godwitladder.discovery.targets import REMOVAL_DELAY_S, TargetEntry, TargetTable
 from godwitladder.membership.codec import decode, encode
 from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.model import RoutingDocument
@@ -36,7 +36,7 @@
 
     def __init__(self):
         self.documents, self.entries = [], []
-        self.away = False
+        self.unavailable = False
         self.first = 0
         self.reads = 0
 
@@ -48,7 +48,7 @@
 
     def read(self, records, offset):
         self.reads += 1
-        if self.away:
+        if self.unavailable:
             raise StoreUnavailable("away")
         if offset < 0:
             newest = {record.key: record for record in records}
@@ -80,22 +80,22 @@
     feed = Feed(host, source, clock, DocumentFreshness(5.0), views.append)
     feed.hosts = hosts
     # As if started long ago: the feed does not wait for a peer's state.
-    feed.started = clock.boottime() - UNTOLD_S
+    feed.started = clock.boottime() - PEER_ANSWER_TIMEOUT_S
     return feed, views
 
 
-def make_newcomer(source, clock, tellers, host="h2"):
-    """Return a newly started feed that requests state from the feeds in ``tellers``."""
+def make_new_feed(source, clock, peers, host="h2"):
+    """Return a newly started feed that requests state from the feeds in ``peers``."""
     feed, views = make_feed(source, clock, host)
     feed.started = clock.boottime()
 
     def ask(wanted):
         assert wanted == FeedWanted(host)
-        for teller in tellers:
-            news = teller.all_news()
+        for sender in peers:
+            news = sender.make_full_news()
             if news is not None:
                 feed.apply_news(decode(encode(news)))
-        return bool(tellers)
+        return bool(peers)
 
     feed.send_request = ask
     return feed, views
@@ -108,7 +108,7 @@
 def test_a_target_that_leaves_the_list_is_gone_at_once():
     table = TargetTable()
     table.put(ONE)
-    assert table.drop("e1", now=100.0)
+    assert table.remove("e1", now=100.0)
     assert not table.entries
 
 
@@ -122,19 +122,19 @@
     table = TargetTable()
     table.put(ONE)
     table.put(TWO)
-    table.store_returned(100.0)
+    table.record_store_return(100.0)
     assert not table.keep_only(set(), now=100.1)
     assert set(table.entries) == {"e1", "e2"}
     table.put(ONE)
-    assert table.expire(100.0 + RETURN_S)
+    assert table.expire(100.0 + REMOVAL_DELAY_S)
     assert set(table.entries) == {"e1"}
 
 
 def test_a_target_that_had_said_it_leaves_is_not_waited_for():
     table = TargetTable()
     table.put(replace(ONE, leaving=True))
-    table.store_returned(100.0)
-    assert table.drop("e1", now=100.1)
+    table.record_store_return(100.0)
+    assert table.remove("e1", now=100.1)
 
 
 def test_an_older_document_never_comes_back():
@@ -144,7 +144,7 @@
     feed, views = make_feed(source, clock)
     feed.step()
     source.put_document(4)
-    clock.advance(PERIOD_S)
+    clock.advance(READ_INTERVAL_S)
     feed.step()
     assert feed.document.version == 5
     assert views[-1].document.version == 5
@@ -161,12 +161,12 @@
     reads = source.reads
     for _ in range(10):
         source.put(b"one")
-        clock.advance(PERIOD_S)
+        clock.advance(READ_INTERVAL_S)
         reader.step(), other.step()
     assert source.reads == reads + 20
     assert other.freshness.age_s(clock.boottime()) == 0.0
     source.put(b"one leaves")
-    clock.advance(PERIOD_S)
+    clock.advance(READ_INTERVAL_S)
     reader.step()
     assert views[-1].targets == (replace(ONE, leaving=True),)
 
@@ -180,7 +180,7 @@
     feed.broadcast = news.append
     source.put(b"one")
     source.put(b"two", "e2")
-    clock.advance(PERIOD_S)
+    clock.advance(READ_INTERVAL_S)
     feed.step()
     assert [row.key for row in news[0].entries.records] == ["e2"]
 
@@ -202,7 +202,7 @@
     assert names(two) == ["e1"]
     source.put(b"one leaves")
     source.put(b"")
-    clock.advance(SILENCE_S + TURN_S + 0.1)
+    clock.advance(NEWS_TIMEOUT_S + TAKEOVER_DELAY_S + 0.1)
     two.step()
     assert names(two) == []
     source.put(b"one")
@@ -218,10 +218,10 @@
     feed, _ = make_feed(source, clock, host="h2")
     feed.step()
     reads = source.reads
-    clock.advance(SILENCE_S)
+    clock.advance(NEWS_TIMEOUT_S)
     feed.step()
     assert source.reads == reads
-    clock.advance(2 * TURN_S)
+    clock.advance(2 * TAKEOVER_DELAY_S)
     feed.step()
     assert source.reads == reads + 2
 
@@ -240,12 +240,12 @@
     source.put(b"one")
     reader.step(), other.step()
     source.put(b"one leaves")
-    clock.advance(PERIOD_S)
+    clock.advance(READ_INTERVAL_S)
     reader.step()
     reader.broadcast = other.apply_news
-    clock.advance(PERIOD_S)
+    clock.advance(READ_INTERVAL_S)
     reader.step()
-    assert other.freshness.age_s(clock.boottime()) > 1.5 * PERIOD_S
+    assert other.freshness.age_s(clock.boottime()) > 1.5 * READ_INTERVAL_S
 
 
 def test_history_that_is_gone_is_read_as_a_snapshot():
@@ -258,7 +258,7 @@
     source.put(b"")
     source.put(b"two", "e2")
     source.first = 4
-    clock.advance(PERIOD_S)
+    clock.advance(READ_INTERVAL_S)
     feed.step()
     assert names(feed) == ["e2"]
 
@@ -268,17 +268,17 @@
     source.put(b"one")
     feed, _ = make_feed(source, clock)
     feed.step()
-    source.away = True
+    source.unavailable = True
     for _ in range(4):
-        clock.advance(PERIOD_S)
+        clock.advance(READ_INTERVAL_S)
         feed.step()
     assert names(feed) == ["e1"] and not feed.reachable
-    source.away = False
+    source.unavailable = False
     source.put(b"")
-    clock.advance(max(PERIOD_S, AWAY_S))
+    clock.advance(max(READ_INTERVAL_S, OUTAGE_THRESHOLD_S))
     feed.step()
     assert names(feed) == ["e1"]
-    clock.advance(RETURN_S)
+    clock.advance(REMOVAL_DELAY_S)
     feed.step()
     assert names(feed) == []
 
@@ -305,16 +305,16 @@
     source.put(b"two", key="e2")
     peer, _ = make_feed(source, clock)
     peer.step()
-    source.away = True
+    source.unavailable = True
     clock.advance(2.0)
-    feed, views = make_newcomer(source, clock, [peer])
+    feed, views = make_new_feed(source, clock, [peer])
     feed.step()
     assert views[-1].document.version == 3
     assert views[-1].targets == (ONE, TWO)
     assert feed.freshness.age_s(clock.boottime()) == 2.0
-    source.away = False
+    source.unavailable = False
     source.put(b"one leaves")
-    clock.advance(PERIOD_S)
+    clock.advance(READ_INTERVAL_S)
     peer.broadcast = feed.apply_news
     peer.step()
     assert views[-1].targets == (replace(ONE, leaving=True), TWO)
@@ -328,9 +328,9 @@
     peer, _ = make_feed(source, clock)
     peer.step()
     source.put(b"", key="e1")
-    clock.advance(PERIOD_S)
+    clock.advance(READ_INTERVAL_S)
     peer.step()
-    feed, _ = make_newcomer(source, clock, [peer])
+    feed, _ = make_new_feed(source, clock, [peer])
     feed.step()
     assert names(feed) == ["e2"]
 
@@ -344,7 +344,7 @@
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     reader, _ = make_feed(source, clock)
-    feed, _ = make_newcomer(source, clock, [reader])
+    feed, _ = make_new_feed(source, clock, [reader])
     feed.step()
     assert feed.next_document < 0
     reader.step()
@@ -354,13 +354,16 @@
     assert source.reads == 2
 
 
-@pytest.mark.parametrize(("tellers", "patience_s"), [(0, UNLINKED_S), (1, UNTOLD_S)])
-def test_a_newcomer_that_nobody_tells_reads_by_itself(tellers, patience_s):
+@pytest.mark.parametrize(
+    ("peers", "patience_s"),
+    [(0, UNLINKED_START_TIMEOUT_S), (1, PEER_ANSWER_TIMEOUT_S)],
+)
+def test_a_newcomer_that_nobody_tells_reads_by_itself(peers, patience_s):
     """Guards against endless waiting without a peer, or for one without state."""
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
-    mute = [make_feed(source, clock)[0] for _ in range(tellers)]
-    feed, _ = make_newcomer(source, clock, mute)
+    peers_without_state = [make_feed(source, clock)[0] for _ in range(peers)]
+    feed, _ = make_new_feed(source, clock, peers_without_state)
     feed.step()
     clock.advance(patience_s - 0.1)
     feed.step()
@@ -379,19 +382,19 @@
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     reader, _ = make_feed(source, clock)
-    told = []
-    reader.answer_request(told.append)
-    assert not told
+    received = []
+    reader.answer_request(received.append)
+    assert not received
     reader.step()
-    assert [news.documents.next for news in told] == [1]
-    reader.answer_request(told.append)
-    assert len(told) == 2
+    assert [news.documents.next for news in received] == [1]
+    reader.answer_request(received.append)
+    assert len(received) == 2
 
 
 def test_a_host_that_others_dial_reads_at_once():
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
-    feed, _ = make_newcomer(source, clock, [])
+    feed, _ = make_new_feed(source, clock, [])
     feed.reads_at_start = True
     feed.step()
     assert feed.document.version == 1
--- a/tests/discovery/test_hostlist.py
+++ b/tests/discovery/test_hostlist.py
@@ -1,9 +1,9 @@
 """Tests of which hosts use the store's host list, and when."""
 
 from godwitladder.discovery.host_list import (
-    KEEPERS,
-    LONELY_PERIOD_S,
-    PERIOD_S,
+    POLL_INTERVAL_S,
+    REGISTERED_HOSTS,
+    UNLINKED_POLL_INTERVAL_S,
     HostList,
 )
 from godwitladder.discovery.source import StoreUnavailable
@@ -16,83 +16,85 @@
     """In-memory host list that can be made unavailable."""
 
     def __init__(self):
-        self.rows, self.reads, self.away = {}, 0, False
+        self.rows, self.reads, self.unavailable = {}, 0, False
 
     def read_hosts(self):
-        self.fail_if_away()
+        self.fail_if_unavailable()
         self.reads += 1
         return tuple(self.rows.values())
 
     def register_host(self, row):
-        self.fail_if_away()
+        self.fail_if_unavailable()
         self.rows[row.address] = row
 
-    def fail_if_away(self):
-        if self.away:
+    def fail_if_unavailable(self):
+        if self.unavailable:
             raise StoreUnavailable("away")
 
 
 def make_lists(store):
     """Return a `HostList` for each host, and the hosts reported to each."""
-    told = {host: [] for host in HOSTS}
+    reported = {host: [] for host in HOSTS}
     lists = [
-        HostList(host, store, ListedHost(f"{host}:1", "a", False), told[host].append)
+        HostList(
+            host, store, ListedHost(f"{host}:1", "a", False), reported[host].append
+        )
         for host in HOSTS
     ]
-    return lists, told
+    return lists, reported
 
 
 def test_a_few_linked_hosts_keep_the_list_and_the_others_call_nothing():
     store = MemoryList()
     lists, _ = make_lists(store)
-    assert {one.update(True, HOSTS) for one in lists} == {PERIOD_S}
-    assert len(store.rows) == KEEPERS
-    assert store.reads == KEEPERS
+    assert {host_list.update(True, HOSTS) for host_list in lists} == {POLL_INTERVAL_S}
+    assert len(store.rows) == REGISTERED_HOSTS
+    assert store.reads == REGISTERED_HOSTS
 
 
 def test_a_host_without_any_link_looks_often_and_finds_those_that_are_listed():
     """Guards against a host that starts when all seeds are gone and finds no peer."""
     store = MemoryList()
-    lists, told = make_lists(store)
-    for one in lists[:-1]:
-        one.update(True, HOSTS)
-    newcomer = lists[-1]
-    assert newcomer.update(False, (newcomer.host,)) == LONELY_PERIOD_S
-    assert len(told[newcomer.host][-1]) >= KEEPERS
+    lists, reported = make_lists(store)
+    for host_list in lists[:-1]:
+        host_list.update(True, HOSTS)
+    new_host = lists[-1]
+    assert new_host.update(False, (new_host.host,)) == UNLINKED_POLL_INTERVAL_S
+    assert len(reported[new_host.host][-1]) >= REGISTERED_HOSTS
 
 
 def test_others_keep_the_list_when_its_keepers_are_gone():
     store = MemoryList()
     lists, _ = make_lists(store)
-    for one in lists:
-        one.update(True, HOSTS)
-    left = [one for one in lists if not one.listed]
-    hosts = tuple(one.host for one in left)
-    for one in left:
-        one.update(True, hosts)
-    assert sum(one.listed for one in left) == KEEPERS
+    for host_list in lists:
+        host_list.update(True, HOSTS)
+    remaining = [host_list for host_list in lists if not host_list.registered]
+    hosts = tuple(host_list.host for host_list in remaining)
+    for host_list in remaining:
+        host_list.update(True, hosts)
+    assert sum(host_list.registered for host_list in remaining) == REGISTERED_HOSTS
 
 
 def test_a_host_that_leaves_is_told_to_nobody():
     store = MemoryList()
-    lists, told = make_lists(store)
-    for one in lists:
-        one.update(True, HOSTS)
-        one.leave()
-    assert len(store.rows) == KEEPERS
-    reader = next(one for one in lists if not one.listed)
+    lists, reported = make_lists(store)
+    for host_list in lists:
+        host_list.update(True, HOSTS)
+        host_list.leave()
+    assert len(store.rows) == REGISTERED_HOSTS
+    reader = next(host_list for host_list in lists if not host_list.registered)
     reader.update(False, HOSTS)
-    assert told[reader.host] == [(reader.row,)]
+    assert reported[reader.host] == [(reader.row,)]
 
 
 def test_a_store_that_is_away_is_tried_again_soon():
     """Guards against a host that stays unlisted after the store has failed."""
     store = MemoryList()
-    store.away = True
-    lists, told = make_lists(store)
-    assert lists[0].update(False, HOSTS[:1]) == LONELY_PERIOD_S
-    assert not lists[0].listed
-    assert not told["h0"]
-    store.away = False
-    assert lists[0].update(True, HOSTS[:1]) == PERIOD_S
-    assert lists[0].listed
+    store.unavailable = True
+    lists, reported = make_lists(store)
+    assert lists[0].update(False, HOSTS[:1]) == UNLINKED_POLL_INTERVAL_S
+    assert not lists[0].registered
+    assert not reported["h0"]
+    store.unavailable = False
+    assert lists[0].update(True, HOSTS[:1]) == POLL_INTERVAL_S
+    assert lists[0].registered
--- a/tests/discovery/test_rollouts.py
+++ b/tests/discovery/test_rollouts.py
@@ -8,7 +8,7 @@
 
 from godwitladder.configuration.model import TargetState
 from godwitladder.discovery.feed import StoreView
-from godwitladder.discovery.rollout_tracker import AFTER_S, RolloutDesk
+from godwitladder.discovery.rollout_tracker import EXTRA_HOLD_S, RolloutTracker
 from godwitladder.discovery.rollouts import RolloutOrder, RolloutState, held_back
 from godwitladder.discovery.source import Batch, Record, StoreUnavailable
 from godwitladder.discovery.targets import TargetEntry
@@ -37,10 +37,10 @@
 
     def __init__(self):
         self.appended = []
-        self.away = False
+        self.unavailable = False
 
     def append(self, topic, key, value):
-        if self.away:
+        if self.unavailable:
             raise StoreUnavailable("away")
         self.appended.append((topic, key, json.loads(value)))
 
@@ -68,31 +68,31 @@
 def test_an_order_is_answered_once_and_again_after_the_store_was_away():
     """Guards against an order that is never answered after a failed write."""
     store = FakeStore()
-    desk = RolloutDesk(PlatformSource(store))
-    desk.take(Batch(0, 8, (make_record(),)), now=100.0)
-    store.away = True
-    desk.answer()
-    store.away = False
-    desk.answer()
-    desk.answer()
+    tracker = RolloutTracker(PlatformSource(store))
+    tracker.apply(Batch(0, 8, (make_record(),)), now=100.0)
+    store.unavailable = True
+    tracker.answer_orders()
+    store.unavailable = False
+    tracker.answer_orders()
+    tracker.answer_orders()
     status = {"service": "letters", "target": 3, "state": "rolled_back"}
     assert store.appended == [("keyed.status", "rollout/letters", status)]
-    desk.take(Batch(8, 10, (make_record(offset=9),)), now=101.0)
-    desk.answer()
+    tracker.apply(Batch(8, 10, (make_record(offset=9),)), now=101.0)
+    tracker.answer_orders()
     assert len(store.appended) == 2
 
 
 def test_a_version_is_held_back_until_its_roll_out_is_over():
     """Guards against targets that stay idle because of an expired order."""
-    desk = RolloutDesk(PlatformSource(FakeStore()))
-    assert desk.take(Batch(0, 8, (make_record(),)), now=100.0)
-    assert desk.orders == make_orders()
-    assert not desk.take(Batch(-1, 8, (make_record(),)), now=105.0)
-    assert not desk.expire(100.0 + 12.0 + AFTER_S - 0.1)
-    assert desk.expire(100.0 + 12.0 + AFTER_S)
-    assert not desk.take(Batch(-1, 8, (make_record(),)), now=200.0)
-    assert not desk.orders
-    assert desk.take(Batch(8, 10, (make_record(offset=9),)), now=300.0)
+    tracker = RolloutTracker(PlatformSource(FakeStore()))
+    assert tracker.apply(Batch(0, 8, (make_record(),)), now=100.0)
+    assert tracker.orders == make_orders()
+    assert not tracker.apply(Batch(-1, 8, (make_record(),)), now=105.0)
+    assert not tracker.expire(100.0 + 12.0 + EXTRA_HOLD_S - 0.1)
+    assert tracker.expire(100.0 + 12.0 + EXTRA_HOLD_S)
+    assert not tracker.apply(Batch(-1, 8, (make_record(),)), now=200.0)
+    assert not tracker.orders
+    assert tracker.apply(Batch(8, 10, (make_record(offset=9),)), now=300.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/discovery/test_slow_store.py
+++ b/tests/discovery/test_slow_store.py
@@ -3,12 +3,12 @@
 from dataclasses import dataclass, field
 
 from godwitladder.clock import ManualClock
-from godwitladder.discovery.feed import ASK_S, PERIOD_S, Feed
+from godwitladder.discovery.feed import READ_INTERVAL_S, REQUEST_INTERVAL_S, Feed
 from godwitladder.routing.freshness import DocumentFreshness
-from tests.discovery.test_discovery import MemorySource, make_feed, make_newcomer
+from tests.discovery.test_discovery import MemorySource, make_feed, make_new_feed
 
 STEP_S = 0.05
-BOUND_S = 5.0
+MAX_AGE_S = 5.0
 DOCUMENTS = 8
 
 
@@ -18,16 +18,16 @@
 
     Attributes
     ----------
-    reading : dict
+    reads_in_progress : dict
         Start, end and results of the read in progress, by host.
-    told : int
+    sent_documents : int
         Number of document copies that hosts have sent to others.
     """
 
     count: int
     read_s: float
-    reading: dict = field(default_factory=dict)
-    told: int = 0
+    reads_in_progress: dict = field(default_factory=dict)
+    sent_documents: int = 0
 
     def __post_init__(self) -> None:
         self.source, self.clock = MemorySource(), ManualClock()
@@ -39,42 +39,47 @@
                 name,
                 self.source,
                 self.clock,
-                DocumentFreshness(BOUND_S),
+                DocumentFreshness(MAX_AGE_S),
                 lambda view: None,
             )
             feed.hosts = self.names
             feed.step()
-            feed.broadcast = lambda news, teller=feed: self.tell(teller, news)
+            feed.broadcast = lambda news, sender=feed: self.broadcast(sender, news)
             self.feeds.append(feed)
         for feed in self.feeds:
             feed.read()
-        self.told = 0
+        self.sent_documents = 0
 
-    def tell(self, teller: Feed, news) -> None:
+    def broadcast(self, sender: Feed, news) -> None:
         for feed in self.feeds:
-            if feed is not teller:
-                self.told += len(news.documents.records)
+            if feed is not sender:
+                self.sent_documents += len(news.documents.records)
                 feed.apply_news(news)
 
-    def play(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         """Advance the clock; a read ends ``read_s`` seconds after its start."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.advance(STEP_S)
             now = self.clock.boottime()
             for feed in self.feeds:
-                self.move(feed, now)
+                self.step_feed(feed, now)
 
-    def move(self, feed: Feed, now: float) -> None:
-        if feed.host in self.reading:
-            began, ends, documents, entries = self.reading[feed.host]
+    def step_feed(self, feed: Feed, now: float) -> None:
+        if feed.host in self.reads_in_progress:
+            began, ends, documents, entries = self.reads_in_progress[feed.host]
             if now >= ends:
-                del self.reading[feed.host]
+                del self.reads_in_progress[feed.host]
                 feed.finish_read(documents, entries, began)
-        elif now - feed.read_at >= PERIOD_S and feed.is_turn(now):
+        elif now - feed.read_at >= READ_INTERVAL_S and feed.should_read(now):
             feed.read_at = now
             documents = feed.fetch(self.source.read_documents, feed.next_document)
             entries = feed.fetch(self.source.read_entries, feed.next_entry)
-            self.reading[feed.host] = now, now + self.read_s, documents, entries
+            self.reads_in_progress[feed.host] = (
+                now,
+                now + self.read_s,
+                documents,
+                entries,
+            )
 
 
 def test_a_document_is_told_to_each_host_once_while_the_store_is_slow():
@@ -85,34 +90,34 @@
     each sends the whole new document to all others.
     """
     region = SlowRegion(count=24, read_s=0.8)
-    region.play(5)
+    region.run(5)
     for version in range(2, 2 + DOCUMENTS):
         region.source.put_document(version)
-        region.play(0.7)
-    region.play(5)
+        region.run(0.7)
+    region.run(5)
     assert {feed.document.version for feed in region.feeds} == {1 + DOCUMENTS}
-    assert region.told <= 2 * region.count * DOCUMENTS
+    assert region.sent_documents <= 2 * region.count * DOCUMENTS
 
 
 def test_a_store_that_becomes_slow_is_read_by_a_few_hosts():
     region = SlowRegion(count=24, read_s=0.8)
-    region.play(5)
+    region.run(5)
     reads = region.source.reads
-    region.play(10)
-    assert region.source.reads - reads <= 2 * 2 * 10 / PERIOD_S
+    region.run(10)
+    assert region.source.reads - reads <= 2 * 2 * 10 / READ_INTERVAL_S
 
 
 def test_a_host_that_restarts_among_others_does_not_tell_them_what_they_know():
     """Guards against a whole document sent over each link at every restart."""
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
-    restarted, _ = make_newcomer(source, clock, [], host="h2")
+    restarted, _ = make_new_feed(source, clock, [], host="h2")
     restarted.reads_at_start = True
-    told = []
-    restarted.broadcast = told.append
+    broadcasts = []
+    restarted.broadcast = broadcasts.append
     restarted.step()
     assert restarted.document.version == 1
-    assert not told
+    assert not broadcasts
 
 
 def test_a_change_that_came_while_the_reader_restarted_is_known_to_all_at_once():
@@ -122,7 +127,7 @@
     other, _ = make_feed(source, clock, host="h2")
     other.step()
     source.put_document(2)
-    reader, _ = make_newcomer(source, clock, [], host="h1")
+    reader, _ = make_new_feed(source, clock, [], host="h1")
     reader.reads_at_start = True
     reader.broadcast = other.apply_news
     reader.step()
@@ -138,24 +143,24 @@
     began = clock.boottime()
     documents, entries = source.read_documents(0), source.read_entries(0)
     one.broadcast = two.apply_news
-    clock.advance(PERIOD_S)
+    clock.advance(READ_INTERVAL_S)
     one.step()
-    told = []
-    two.broadcast = told.append
+    broadcasts = []
+    two.broadcast = broadcasts.append
     two.finish_read(documents, entries, began)
-    (news,) = told
+    (news,) = broadcasts
     assert (news.documents.start, news.documents.records) == (1, ())
 
 
 def test_a_newcomer_asks_one_peer_at_a_time():
     """Guards against answers with the whole document from every peer at once."""
     source, clock = MemorySource(), ManualClock()
-    feed, _ = make_newcomer(source, clock, [])
+    feed, _ = make_new_feed(source, clock, [])
     asked = []
     for peer in range(8):
         feed.request_state(lambda wanted, peer=peer: asked.append(peer) is None)
     assert asked == [0]
-    clock.advance(ASK_S)
+    clock.advance(REQUEST_INTERVAL_S)
     feed.request_state(lambda wanted: asked.append(8) is None)
     assert asked == [0, 8]
 
@@ -165,13 +170,13 @@
 
     The store turns away all hosts in the reading order.
     """
-    source, away, clock = MemorySource(), MemorySource(), ManualClock()
+    source, down, clock = MemorySource(), MemorySource(), ManualClock()
     source.put_document(1)
     strong, _ = make_feed(source, clock, hosts=("h1",))
     weak, _ = make_feed(source, clock, host="h9", hosts=("h1",))
     strong.step(), weak.step()
     weak.broadcast = strong.apply_news
-    strong.source, away.away = away, True
+    strong.source, down.unavailable = down, True
     for _ in range(60):
         clock.advance(0.1)
         strong.step(), weak.step()
