--- a/godwitladder/clients/hosts.py
+++ b/godwitladder/clients/hosts.py
@@ -14,7 +14,7 @@
 
 
 class HostListClient:
-    """Reads the host list; its contents are out of date and serve only as a hint."""
+    """Reads the host list; its contents lag behind and are only a hint."""
 
     def __init__(self, url: str, zone: Zone, timeout_s: float = 2.0) -> None:
         self.url = url.rstrip("/")
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -49,7 +49,7 @@
     def read(self, records, offset):
         self.reads += 1
         if self.unavailable:
-            raise StoreUnavailable("away")
+            raise StoreUnavailable("unavailable")
         if offset < 0:
             newest = {record.key: record for record in records}
             kept = tuple(record for record in newest.values() if record.value)
@@ -105,14 +105,14 @@
     return sorted(feed.table.entries)
 
 
-def test_a_target_that_leaves_the_list_is_gone_at_once():
+def test_a_target_removed_from_the_store_is_gone_at_once():
     table = TargetTable()
     table.put(ONE)
     assert table.remove("e1", now=100.0)
     assert not table.entries
 
 
-def test_targets_that_lapsed_with_the_store_are_kept_until_they_are_back():
+def test_targets_that_expired_in_an_outage_are_kept_until_rewritten():
     """Guards against refusing all callers after a store outage.
 
     All entries expired in the store during the outage. Every target works and rewrites
@@ -130,14 +130,14 @@
     assert set(table.entries) == {"e1"}
 
 
-def test_a_target_that_had_said_it_leaves_is_not_waited_for():
+def test_a_leaving_target_is_removed_without_delay():
     table = TargetTable()
     table.put(replace(ONE, leaving=True))
     table.record_store_return(100.0)
     assert table.remove("e1", now=100.1)
 
 
-def test_an_older_document_never_comes_back():
+def test_a_document_is_never_replaced_by_an_older_one():
     """Guards against a return to version 4, read after version 5 is in use."""
     source, clock = MemorySource(), ManualClock()
     source.put_document(5)
@@ -150,7 +150,7 @@
     assert views[-1].document.version == 5
 
 
-def test_one_host_reads_and_the_other_hears_of_it():
+def test_one_host_reads_and_broadcasts_to_the_other():
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     source.put(b"one")
@@ -171,7 +171,7 @@
     assert views[-1].targets == (replace(ONE, leaving=True),)
 
 
-def test_beats_that_say_nothing_new_are_not_passed_on():
+def test_unchanged_heartbeats_are_not_broadcast():
     source, clock = MemorySource(), ManualClock()
     source.put(b"one")
     feed, _ = make_feed(source, clock)
@@ -185,7 +185,7 @@
     assert [row.key for row in news[0].entries.records] == ["e2"]
 
 
-def test_a_target_that_came_back_while_the_reader_stood_still_is_known_to_all():
+def test_a_target_that_came_back_while_the_reader_was_paused_is_known_to_all():
     """Guards against a target that one host never learns of again.
 
     The reader is paused while a target leaves and comes back. The second host reads
@@ -211,7 +211,7 @@
     assert names(two) == ["e1"]
 
 
-def test_a_host_that_hears_nothing_reads_by_itself():
+def test_a_host_without_news_reads_the_store():
     """Guards against stale state when the reader has failed and no news arrive."""
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
@@ -226,7 +226,7 @@
     assert source.reads == reads + 2
 
 
-def test_news_after_a_gap_says_nothing():
+def test_news_after_a_gap_are_ignored():
     """Guards against state that counts as fresh although a message was lost.
 
     The lost message says that a target leaves. The next one starts after it; if it
@@ -248,7 +248,7 @@
     assert other.freshness.age_s(clock.boottime()) > 1.5 * READ_INTERVAL_S
 
 
-def test_history_that_is_gone_is_read_as_a_snapshot():
+def test_trimmed_history_is_read_as_a_snapshot():
     """Guards against a target that stays after its removal record was compacted."""
     source, clock = MemorySource(), ManualClock()
     source.put(b"one")
@@ -263,7 +263,7 @@
     assert names(feed) == ["e2"]
 
 
-def test_lapsed_entries_after_an_outage_are_waited_for():
+def test_expired_entries_are_removed_with_delay_after_an_outage():
     source, clock = MemorySource(), ManualClock()
     source.put(b"one")
     feed, _ = make_feed(source, clock)
@@ -283,7 +283,7 @@
     assert names(feed) == []
 
 
-def test_an_entry_nobody_can_read_harms_no_other():
+def test_an_unreadable_entry_does_not_affect_others():
     source, clock = MemorySource(), ManualClock()
     source.put(b"one")
     source.put(b"\xff", "e2")
@@ -292,7 +292,7 @@
     assert names(feed) == ["e1"]
 
 
-def test_a_host_that_starts_while_the_store_is_away_learns_all_from_a_peer():
+def test_a_host_that_starts_during_an_outage_gets_its_state_from_a_peer():
     """Guards against a host that refuses all callers until the store is back.
 
     The host starts during a store outage while its peers keep serving, and gets its
@@ -320,7 +320,7 @@
     assert views[-1].targets == (replace(ONE, leaving=True), TWO)
 
 
-def test_a_target_that_was_dropped_is_not_told_to_a_newcomer():
+def test_a_removed_target_is_not_sent_to_a_new_host():
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     source.put(b"one")
@@ -358,7 +358,7 @@
     ("peers", "patience_s"),
     [(0, UNLINKED_START_TIMEOUT_S), (1, PEER_ANSWER_TIMEOUT_S)],
 )
-def test_a_newcomer_that_nobody_tells_reads_by_itself(peers, patience_s):
+def test_a_new_host_without_an_answer_reads_the_store(peers, patience_s):
     """Guards against endless waiting without a peer, or for one without state."""
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
@@ -373,7 +373,7 @@
     assert feed.document.version == 1
 
 
-def test_a_host_that_knows_nothing_yet_answers_once_it_does():
+def test_a_host_without_state_answers_once_it_has_some():
     """Guards against a second request after a failure of all hosts.
 
     The peer that gets the request has just started too. It answers as soon as it has
--- a/tests/discovery/test_hostlist.py
+++ b/tests/discovery/test_hostlist.py
@@ -29,7 +29,7 @@
 
     def fail_if_unavailable(self):
         if self.unavailable:
-            raise StoreUnavailable("away")
+            raise StoreUnavailable("unavailable")
 
 
 def make_lists(store):
@@ -44,7 +44,7 @@
     return lists, reported
 
 
-def test_a_few_linked_hosts_keep_the_list_and_the_others_call_nothing():
+def test_a_few_linked_hosts_use_the_list_and_the_others_make_no_calls():
     store = MemoryList()
     lists, _ = make_lists(store)
     assert {host_list.update(True, HOSTS) for host_list in lists} == {POLL_INTERVAL_S}
@@ -52,7 +52,7 @@
     assert store.reads == REGISTERED_HOSTS
 
 
-def test_a_host_without_any_link_looks_often_and_finds_those_that_are_listed():
+def test_a_host_without_links_polls_often_and_finds_the_registered_hosts():
     """Guards against a host that starts when all seeds are gone and finds no peer."""
     store = MemoryList()
     lists, reported = make_lists(store)
@@ -63,7 +63,7 @@
     assert len(reported[new_host.host][-1]) >= REGISTERED_HOSTS
 
 
-def test_others_keep_the_list_when_its_keepers_are_gone():
+def test_other_hosts_register_when_the_registered_ones_are_gone():
     store = MemoryList()
     lists, _ = make_lists(store)
     for host_list in lists:
@@ -75,7 +75,7 @@
     assert sum(host_list.registered for host_list in remaining) == REGISTERED_HOSTS
 
 
-def test_a_host_that_leaves_is_told_to_nobody():
+def test_a_leaving_host_is_not_reported():
     store = MemoryList()
     lists, reported = make_lists(store)
     for host_list in lists:
@@ -87,7 +87,7 @@
     assert reported[reader.host] == [(reader.row,)]
 
 
-def test_a_store_that_is_away_is_tried_again_soon():
+def test_an_unavailable_store_is_retried_soon():
     """Guards against a host that stays unlisted after the store has failed."""
     store = MemoryList()
     store.unavailable = True
--- a/tests/discovery/test_rollouts.py
+++ b/tests/discovery/test_rollouts.py
@@ -41,11 +41,11 @@
 
     def append(self, topic, key, value):
         if self.unavailable:
-            raise StoreUnavailable("away")
+            raise StoreUnavailable("unavailable")
         self.appended.append((topic, key, json.loads(value)))
 
 
-def test_an_unproved_version_takes_no_calls_beside_another():
+def test_an_unproved_version_receives_no_calls_beside_another():
     """Guards against a bad version that gets a full share of calls at once."""
     assert held_back(make_orders(), [OLD, NEW, OTHER]) == {"e2"}
     view = StoreView(1, RoutingDocument(), (OLD, NEW), frozenset({"e2"}))
@@ -60,12 +60,12 @@
     assert held_back(make_orders(), [replace(OLD, leaving=True), NEW]) == frozenset()
 
 
-def test_targets_of_no_version_and_without_an_order_take_calls():
+def test_targets_without_a_version_or_an_order_receive_calls():
     assert held_back({}, [OLD, NEW]) == frozenset()
     assert held_back(make_orders(), [replace(OLD, release="")]) == frozenset()
 
 
-def test_an_order_is_answered_once_and_again_after_the_store_was_away():
+def test_an_order_is_answered_once_and_retried_after_an_outage():
     """Guards against an order that is never answered after a failed write."""
     store = FakeStore()
     tracker = RolloutTracker(PlatformSource(store))
@@ -82,7 +82,7 @@
     assert len(store.appended) == 2
 
 
-def test_a_version_is_held_back_until_its_roll_out_is_over():
+def test_a_version_is_held_back_until_its_rollout_is_over():
     """Guards against targets that stay idle because of an expired order."""
     tracker = RolloutTracker(PlatformSource(FakeStore()))
     assert tracker.apply(Batch(0, 8, (make_record(),)), now=100.0)
@@ -106,11 +106,11 @@
         {"durationS": "soon"},
     ],
 )
-def test_an_order_that_says_too_little_is_none(changes):
+def test_an_incomplete_order_is_rejected(changes):
     assert isinstance(decode_rollout(make_record(**changes)), Failure)
 
 
-def test_a_status_gives_the_version_back_as_it_was_written():
+def test_a_status_contains_the_version_as_it_was_written():
     record = make_record(target="v3")
     order = decode_rollout(record).unwrap()
     row = json.loads(encode_status(order, RolloutState.ROLLED_BACK, record.value))
@@ -118,7 +118,7 @@
 
 
 @pytest.mark.parametrize(("version", "release"), [(3, "3"), ("v3", "v3"), (None, "")])
-def test_an_entry_tells_the_version_of_its_software(version, release):
+def test_an_entry_contains_the_version_of_its_software(version, release):
     raw = {
         "service": "letters",
         "address": "10.0.0.1:1",
--- a/tests/discovery/test_slow_store.py
+++ b/tests/discovery/test_slow_store.py
@@ -82,7 +82,7 @@
             )
 
 
-def test_a_document_is_told_to_each_host_once_while_the_store_is_slow():
+def test_a_document_is_sent_to_each_host_once_while_the_store_is_slow():
     """Guards against hosts that fill all links with the same document.
 
     Reads take 0.8 s, so that news arrive later than hosts wait for them without
@@ -107,7 +107,7 @@
     assert region.source.reads - reads <= 2 * 2 * 10 / READ_INTERVAL_S
 
 
-def test_a_host_that_restarts_among_others_does_not_tell_them_what_they_know():
+def test_a_restarted_host_broadcasts_no_documents_that_others_have():
     """Guards against a whole document sent over each link at every restart."""
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
@@ -134,7 +134,7 @@
     assert other.document.version == 2
 
 
-def test_what_another_host_told_during_a_read_is_not_told_again():
+def test_records_received_during_a_read_are_not_broadcast_again():
     source, clock = MemorySource(), ManualClock()
     one, _ = make_feed(source, clock)
     two, _ = make_feed(source, clock, host="h2")
@@ -152,7 +152,7 @@
     assert (news.documents.start, news.documents.records) == (1, ())
 
 
-def test_a_newcomer_asks_one_peer_at_a_time():
+def test_a_new_host_sends_its_request_to_one_peer_at_a_time():
     """Guards against answers with the whole document from every peer at once."""
     source, clock = MemorySource(), ManualClock()
     feed, _ = make_new_feed(source, clock, [])
@@ -165,7 +165,7 @@
     assert asked == [0, 8]
 
 
-def test_hosts_that_the_store_turns_away_hear_from_any_other():
+def test_hosts_that_the_store_turns_away_receive_news_from_any_other():
     """Guards against strong hosts that serve nobody while weak ones read the store.
 
     The store turns away all hosts in the reading order.
