--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -115,8 +115,15 @@
 
     Attributes
     ----------
+    hosts : tuple of HostId
+        Hosts that may read the store for others, in reading order; the first is the
+        reader.
+    linked : bool
+        Whether the latest request to any peer could be sent.
+    next_document_offset, next_entry_offset : int
+        Offset of the next document or target record to read; -1 before the first read.
     last_news_at : float
-        Time at which news from another host were last applied.
+        Time at which news from another host was last applied.
     read_s : float
         Duration of the latest read, by this host or by the sender of the latest news,
         in seconds.
@@ -152,8 +159,8 @@
         self.newest_entries: dict[str, Record] = {}
         self.document = RoutingDocument()
         self.rollouts = RolloutTracker(source)
-        self.next_document = -1
-        self.next_entry = -1
+        self.next_document_offset = -1
+        self.next_entry_offset = -1
         self.read_at = float("-inf")
         self.last_news_at = clock.boottime()
         self.read_s = 0.0
@@ -221,7 +228,7 @@
 
     def has_state(self) -> bool:
         """Return whether this host has any state from the store."""
-        return self.next_document >= 0
+        return self.next_document_offset >= 0
 
     def answer_request(self, reply: Callable[[FeedNews], None]) -> None:
         """Call ``reply`` with the full state, now or once this host has any."""
@@ -271,20 +278,24 @@
             return FeedNews(
                 self.host,
                 self.freshness.age_s(self.clock.boottime()),
-                encode_batch(Batch(-1, self.next_document, documents)),
-                encode_batch(Batch(-1, self.next_entry, entries)),
+                encode_batch(Batch(-1, self.next_document_offset, documents)),
+                encode_batch(Batch(-1, self.next_entry_offset, entries)),
             )
 
     def should_read(self, now: float) -> bool:
         """Return whether this host should read the store now."""
-        if not self.hosts or self.hosts[0] == self.host or self.next_document < 0:
+        if (
+            not self.hosts
+            or self.hosts[0] == self.host
+            or self.next_document_offset < 0
+        ):
             return True
         return self.freshness.age_s(now) > self.patience_s()
 
     def patience_s(self) -> float:
         """Return the age of the state, in seconds, at which this host reads the store.
 
-        While the store is slow, news are late although the reader works. If all hosts
+        While the store is slow, news is late although the reader works. If all hosts
         then read the store and broadcast the same records, a changed document would
         fill every link for seconds.
         """
@@ -300,8 +311,10 @@
         """Read the new records and broadcast them."""
         began = self.read_at = self.clock.boottime()
         try:
-            documents = self.fetch(self.source.read_documents, self.next_document)
-            entries = self.fetch(self.source.read_entries, self.next_entry)
+            documents = self.fetch(
+                self.source.read_documents, self.next_document_offset
+            )
+            entries = self.fetch(self.source.read_entries, self.next_entry_offset)
         except StoreUnavailable as error:
             self.record_store_failure(error)
             return
@@ -369,8 +382,8 @@
             return None
         if self.reads_at_start and not self.has_state() and not self.is_reader():
             return None
-        documents = drop_known(documents, self.next_document)
-        entries = drop_known(self.drop_unchanged(entries), self.next_entry)
+        documents = drop_known(documents, self.next_document_offset)
+        entries = drop_known(self.drop_unchanged(entries), self.next_entry_offset)
         return FeedNews(self.host, 0.0, encode_batch(documents), encode_batch(entries))
 
     def drop_unchanged(self, entries: Batch) -> Batch:
@@ -402,14 +415,14 @@
     def apply_news(self, news: FeedNews) -> None:
         """Apply what another host has read.
 
-        News that start beyond the last record of this host leave a gap. They are
+        News that starts beyond the last record of this host leaves a gap. It is
         ignored, and the host reads the store itself when its state is too old.
         """
         began = self.clock.boottime() - news.age_s
         with self.lock:
-            if is_contiguous(news.documents, self.next_document) and is_contiguous(
-                news.entries, self.next_entry
-            ):
+            if is_contiguous(
+                news.documents, self.next_document_offset
+            ) and is_contiguous(news.entries, self.next_entry_offset):
                 self.store_answered_at = max(self.store_answered_at, began)
                 self.last_news_at = self.clock.boottime()
                 self.record_read_duration(news.age_s)
@@ -420,14 +433,14 @@
     def apply(self, documents: Batch, entries: Batch, began: float) -> None:
         """Apply a read that started at ``began``."""
         changed = False
-        if documents.next >= self.next_document:
-            self.next_document = documents.next
+        if documents.next >= self.next_document_offset:
+            self.next_document_offset = documents.next
             apply_batch(self.newest_documents, documents)
             changed |= self.apply_documents(documents)
             changed |= self.rollouts.apply(documents, self.clock.boottime())
             self.freshness.confirm(began)
-        if entries.next >= self.next_entry:
-            self.next_entry = entries.next
+        if entries.next >= self.next_entry_offset:
+            self.next_entry_offset = entries.next
             apply_batch(self.newest_entries, entries)
             changed |= self.apply_entries(entries)
         if changed:
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -212,7 +212,7 @@
 
 
 def test_a_host_without_news_reads_the_store():
-    """Guards against stale state when the reader has failed and no news arrive."""
+    """Guards against stale state when the reader has failed and no news arrives."""
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     feed, _ = make_feed(source, clock, host="h2")
@@ -226,7 +226,7 @@
     assert source.reads == reads + 2
 
 
-def test_news_after_a_gap_are_ignored():
+def test_news_after_a_gap_is_ignored():
     """Guards against state that counts as fresh although a message was lost.
 
     The lost message says that a target leaves. The next one starts after it; if it
@@ -346,7 +346,7 @@
     reader, _ = make_feed(source, clock)
     feed, _ = make_new_feed(source, clock, [reader])
     feed.step()
-    assert feed.next_document < 0
+    assert feed.next_document_offset < 0
     reader.step()
     clock.advance(0.3)
     feed.step()
--- a/tests/discovery/test_slow_store.py
+++ b/tests/discovery/test_slow_store.py
@@ -72,8 +72,10 @@
                 feed.finish_read(documents, entries, began)
         elif now - feed.read_at >= READ_INTERVAL_S and feed.should_read(now):
             feed.read_at = now
-            documents = feed.fetch(self.source.read_documents, feed.next_document)
-            entries = feed.fetch(self.source.read_entries, feed.next_entry)
+            documents = feed.fetch(
+                self.source.read_documents, feed.next_document_offset
+            )
+            entries = feed.fetch(self.source.read_entries, feed.next_entry_offset)
             self.reads_in_progress[feed.host] = (
                 now,
                 now + self.read_s,
@@ -85,7 +87,7 @@
 def test_a_document_is_sent_to_each_host_once_while_the_store_is_slow():
     """Guards against hosts that fill all links with the same document.
 
-    Reads take 0.8 s, so that news arrive later than hosts wait for them without
+    Reads take 0.8 s, so that news arrives later than hosts wait for them without
     regard to the duration of a read. All hosts then read the store themselves, and
     each sends the whole new document to all others.
     """
