--- a/godwitladder/engines/__init__.py
+++ b/godwitladder/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the targets: language engines and plain services."""
+"""Clients of the targets: model engines and plain services."""
--- a/godwitladder/engines/engine.py
+++ b/godwitladder/engines/engine.py
@@ -1,8 +1,8 @@
-"""Client of a language engine: open, resume and cancel streams; load reports.
+"""Client of a model engine: opens, resumes and cancels streams, and reads load.
 
-The only module to change when an engine's own form differs: the chat
-completion form with server-sent events, whose ``id`` lines carry
-``stream:sequence``.
+Engines serve the chat completions API with server-sent events, whose ``id`` lines
+hold ``stream:sequence``. For an engine with another API, only this module has to
+change.
 """
 
 import json
@@ -15,8 +15,8 @@
 from godwitladder.engines.wire import MayHaveRun, TargetRefused, connect, send
 from godwitladder.ids import StreamId
 
-# Statuses with which an engine says that it did not take a request. Any other
-# error (500, 502, 504) may come after the work has begun.
+# Statuses that mean that an engine has not started the request. Any other error
+# (500, 502, 504) may occur after the work has begun.
 NOT_TAKEN = frozenset({400, 401, 403, 404, 405, 409, 410, 411, 413, 415, 422, 429, 503})
 DONE = b"[DONE]"
 READ_BYTES = 65_536
@@ -35,7 +35,15 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What an engine last said of its load; tokens and requests."""
+    """Load that an engine last reported.
+
+    Attributes
+    ----------
+    running, queued : int
+        Number of requests.
+    memory_tokens : int
+        Tokens in the engine's memory.
+    """
 
     running: int
     queued: int
@@ -43,7 +51,7 @@
 
 
 class EngineStream:
-    """The events of one stream as they arrive on one connection."""
+    """Iterator over the events of one stream on one connection."""
 
     def __init__(
         self, connection: HTTPConnection, response: urllib3.BaseHTTPResponse
@@ -52,20 +60,20 @@
         self.response = response
 
     def close(self) -> None:
-        """Close the connection; the stream itself goes on at the engine."""
+        """Close the connection; the engine continues the stream itself."""
         self.response.close()
         self.connection.close()
 
     def __iter__(self) -> Iterator[list[Chunk]]:
         """Yield the chunks of each read, in the order of arrival.
 
-        A heartbeat is an empty list, so that whoever iterates can look at the
-        time while nothing is produced.
+        A heartbeat yields an empty list, so that the caller can check deadlines
+        while the engine produces nothing.
 
         Raises
         ------
         MayHaveRun
-            The connection broke or went silent, or sent what is no event.
+            The connection broke or timed out, or sent an event that is too long.
         """
         rest = b""
         try:
@@ -79,12 +87,12 @@
             raise MayHaveRun(f"stream broke: {error}") from error
 
     def _read(self) -> bytes:
-        """Return what has arrived; wait for it only if nothing has."""
+        """Return the bytes that have arrived; block only if there are none."""
         return self.response.read1(READ_BYTES)
 
 
 def parse_event(event: bytes) -> Chunk | None:
-    """Return the chunk in one server-sent event; None for a comment."""
+    """Return the chunk in one server-sent event; None if it holds none."""
     identity = data = None
     for line in event.split(b"\n"):
         if line.startswith(b"id: "):
@@ -102,7 +110,7 @@
 def open_stream(
     address: str, stream: StreamId, body: bytes, idle_s: float
 ) -> EngineStream:
-    """Dispatch ``body`` as ``stream``; this is the one write to the engine.
+    """Dispatch ``body`` as ``stream``; only this call starts work at the engine.
 
     Raises
     ------
@@ -118,14 +126,20 @@
 def resume_stream(
     address: str, stream: StreamId, sequence: int, idle_s: float
 ) -> EngineStream:
-    """Read ``stream`` from ``sequence`` on; resuming dispatches nothing."""
+    """Read ``stream`` from event ``sequence`` on, without a new dispatch.
+
+    Raises
+    ------
+    NotSent, MayHaveRun, TargetRefused
+        See `godwitladder.engines.wire`.
+    """
     connection = connect(address, idle_s)
     path = f"/v1/streams/{stream}?from={sequence}"
     return _accepted(connection, send(connection, "GET", path, None, {}))
 
 
 def cancel_stream(address: str, stream: StreamId) -> None:
-    """Tell the engine to drop ``stream``."""
+    """Cancel ``stream`` at the engine."""
     connection = connect(address, 2.0)
     try:
         send(connection, "DELETE", f"/v1/streams/{stream}", None, {})
@@ -134,7 +148,7 @@
 
 
 def read_load(address: str) -> LoadReport:
-    """Return the engine's own, lagging report of its load."""
+    """Return the load that the engine reports, which lags behind its real load."""
     connection = connect(address, 2.0)
     try:
         answer = json.loads(send(connection, "GET", "/load", None, {}).data)
--- a/godwitladder/engines/service.py
+++ b/godwitladder/engines/service.py
@@ -1,4 +1,4 @@
-"""Client of a plain service: one call, body and content type passed through."""
+"""Client of a plain service: sends a call with its body and content type as is."""
 
 from dataclasses import dataclass
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class ServiceAnswer:
-    """The whole answer of a plain service."""
+    """The complete answer of a plain service."""
 
     status: int
     content_type: str
@@ -32,18 +32,18 @@
     clock: Clock,
     deadline: float,
 ) -> ServiceAnswer:
-    """Dispatch one call and return its whole answer.
+    """Dispatch one call and return its complete answer.
 
     Parameters
     ----------
     deadline : float
-        Monotonic seconds after which the answer is of no use.
+        Monotonic time in seconds after which the answer is no longer useful.
 
     Raises
     ------
     NotSent, MayHaveRun
-        See `godwitladder.engines.wire`. An answer that ends before its
-        stated length is a `MayHaveRun`, never a short answer.
+        See `godwitladder.engines.wire`. An answer that ends before its stated
+        length raises `MayHaveRun` and is never returned truncated.
     """
     connection = connect(address, max(0.1, deadline - clock.monotonic()))
     headers = {"Content-Type": content_type, CALL_HEADER: call}
@@ -61,10 +61,15 @@
 
 
 def _check_head(response: urllib3.BaseHTTPResponse, call: StreamId) -> None:
-    """Refuse an answer that is another call's, or whose end can't be told.
+    """Reject an answer to another call, or one whose end can't be detected.
 
-    An answer with neither a length nor chunks ends where the connection does,
-    so that one cut short would look whole.
+    An answer with neither a length nor chunked encoding ends when the connection
+    closes, so that a truncated one would look complete.
+
+    Raises
+    ------
+    MayHaveRun
+        The answer is rejected.
     """
     headers = response.headers
     if headers.get(CALL_HEADER, call) != call:
@@ -77,7 +82,13 @@
 def _read_body(
     response: urllib3.BaseHTTPResponse, clock: Clock, deadline: float
 ) -> bytes:
-    """Return the body; a target that trickles it can't outlive the deadline."""
+    """Return the body; the deadline also ends a slow, trickling answer.
+
+    Raises
+    ------
+    MayHaveRun
+        The body is too large, or the deadline passed before its end.
+    """
     blocks = []
     size = 0
     while block := response.read1(READ_BYTES):
--- a/godwitladder/engines/wire.py
+++ b/godwitladder/engines/wire.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to a target, with the moment of the first byte known."""
+"""HTTP connections to targets that tell failures before the first byte from later."""
 
 from collections.abc import Mapping
 
@@ -11,15 +11,15 @@
 
 
 class NotSent(GodwitladderError):
-    """No byte reached the target: the request was not dispatched."""
+    """The request was not dispatched: no byte of it was sent to the target."""
 
 
 class MayHaveRun(GodwitladderError):
-    """The request may have reached the target, and no whole answer came."""
+    """The request may have reached the target, but no complete answer arrived."""
 
 
 class TargetRefused(GodwitladderError):
-    """The target answered that it did not take the request.
+    """The target answered that it has not started the request.
 
     Parameters
     ----------
@@ -37,14 +37,13 @@
 ) -> HTTPConnection:
     """Return a new open connection to ``address``.
 
-    Each dispatch has a connection of its own: a pooled one may have been
-    closed by the target a moment ago, and then a request that was written
-    into it looks sent though nobody will run it.
+    Each dispatch has its own connection. The target may just have closed a pooled
+    connection, and a request written to it would look sent although it never runs.
 
     Raises
     ------
     NotSent
-        The connection could not be made.
+        The connection could not be established.
     """
     host, _, port = address.rpartition(":")
     connection = HTTPConnection(host, int(port), timeout=connect_timeout_s)
@@ -65,12 +64,12 @@
     body: bytes | None,
     headers: Mapping[str, str],
 ) -> urllib3.BaseHTTPResponse:
-    """Write one request and return the head of its answer.
+    """Send one request and return its answer, with the body still unread.
 
     Raises
     ------
     MayHaveRun
-        Anything went wrong from the first byte on.
+        Sending the request or receiving the status and headers failed.
     """
     try:
         try:
@@ -78,8 +77,8 @@
                 method, path, body=body, headers=dict(headers), preload_content=False
             )
         except BrokenPipeError:
-            # A target may answer before it has read a long body, and close;
-            # what it said is still there to be read.
+            # A target may answer and close before it has read a long body; its
+            # answer can still be read.
             pass
         return connection.getresponse()
     except (urllib3.exceptions.HTTPError, OSError, ValueError) as error:
