--- a/godwitladder/platform/__init__.py
+++ b/godwitladder/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: names, formats and calls; decides nothing."""
+"""Adapter to the users' platform: its names, formats and calls, but no decisions."""
--- a/godwitladder/platform/__main__.py
+++ b/godwitladder/platform/__main__.py
@@ -5,18 +5,19 @@
 
 
 def hold_signals() -> None:
-    """Let no signal kill the process before the host can answer it.
+    """Install signal handlers for the time until the host installs its own.
 
-    Loading takes half a second, in which SIGHUP would end a host that was only
-    told of new settings, and SIGTERM would look like a crash. Nothing has been
-    taken from any caller by then, and the settings are still to be read.
+    Importing the host takes half a second. Without handlers, SIGHUP in that time
+    would kill a host that should only reload its settings, and SIGTERM would look
+    like a crash. SIGHUP can be ignored because the settings are read later, and
+    SIGTERM can exit at once because no call has been accepted yet.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
 
 
 def main() -> None:
-    """Hold signals, and only then load and run the host."""
+    """Install the signal handlers before importing and running the host."""
     hold_signals()
     from godwitladder.platform.host import run_host
 
--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -1,7 +1,8 @@
 """Decodes the operator's configuration into a `Document`.
 
-The store takes only valid configurations; fields of later versions are passed
-over, and what is missing has the default that the platform's pages give.
+The store accepts only valid configurations. Unknown fields, which later versions
+may add, are ignored, and missing fields get the defaults in the platform's
+documentation.
 """
 
 import json
@@ -29,7 +30,7 @@
 
 
 class BadDocument(ValueError):
-    """The bytes are no configuration."""
+    """The bytes are not a valid configuration."""
 
 
 def decode_document(data: bytes) -> Document:
@@ -38,7 +39,7 @@
     Raises
     ------
     BadDocument
-        It can't be read as one.
+        ``data`` is not a valid configuration.
     """
     try:
         raw = json.loads(data)
@@ -52,7 +53,7 @@
             bounds=_bounds(raw.get("limits") or {}),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise BadDocument(f"no configuration: {error!r}") from error
+        raise BadDocument(f"invalid configuration: {error!r}") from error
 
 
 def _route(raw: dict[str, Any]) -> Route:
@@ -82,7 +83,7 @@
         name=ServiceName(str(raw["name"])),
         slots=int(engine.get("slots") or 0),
         memory_tokens=int(engine.get("kvCapacity") or 0),
-        # The page calls it the stride: tokens in one event of a stream.
+        # The platform's name for the output tokens in one event of a stream.
         event_tokens=int(engine.get("stride") or 1),
     )
 
--- a/godwitladder/platform/entries.py
+++ b/godwitladder/platform/entries.py
@@ -1,7 +1,7 @@
-"""Decodes the entries of engines in the store.
+"""Decodes the store's entries of engines.
 
-Another writer may have left an entry with fields missing or of a wrong type;
-such an entry names no target, and the others hold.
+Other programs write these entries, so fields may be missing or have a wrong type.
+Such an entry is skipped, and the others are used.
 """
 
 import json
@@ -17,7 +17,7 @@
 
 
 def decode_entry(key: str, value: bytes) -> Result[TargetEntry, str]:
-    """Return the target that an entry names, or why it names none."""
+    """Return the target in an entry, or why the entry is invalid."""
     try:
         raw = json.loads(value)
     except (ValueError, RecursionError) as error:
--- a/godwitladder/platform/headers.py
+++ b/godwitladder/platform/headers.py
@@ -1,4 +1,4 @@
-"""Reads and writes the headers of calls on the platform."""
+"""Reads and writes the platform's headers of requests and answers."""
 
 from collections.abc import Iterable, Mapping
 
@@ -30,10 +30,10 @@
 
 
 class PlatformHeaders:
-    """What the headers of a call say, in the platform's names."""
+    """Implements `HeaderForm` with the names of the platform's headers."""
 
     def read_call(self, headers: Headers) -> CallFacts:
-        """Return what a caller's headers say; what can't be read counts as absent."""
+        """Return the data in a caller's headers; invalid values count as not sent."""
         found = {name.lower(): value for name, value in headers}
         prompt, output = _pair(found.get(names.TOKENS.lower(), ""))
         deadline = _number(found.get(names.DEADLINE_MS.lower(), ""))
@@ -51,7 +51,7 @@
         )
 
     def for_target(self, headers: Headers, send: SendFacts) -> list[tuple[str, str]]:
-        """Return the headers to send on: the caller's own and the system's."""
+        """Return the caller's end-to-end headers, with those that the system sets."""
         kept = [
             (name, value)
             for name, value in headers
@@ -68,7 +68,7 @@
         return kept
 
     def read_answer(self, headers: Mapping[str, str]) -> AnswerFacts:
-        """Return what a target's headers say."""
+        """Return the data in a target's headers."""
         return AnswerFacts(
             attempt=headers.get(names.ATTEMPT, ""),
             signature=headers.get(names.SIGNATURE, ""),
@@ -76,7 +76,7 @@
         )
 
     def for_caller(self, headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-        """Return the headers of a target's answer that go back to the caller."""
+        """Return the end-to-end headers of a target's answer."""
         return [row for row in headers if row[0].lower() not in HOP_BY_HOP]
 
 
--- a/godwitladder/platform/host.py
+++ b/godwitladder/platform/host.py
@@ -1,4 +1,4 @@
-"""One host on the users' platform: its settings, its store and its headers."""
+"""Runs a host with the settings, store and headers of the users' platform."""
 
 import os
 from pathlib import Path
@@ -13,12 +13,12 @@
 
 
 def make_source(settings: RoutedSettings) -> PlatformSource:
-    """Return the platform's store."""
+    """Return a client of the platform's store."""
     return PlatformSource(StoreClient(settings.store.address))
 
 
 def run_host() -> None:
-    """Run the host that the platform's settings file describes."""
+    """Run a host with the settings file that the platform names."""
     configure_bounded_logs()
     path = Path(os.environ[names.SETTINGS_VARIABLE])
     run_routing_host(path, read_routed_settings(path), make_source, PlatformHeaders())
--- a/godwitladder/platform/names.py
+++ b/godwitladder/platform/names.py
@@ -1,4 +1,4 @@
-"""Every name on the wire of the users' platform, in one place."""
+"""All names in the protocols of the users' platform."""
 
 # Headers of requests.
 ATTEMPT = "Godwitladder-Attempt-Id"
@@ -29,8 +29,8 @@
         "Authorization",
     )
 )
-"""Request headers that are the system's to set, or the caller's secret: none is
-passed on as the caller sent it."""
+"""Request headers that only the system may set, or that hold the caller's secret.
+The caller's values of them are never passed on to a target."""
 
 # Calls of the store.
 READ = "/api/log-read"
--- a/godwitladder/platform/rollouts.py
+++ b/godwitladder/platform/rollouts.py
@@ -1,4 +1,4 @@
-"""Decodes orders of roll-outs, and writes what became of them."""
+"""Decodes rollout orders, and encodes their status."""
 
 import json
 
@@ -11,12 +11,12 @@
 
 
 def is_rollout(record: Record) -> bool:
-    """Return whether ``record`` is about a roll-out."""
+    """Return whether ``record`` holds a rollout order."""
     return record.key.startswith(names.ROLLOUT_PREFIX)
 
 
 def decode_rollout(record: Record) -> Result[RolloutOrder, str]:
-    """Return the order in ``record``, or why it holds none."""
+    """Return the rollout order in ``record``, or why it is invalid."""
     try:
         raw = json.loads(record.value)
         service, release = raw["service"], raw["target"]
@@ -35,12 +35,12 @@
 
 
 def encode_status(order: RolloutOrder, state: RolloutState, raw: bytes) -> bytes:
-    """Return the record that tells how ``order`` stands.
+    """Return the value of the status record of ``order``.
 
     Parameters
     ----------
     raw : bytes
-        The order as it was written: its version is given back in the same type.
+        The order as stored. Its version is returned with its original type.
     """
     target = json.loads(raw)["target"]
     row = {"service": order.service, "target": target, "state": state.value}
--- a/godwitladder/platform/source.py
+++ b/godwitladder/platform/source.py
@@ -1,4 +1,4 @@
-"""The store's topics as a `godwitladder.discovery.source.Source`."""
+"""Implements `godwitladder.discovery.source.Source` with the platform's store."""
 
 import json
 
@@ -25,17 +25,23 @@
 
 
 class PlatformSource:
-    """Reads the platform's topics and says what their records mean."""
+    """Reads, decodes and appends the records of the platform's topics."""
 
     def __init__(self, store: StoreClient) -> None:
         self.store = store
 
     def read_documents(self, offset: int) -> Batch:
-        """Return the records of configurations."""
+        """Return the configuration records from ``offset`` on.
+
+        If ``offset`` is negative, return the newest record of each key.
+        """
         return self._read(names.CONFIG_TOPIC, offset)
 
     def read_entries(self, offset: int) -> Batch:
-        """Return the records of engines."""
+        """Return the records of engines from ``offset`` on.
+
+        If ``offset`` is negative, return the newest record of each key.
+        """
         return self._read(names.ENTRIES_TOPIC, offset)
 
     def _read(self, topic: str, offset: int) -> Batch:
@@ -46,55 +52,55 @@
         return Batch(offset, offset + len(records), records)
 
     def read_hosts(self) -> tuple[ListedHost, ...]:
-        """Return the hosts that have put themselves on the list."""
+        """Return the hosts that have registered themselves in the store."""
         rows = []
         for record in self.store.newest(names.HOSTS_TOPIC).records:
             try:
                 zone, leaving = json.loads(record.value)
                 rows.append(ListedHost(record.key, Zone(zone), bool(leaving)))
             except (ValueError, TypeError) as error:
-                log.info("A host's record is unreadable", extra={"error": str(error)})
+                log.info("A host record is invalid", extra={"error": str(error)})
         return tuple(rows)
 
     def list_host(self, host: ListedHost) -> None:
-        """Put ``host`` on the list, by its address."""
+        """Register ``host`` in the store under its address."""
         value = json.dumps([host.zone, host.leaving]).encode()
         self.store.append(names.HOSTS_TOPIC, host.address, value)
 
     def decode_document(self, record: Record) -> Document | None:
-        """Return the configuration in ``record``."""
+        """Return the configuration in ``record``; None if it is missing or invalid."""
         if record.key != names.CONFIG_KEY or not record.value:
             return None
         try:
             return decode_document(record.value)
         except BadDocument as error:
-            log.warning("A configuration is unreadable", extra={"error": str(error)})
+            log.warning("A configuration is invalid", extra={"error": str(error)})
             return None
 
     def decode_rollout(self, record: Record) -> RolloutOrder | None:
-        """Return the order of a roll-out in ``record``."""
+        """Return the rollout order in ``record``; None if it is missing or invalid."""
         if not is_rollout(record) or not record.value:
             return None
         result = decode_rollout(record)
         if isinstance(result, Failure):
             extra = {"key": record.key[:64], "error": result.failure()}
-            log.warning("An order of a roll-out is unreadable", extra=extra)
+            log.warning("A rollout order is invalid", extra=extra)
             return None
         return result.unwrap()
 
     def tell_rollout(
         self, record: Record, order: RolloutOrder, state: RolloutState
     ) -> None:
-        """Write how the roll-out that ``record`` orders stands."""
+        """Append the status of the rollout that ``record`` orders."""
         value = encode_status(order, state, record.value)
         key = names.ROLLOUT_PREFIX + order.service
         self.store.append(names.STATUS_TOPIC, key, value)
 
     def decode_entry(self, record: Record) -> TargetEntry | None:
-        """Return the engine in ``record``."""
+        """Return the target in ``record``; None if the entry is invalid."""
         result = decode_entry(record.key, record.value)
         if isinstance(result, Failure):
             extra = {"target": record.key[:64], "error": result.failure()}
-            log.info("An entry names no target", extra=extra)
+            log.info("An engine entry is invalid", extra=extra)
             return None
         return result.unwrap()
--- a/godwitladder/platform/store.py
+++ b/godwitladder/platform/store.py
@@ -1,8 +1,9 @@
-"""The one client of the platform's store.
+"""Client of the platform's store.
 
-Bodies of reads are binary: the end of the partition and its first offset that
-is kept, 8 bytes each, then records of 4 bytes of length and their content. In
-a keyed topic the content is a length of 1 byte, a key, and a value.
+The body of a read is binary, with big-endian integers. It starts with the end
+offset of the partition and the first offset that is still kept, 8 bytes each. The
+records follow, each with a 4-byte length and its content. In a keyed topic, the
+content is a 1-byte key length, the key and the value.
 """
 
 import base64
@@ -17,22 +18,22 @@
 from godwitladder.platform import names
 
 TIMEOUT_S = 1.0
-"""A connection may go silent for good; the store answers within 4 ms, and
-within 250 ms while it is slow. Four times that."""
+"""Timeout in seconds, since a connection may stay silent forever. The store
+answers within 4 ms, and within 250 ms while it is slow; this is four times that."""
 HEAD = struct.Struct(">QQ")
 LENGTH = struct.Struct(">I")
 
 
 @dataclass(frozen=True)
 class Newest:
-    """The newest record of each key, and the offset to read on from."""
+    """The newest record of each key, and the offset of the next read."""
 
     records: tuple[Record, ...]
     next: int
 
 
 class StoreClient:
-    """Reads and appends in keyed topics with one partition.
+    """Reads and appends records of keyed topics with one partition.
 
     Parameters
     ----------
@@ -53,8 +54,14 @@
     def newest(self, topic: str) -> Newest:
         """Return the newest record of each key of ``topic``.
 
-        The pages are no snapshot: a record that came between two of them is
-        read again from the end that the first page gave.
+        The pages are not a consistent snapshot. The next read starts at the end
+        offset of the first page, so that it covers records that were appended
+        between two pages.
+
+        Raises
+        ------
+        StoreUnavailable
+            The store did not return valid pages.
         """
         records: list[Record] = []
         end: int | None = None
@@ -70,7 +77,7 @@
                     return Newest(tuple(records), int(end))
                 after = rows[-1]["key"]
             except (KeyError, TypeError, ValueError) as error:
-                raise StoreUnavailable(f"no page of records: {error!r}") from error
+                raise StoreUnavailable(f"invalid page of records: {error!r}") from error
 
     def read(self, topic: str, offset: int) -> tuple[Record, ...]:
         """Return the records of ``topic`` from ``offset`` on.
@@ -78,18 +85,21 @@
         Raises
         ------
         StoreTrimmed
-            They are no longer kept; `newest` has what is left of them.
+            The store no longer keeps the records at ``offset``; `newest` still
+            returns the newest record of each key.
+        StoreUnavailable
+            The store did not return a valid body.
         """
         query = {"topic": topic, "part": 0, "from": offset}
         return parse_records(self._request("GET", names.READ, query), offset)
 
     def append(self, topic: str, key: str, value: bytes) -> None:
-        """Append one record; without a value the key is dropped.
+        """Append one record; an empty value removes the key.
 
         Raises
         ------
         StoreUnavailable
-            The record may have been appended, or may still be.
+            The record may have been appended, or may be appended later.
         """
         content = bytes([len(key.encode())]) + key.encode() + value
         body = LENGTH.pack(len(content)) + content
@@ -100,9 +110,11 @@
         try:
             answer = json.loads(data)
         except ValueError as error:
-            raise StoreUnavailable(f"{path} answered no JSON: {error}") from error
+            raise StoreUnavailable(f"{path} returned invalid JSON: {error}") from error
         if not isinstance(answer, dict):
-            raise StoreUnavailable(f"{path} answered {type(answer).__name__}")
+            raise StoreUnavailable(
+                f"{path} returned a JSON {type(answer).__name__}, not an object"
+            )
         return answer
 
     def _request(
@@ -113,9 +125,9 @@
         except (urllib3.exceptions.HTTPError, OSError) as error:
             raise StoreUnavailable(f"{path} did not answer: {error}") from error
         if answer.status == 410:
-            raise StoreTrimmed(f"{path}: records are gone")
+            raise StoreTrimmed(f"{path}: the records are no longer kept")
         if answer.status != 200:
-            raise StoreUnavailable(f"{path} answered {answer.status}")
+            raise StoreUnavailable(f"{path} returned HTTP status {answer.status}")
         return answer.data
 
 
@@ -125,20 +137,20 @@
     Raises
     ------
     StoreUnavailable
-        The body is cut short or is none.
+        The body is truncated or has no header.
     """
     if len(data) < HEAD.size:
-        raise StoreUnavailable(f"a read of {len(data)} bytes has no head")
+        raise StoreUnavailable(f"a body of {len(data)} bytes has no complete header")
     records = []
     place = HEAD.size
     while place < len(data):
         try:
             (length,) = LENGTH.unpack_from(data, place)
         except struct.error as error:
-            raise StoreUnavailable("a read was cut short") from error
+            raise StoreUnavailable("the body of a read is truncated") from error
         content = data[place + LENGTH.size : place + LENGTH.size + length]
         if len(content) < length:
-            raise StoreUnavailable("a read was cut short")
+            raise StoreUnavailable("the body of a read is truncated")
         records.append(_keyed_record(offset + len(records), content))
         place += LENGTH.size + length
     return tuple(records)
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -1,4 +1,4 @@
-"""What the adapter reads and writes on the wire of the users' platform."""
+"""Formats and calls of the adapter to the users' platform."""
 
 import json
 import re
@@ -78,7 +78,7 @@
         }
     ],
 }
-# Names that belong to the wire of the platform, and the folders that may use them.
+# Names in the protocols of the platform, and the folders that may use them.
 FOREIGN = re.compile(
     r"Godwitladder-|/api/|log-(append|read|newest|join)|keyed\.(op|servers|hosts)"
     r"|GODWITLADDER_NODE_FILE|Kv-From"
@@ -154,7 +154,7 @@
     ],
 )
 def test_an_unreadable_entry_names_no_target(change):
-    """Another writer's entry must not be used, nor end the host that reads it."""
+    """Guards against using an invalid entry of another program, or failing on it."""
     assert isinstance(decode_entry("e1", json.dumps(ENTRY | change).encode()), Failure)
 
 
@@ -172,7 +172,10 @@
 
 
 def test_a_read_that_is_cut_short_is_no_read(store, client):
-    """Taken as whole, the rest would be skipped: a target that leaves stays."""
+    """Guards against skipping the records behind a truncation.
+
+    A target whose leaving is among the skipped records would stay in use.
+    """
     store.standin.put("keyed.t", "a", b"1")
     data = client._request("GET", "/api/log-read", {"topic": "keyed.t", "from": 0})
     assert len(parse_records(data, 0)) == 1
@@ -234,7 +237,7 @@
 
 
 def test_what_is_the_systems_to_set_is_not_passed_on():
-    """A caller sends the system's own headers; a target would believe them."""
+    """Guards against forged system headers of a caller, which a target would trust."""
     forged = (
         ("Godwitladder-Hold", "h"),
         ("godwitladder-pin-ms", "9"),
--- a/tests/platform/test_hosts.py
+++ b/tests/platform/test_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts as real processes, with stand-ins of the platform's store and engines."""
+"""Hosts as real processes, with stand-ins for the platform's store and engines."""
 
 import contextlib
 import http.client
@@ -29,7 +29,7 @@
 
 
 class Host:
-    """One host's process."""
+    """The process of one host."""
 
     def __init__(self, stack, folder, name, store, seeds):
         self.ports = free_ports(4)
@@ -119,10 +119,12 @@
 
 
 def test_hosts_serve_routed_calls_and_follow_the_store(fleet):
-    """A caller's key is taken away, an engine leaves, the store goes away.
+    """Guards against hosts that do not follow changes in the store.
 
-    Calls are served by both hosts; the key is refused on both; the engine gets
-    nothing more; without the store, calls are served until keys are too old.
+    Both hosts must serve calls. After a change of keys, the old key must be refused
+    and the new one accepted. A draining engine must get no new calls. Without the
+    store, calls must be served until the document is too old for accepting keys,
+    and again after the store is back.
     """
     one, two = fleet.hosts
     for number, host in enumerate([one, two, one, two]):
@@ -152,10 +154,11 @@
 
 
 def test_a_planned_stop_cuts_no_call(fleet):
-    """SIGTERM comes while an engine works on a call.
+    """Guards against calls that are cut off when SIGTERM stops their host.
 
-    The host isn't ready any more, the call is answered whole, the process ends
-    by itself with 0, and the other host goes on.
+    The signal arrives while an engine works on a call. The host must report that it
+    is not ready, answer the call completely and exit with status 0, and the other
+    host must continue to serve.
     """
     one, two = fleet.hosts
     for engine in fleet.engines.values():
@@ -173,10 +176,11 @@
 
 
 def test_a_planned_stop_waits_for_a_call_that_outlasts_its_notice(fleet):
-    """SIGTERM comes, and an engine works on a call for four more seconds.
+    """Guards against a drain that ends before the last open call.
 
-    The balancer has seen the host go by then, and nothing new comes. The call
-    is still answered whole before the process ends.
+    When SIGTERM arrives, an engine still needs four seconds for a call, longer than
+    the load balancer needs to remove the host. The call must still be answered
+    completely before the process exits.
     """
     one, _ = fleet.hosts
     for engine in fleet.engines.values():
@@ -192,9 +196,10 @@
 
 
 def test_calls_go_on_when_the_allocators_host_is_killed(fleet):
-    """One of the two hosts is killed; it may have been the allocator.
+    """Guards against calls that stop when the allocator's host is killed.
 
-    The other one's links break at once, it takes the role, and serves.
+    One of two hosts is killed, which may be the allocator. The links of the other
+    break at once, so it must take over the role and continue to serve.
     """
     one, two = fleet.hosts
     one.process.kill()
@@ -206,11 +211,11 @@
 
 
 def test_a_host_holds_few_threads_before_and_after_a_burst(fleet):
-    """Forty callers come at once to a host at rest, and leave again.
+    """Guards against threads that stay after a burst of calls.
 
-    All are answered at the same time, and the threads that served them end:
-    hundreds of hosts on one machine could not each keep one for every call
-    that they might have to bear.
+    Forty callers arrive at an idle host at once. All must be answered, and the
+    threads that served them must end: with hundreds of hosts on one machine, each
+    can't keep a thread for every call that it might have to serve.
     """
     one, _ = fleet.hosts
     wait_until(lambda: threads_of(one) <= THREADS_AT_REST, "a host at rest")
@@ -232,5 +237,5 @@
 
 
 def threads_of(host):
-    """Return how many threads a host's process has."""
+    """Return the number of threads of a host's process."""
     return len(os.listdir(f"/proc/{host.process.pid}/task"))
--- a/tests/platform/test_starting.py
+++ b/tests/platform/test_starting.py
@@ -1,4 +1,4 @@
-"""Signals that come while a host is still loading."""
+"""Signals that arrive while a host is still importing its modules."""
 
 import os
 import signal
@@ -21,7 +21,7 @@
 
 
 def load(number):
-    """Return the status of a host that gets a signal while it loads."""
+    """Return the exit status and errors of a host that gets a signal while loading."""
     code = SEND_WHILE_LOADING.format(number=int(number))
     environ = {key: text for key, text in os.environ.items() if "NODE_FILE" not in key}
     done = subprocess.run(
@@ -31,10 +31,11 @@
 
 
 def test_a_host_that_is_told_of_settings_while_it_loads_goes_on():
-    """SIGHUP comes half a second after the start, before anything listens.
+    """Guards against a SIGHUP that kills a host which does not listen yet.
 
-    The host goes on to read its settings, of which this one has none. Without
-    care the signal ends the process, and the platform starts it once more.
+    The signal may arrive within the first half second. Its default action ends the
+    process, and the platform starts it again. Here the host must continue until it
+    fails with a KeyError, since no settings file is named.
     """
     status, errors = load(signal.SIGHUP)
     assert status == 1
@@ -43,5 +44,5 @@
 
 @pytest.mark.parametrize("number", [signal.SIGTERM])
 def test_a_host_that_is_stopped_while_it_loads_ends_as_planned(number):
-    """SIGTERM comes before anything listens: there is nothing to finish."""
+    """Guards against a SIGTERM during loading that looks like a crash."""
     assert load(number)[0] == 0
