--- a/godwitladder/routing/__init__.py
+++ b/godwitladder/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Calls by route: documents in force, who may call, what is passed on."""
+"""Routing of calls: the routing document, caller authentication and dispatch."""
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -1,4 +1,4 @@
-"""The WSGI application for routed calls, and the one that tells readiness."""
+"""The WSGI applications for routed calls and for readiness probes."""
 
 import random
 import secrets
@@ -47,60 +47,66 @@
 log = component_logger("routing")
 
 ROUTE_STEP = 2
-"""Ranks of workspaces that weigh as much as one rank of routes."""
+"""Factor of a route's rank in the combined rank; a workspace's rank counts once."""
 UNKNOWN_RETRY_S = 0.5
-"""A host without a document, or with one that is too old, asks again so soon:
-a read of the store is due within that time."""
+"""Retry-After, in seconds, while no current document is known; the next read of
+the store is due within this time."""
 LEAST_SILENCE_S, AIMS, GAPS = 2.0, 4.0, 8.0
-"""Callers leave a stream after the longest of this silence and these multiples
-of the route's aim and of its longest pause: what the users say of theirs."""
+"""Callers abandon a stream after a silence of the longest of: this minimum in
+seconds, AIMS times the route's latency objective, and GAPS times its longest
+pause between events. The values follow what users state about their callers."""
 UNBOUNDED = 1 << 30
 START_PART = 0.7
-"""Part of a caller's patience in which its call has to start; the rest is for
-the prompt to be read, or for the work of a plain service."""
+"""Fraction of the caller's waiting time within which its call has to start. The
+rest is left for prefill, or for the work of a plain service."""
 FULL_RETRY_S = 0.5
-"""Another host is likely to have room at once; this one has when a call ends."""
+"""Retry-After of a host whose threads are all busy. Another host probably has a
+free thread at once; this one has when a call ends."""
 STOPPING_RETRY_S = 0.1
-"""Another host can take the call at once."""
+"""Retry-After of a host that is stopping; other hosts can take the call at once."""
 NO_WORKSPACE = RoutedWorkspace(WorkspaceName(""))
 NO_SERVICE = RoutedService(ServiceName(""))
 
 
 @dataclass(frozen=True)
 class InForce:
-    """A document with its routes sorted for look-ups."""
+    """A routing document with its routes indexed for look-up."""
 
     document: Document
     routes: RouteTable
 
 
 def put_in_force(document: Document) -> InForce:
-    """Return ``document`` ready for use."""
+    """Return ``document`` with its routes indexed for look-up."""
     return InForce(document, RouteTable(document.routes))
 
 
 class RoutedApp(CountedApp):
-    """Serves callers by the routes of the document in force.
+    """Serves callers by the routes of the active document.
 
     Parameters
     ----------
     form : HeaderForm
-        Names of headers on this platform.
+        Reads and writes the headers of this platform.
     passer : Passer
-        Sends calls on.
+        Dispatches calls to targets.
     currency : Currency
-        How long the document may be used.
+        Tells whether the document may still be used.
+    clock : Clock
+        Time source.
+    metrics : Metrics
+        Counts the refused calls.
     most_calls : int
-        Calls that may be open at once; some threads beyond them refuse the rest.
+        Limit on open calls. A few threads beyond it refuse the remaining calls.
     gate : AdmissionGate or None
-        Which calls are worth asking an allocator for; None for all.
+        Refuses calls before an allocator is asked; None admits all.
 
     Attributes
     ----------
     in_force : InForce
-        Replaced as a whole.
+        The active document, always replaced as a whole.
     refusing : bool
-        Whether new calls are turned away, since the host is about to stop.
+        Whether new calls are refused because the host is about to stop.
     """
 
     def __init__(
@@ -125,7 +131,7 @@
         self.refusing = False
 
     def answer(self, environ: Mapping, start_response) -> Iterable[bytes]:
-        """Answer one request, or say why not."""
+        """Answer one request, or refuse it with the reason."""
         headers = read_headers(environ)
         facts = self.form.read_call(headers)
         try:
@@ -133,7 +139,9 @@
         except CallRefused as error:
             return self.turn_away(error, facts, start_response)
         except Exception:
-            log.exception("A call can't be read", extra={"request": facts.attempt})
+            log.exception(
+                "A call could not be parsed", extra={"request": facts.attempt}
+            )
             return answer_problem(start_response, internal_fault())
         gone = environ.get("waitress.client_disconnected", lambda: False)
         return self.passer.serve(call, gone, start_response)
@@ -161,14 +169,16 @@
         Raises
         ------
         CallRefused
-            No route, no key, or nothing known that could tell.
+            No route matches, the key is not valid, the body is too large, the
+            call is not admitted, its answers were lost before, the host is
+            stopping or at its limit, or the document is missing or too old.
         """
         in_force = self.in_force
         document = in_force.document
         if self.refusing:
             raise _refused(Reason.STOPPING, "This host is stopping.", STOPPING_RETRY_S)
-        # Without a thread left a call would wait unread, and its caller would
-        # be told nothing until its time is up.
+        # With all threads busy, a call would wait in the socket's queue, and its
+        # caller would get no answer until its deadline.
         if self.open_calls > self.most_calls:
             raise _refused(Reason.SHED, "This host is full.", FULL_RETRY_S)
         if document.version < 0:
@@ -179,7 +189,7 @@
         )
         current = self.currency.holds(self.clock.boottime())
         if route is None:
-            # An older document may lack a route that is there by now.
+            # An outdated document may lack a route that has been added since.
             self.need_current(current)
             raise _refused(Reason.UNKNOWN_PATH, "No route leads there.")
         workspace = self.find_workspace(document, route, facts, current)
@@ -204,7 +214,13 @@
         )
 
     def need_open(self, flow: Flow, facts: CallFacts) -> None:
-        """Refuse a call that the allocator would hardly serve."""
+        """Refuse a call that the allocator would probably not serve.
+
+        Raises
+        ------
+        CallRefused
+            The admission gate refuses the call.
+        """
         now = self.clock.monotonic()
         name = RequestId(facts.attempt)
         refusal = self.gate.refusal(flow, name, random.random(), now)
@@ -212,7 +228,13 @@
             raise CallRefused(refusal)
 
     def need_current(self, current: bool) -> None:
-        """Refuse what can't be told from a document that is too old."""
+        """Refuse a call that can't be decided with an outdated document.
+
+        Raises
+        ------
+        CallRefused
+            The document is not known to be the newest.
+        """
         if not current:
             text = "The document in force is not known to be the newest."
             raise _refused(Reason.NO_CONFIG, text, UNKNOWN_RETRY_S)
@@ -220,10 +242,15 @@
     def find_workspace(
         self, document: Document, route: Route, facts: CallFacts, current: bool
     ) -> RoutedWorkspace:
-        """Return whose key a call bears.
+        """Return the workspace that the call's bearer key belongs to.
+
+        A key may have been revoked since the document was last confirmed to be
+        the newest, so no key is accepted once that is too long ago.
 
-        A key may have been taken away since the document was last proved to
-        be the newest; beyond a bound it is believed no more.
+        Raises
+        ------
+        CallRefused
+            The key is missing or unknown, or the document is too old.
         """
         if route.public or not document.keyed:
             return NO_WORKSPACE
@@ -245,7 +272,7 @@
         body: bytes,
         digest: BodyDigest,
     ) -> RoutedCall:
-        """Return a call with its row."""
+        """Return the call with its row for the scheduler's table."""
         now = self.clock.monotonic()
         wait_s = min(facts.wait_s or route.timeout_s, route.timeout_s)
         known = self.in_force.document.services.get(service, NO_SERVICE)
@@ -284,18 +311,21 @@
 
 
 def rank_of(workspace: RoutedWorkspace, route: Route) -> int:
-    """Return the rank: the route's, put back by the workspace's.
+    """Return the rank of a call; lower ranks are served first.
 
-    On one route a workspace of a higher rank goes first. Ordered by workspace
-    alone, the longest letters of one wait behind the least of another's requests.
+    The route's rank counts most. Between calls with the same route rank, the
+    workspace with the lower rank goes first. If the workspace's rank alone counted,
+    the longest requests of one workspace would wait behind the least important
+    requests of another.
     """
     return ROUTE_STEP * route.rank + (workspace.rank or 0)
 
 
 def start_within_s(route: Route, wait_s: float) -> float:
-    """Return the seconds in which a call has to start to be of use.
+    """Return the seconds within which a call has to start to be useful.
 
-    A caller leaves a stream after a silence, before its first event too.
+    The caller of a stream disconnects after a long silence, which also applies
+    before the first event.
     """
     if route.repeat is Repeat.STREAM:
         silence_s = max(LEAST_SILENCE_S, AIMS * route.aim_s, GAPS * route.gap_s)
@@ -304,21 +334,22 @@
 
 
 def may_repeat(route: Route) -> bool:
-    """Return whether a request may run more than once."""
+    """Return whether a request of this route may run more than once."""
     return route.repeat is Repeat.IDEMPOTENT or route.resumable
 
 
 def shared_start(parts: Sequence[PromptPart]) -> str:
-    """Return by what the start of a prompt is known that others have too.
+    """Return the name of the last prompt part that other requests may share.
 
-    The last part belongs to the request alone. A target that keeps the part before
-    it keeps all before that one as well.
+    The last part is unique to the request, so this is the one before it; empty if
+    there is none. A target that has this part in its prefix cache also has all
+    parts before it.
     """
     return parts[-2].name if len(parts) > 1 else ""
 
 
 def charge_of(facts: CallFacts, quota: TokenQuota) -> int:
-    """Return the tokens that a request counts for in its workspace's quota."""
+    """Return the tokens that a request is charged to its workspace's quota."""
     return facts.prompt_tokens + facts.output_tokens or quota.plain_tokens
 
 
@@ -340,7 +371,7 @@
     Raises
     ------
     CallRefused
-        It has more than ``most`` bytes.
+        The body has more than ``most`` bytes.
     """
     length = int(environ.get("CONTENT_LENGTH") or 0)
     if length > most:
@@ -355,19 +386,19 @@
 
 
 class ReadinessApp:
-    """Tells the balancer whether to send callers here.
+    """Answers the readiness probes of the load balancer.
 
     Parameters
     ----------
     ready : callable
-        Asked at each look.
+        Returns whether the host is ready; called at each probe.
     """
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self.ready = ready
 
     def __call__(self, environ: Mapping, start_response) -> list[bytes]:
-        """Answer one look (WSGI)."""
+        """Answer one probe (WSGI)."""
         status = "200 OK" if self.ready() else "503 Service Unavailable"
         start_response(status, [("Content-Length", "0")])
         return []
--- a/godwitladder/routing/calls.py
+++ b/godwitladder/routing/calls.py
@@ -1,7 +1,7 @@
-"""Routed calls: what headers say of them, and what is kept while they run.
+"""Routed calls: the data in their headers, and their state while they run.
 
-The names of headers belong to whatever platform the host runs on; an adapter
-implements `HeaderForm`.
+The names of headers depend on the platform that the host runs on; the platform's
+adapter implements `HeaderForm`.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -17,7 +17,17 @@
 
 @dataclass(frozen=True)
 class PromptPart:
-    """One part of a prompt, in order; requests share parts by name."""
+    """One part of a prompt.
+
+    Parts with the same name have the same text in all requests.
+
+    Attributes
+    ----------
+    name : str
+        Identifies the text of the part.
+    tokens : int
+        Length of the part in tokens.
+    """
 
     name: str
     tokens: int
@@ -25,20 +35,26 @@
 
 @dataclass(frozen=True)
 class CallFacts:
-    """What a caller's headers say.
+    """Data from the headers of a caller's request.
 
     Attributes
     ----------
     attempt : str
-        Id of this attempt of the caller's; empty if none was sent.
+        The caller's id of this attempt; empty if not sent.
     wait_s : float or None
-        Seconds that the caller will wait.
+        Seconds that the caller will wait; None if not sent.
     key : str
-        The bearer key; empty if none was sent.
+        Bearer key; empty if not sent.
+    prompt_tokens : int
+        Tokens of the prompt; 0 if not sent.
     output_tokens, output_hint : int
-        Most output tokens, and the caller's guess of them; 0 if not sent.
+        Maximum of output tokens, and the caller's estimate of their number;
+        0 if not sent.
+    parts : tuple of PromptPart
+        Parts of the prompt, in order; empty if not sent.
     last_event : str
-        Id of the last event that the caller has of a stream.
+        Id of the last event of a stream that the caller received; empty if not
+        sent.
     """
 
     attempt: str = ""
@@ -53,14 +69,19 @@
 
 @dataclass(frozen=True)
 class SendFacts:
-    """What the system tells a target with a call.
+    """Data that is added to the headers of a call sent to a target.
 
     Attributes
     ----------
     left_s : float
-        Seconds after which the answer is of no use.
+        Seconds until the answer is no longer useful.
+    target : str
+        Name of the target that the call is meant for.
+    workspace : str
+        Workspace of the caller; empty if the call needed no key.
     last_event : str
-        Where to resume a stream; empty for what the caller sent.
+        Id of the event after which to resume a stream; empty to pass on the
+        caller's own value.
     """
 
     left_s: float
@@ -71,16 +92,16 @@
 
 @dataclass(frozen=True)
 class AnswerFacts:
-    """What the headers of a target's answer say.
+    """Data from the headers of a target's answer.
 
     Attributes
     ----------
     attempt : str
-        Id of the request that it answers.
+        Id of the attempt that it answers.
     signature : str
-        The target's mark under its answer.
+        The target's signature of the answer.
     not_run : bool
-        Whether the target says that it did not run the request.
+        Whether the target states that it did not run the request.
     """
 
     attempt: str
@@ -89,36 +110,38 @@
 
 
 class HeaderForm(Protocol):
-    """The names under which a platform's headers carry all this."""
+    """Reads and writes the headers of a platform."""
 
     def read_call(self, headers: Headers) -> CallFacts:
-        """Return what a caller's headers say."""
+        """Return the data in a caller's headers."""
 
     def for_target(self, headers: Headers, send: SendFacts) -> list[tuple[str, str]]:
         """Return the headers to send to a target."""
 
     def read_answer(self, headers: Mapping[str, str]) -> AnswerFacts:
-        """Return what a target's headers say."""
+        """Return the data in a target's headers."""
 
     def for_caller(self, headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-        """Return the headers to answer a caller with."""
+        """Return the headers of the answer to a caller."""
 
 
 @dataclass(frozen=True)
 class RoutedCall:
-    """One caller's request on its way through a host.
+    """One caller's request while a host serves it.
 
     Attributes
     ----------
     row : RequestRow
         Its row in the scheduler's table.
     path : str
-        Path and query as they came.
+        Path and query string as received.
     until : float
-        Monotonic time of the final answer: the route's timeout or the end of
-        the caller's patience.
+        Monotonic time in seconds by which the answer must be complete: the end
+        of the route's timeout or of the caller's waiting time.
     event_tokens : int
         Output tokens in one event of a stream.
+    on_end : callable
+        Called with the final state of the request.
     """
 
     row: RequestRow
--- a/godwitladder/routing/currency.py
+++ b/godwitladder/routing/currency.py
@@ -1,43 +1,47 @@
-"""How long a document may be used: as long as it is known to be the newest.
+"""How long a routing document may be used after it was confirmed as the newest.
 
-Pure: times are handed in, from a clock that counts suspension.
+Without this limit, a host that can't reach the store would go on admitting
+callers whose keys were revoked. A document is confirmed as of the *start* of a
+read that found nothing newer, because that read would have shown any key revoked
+before it. Past the limit, a request that needs a key is refused before any of it
+runs.
 
-Without this bound a host that has lost its way to the store would go on
-letting in callers whose keys were taken away. A proof is the *start* of a read
-that found nothing newer: a key that was taken away before it would have been
-seen. Past the bound a keyed request is refused, before anything of it runs.
+The functions read no clock: their callers pass times of a clock that keeps
+counting while the machine is suspended.
 """
 
 from dataclasses import dataclass
 
 MARGIN_S = 1.0
-"""Left between the last use of a key and the bound: a request is sent on within
-it after the check, and clocks of two hosts run apart by far less."""
+"""Seconds between the last use of a key and the limit. It covers the time from
+the check to the dispatch of the request, and the drift between the clocks of two
+hosts, which is far smaller."""
 
 
 @dataclass
 class Currency:
-    """When the document in force was last proved to be the newest.
+    """Tracks when the active document was last confirmed to be the newest.
 
     Parameters
     ----------
     bound_s : float
-        Seconds after which a key that was taken away may not be used.
+        Seconds after which a revoked key must no longer be accepted.
     proved : float
-        Start of the read, by this host's clock.
+        Start of the last read that confirmed the document, in seconds of this
+        host's clock.
     """
 
     bound_s: float
     proved: float = float("-inf")
 
     def prove(self, at: float) -> None:
-        """Take in a proof; an older one changes nothing."""
+        """Record a confirmation at time ``at``; an older one has no effect."""
         self.proved = max(self.proved, at)
 
     def age_s(self, now: float) -> float:
-        """Return the seconds since the document was proved."""
+        """Return the seconds since the document was last confirmed."""
         return now - self.proved
 
     def holds(self, now: float) -> bool:
-        """Return whether keys may be believed now."""
+        """Return whether keys may still be accepted at time ``now``."""
         return self.age_s(now) <= self.bound_s - MARGIN_S
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -1,4 +1,4 @@
-"""One host that serves routed calls: wires the parts together and runs."""
+"""A host that serves routed calls: connects its components and runs them."""
 
 import os
 import random
@@ -57,33 +57,34 @@
 IDLE_TICK_S = 0.25
 FIRST_LOOK_S = 1.0
 PEER_DISCOVERY_TIMEOUT_S = 3.0
-"""A host that found no other in this time serves alone."""
+"""A host that has found no peer after this time serves alone."""
 NOTICE_S = 2.5
-"""The balancer takes a host out after two looks, one a second."""
+"""Seconds for the load balancer to notice that this host is leaving: it probes
+once a second and removes a host after two failed probes."""
 LAST_S = 0.5
-"""Left of the grace period for the end of the process."""
+"""Seconds of the grace period that are reserved for the exit of the process."""
 SMALL_THREADS = 2
 SHOWN_HOSTS = 12
-"""Allocators that a log line names."""
+"""Limit on the allocators listed in a log line."""
 CRITICAL_THREADS = frozenset({"feed", "ticker", "http", "watch", "peers"})
 FAILURE_EXIT_CODE = 70
 
 
 class RoutingHost(BaseHost):
-    """All parts of one host, owned by one exit stack.
+    """All components of one host, owned by one exit stack.
 
     Parameters
     ----------
     path : Path
-        The settings file, read again on SIGHUP.
+        The settings file, reloaded on SIGHUP.
     settings : RoutedSettings
-        What it holds now.
+        The settings read from it.
     source : Source
         The platform's store.
     form : HeaderForm
-        The platform's names of headers.
+        Reads and writes the headers of the platform.
     clock : Clock
-        Handed to every part that needs the time.
+        Time source of all components.
     """
 
     def __init__(
@@ -102,8 +103,8 @@
         self.metrics = Metrics()
         self.started = clock.monotonic()
         self.incarnation = Incarnation(int(clock.wall() * 1000))
-        # One queue for the whole region: targets of several zones in one pool
-        # keep a letter from waiting in one zone beside idle ones in the next.
+        # One queue and one pool for the whole region: with a pool per availability
+        # zone, requests would wait in one zone while another has idle targets.
         self.span = Zone(settings.region)
         self.hosts: tuple[HostId, ...] = (settings.host,)
         self.hubs: frozenset[HostId] = frozenset()
@@ -192,23 +193,24 @@
         self.caller_server: TcpWSGIServer | None = None
 
     def ask_peer(self, wanted: FeedWanted) -> bool:
-        """Ask one of the peers; return False if there is none."""
+        """Send ``wanted`` to a random peer; return False if there is no peer."""
         links = self.mesh.current()
         return bool(links) and random.choice(links).send(encode(wanted))
 
     def tell_newcomer(self, link: Link, wanted: FeedWanted) -> None:
-        """Tell a host that has just started what this one knows of the store."""
+        """Send this host's copy of the store's data to a host that has just started."""
         self.feed.answer(lambda news: link.send(encode(news)))
 
     def link_up(self, link: Link) -> None:
-        """Tell the membership of a new link; ask at once what this host lacks."""
+        """Report a new link to the membership, and ask the peer for missing data."""
         self.membership.tell(LinkUp(link))
         self.feed.ask_peer(lambda wanted: link.send(encode(wanted)))
 
     def take_loss(self, link: Link, news: AnswerLost) -> None:
-        """Take in a lost answer, and pass it on to hosts that can't have it yet.
+        """Record a lost answer, and forward it to hosts that have not received it.
 
-        The host that lost it has links to hubs alone; one of them tells the rest.
+        The host that lost the answer is linked to the hubs only. The hub that is
+        that host's publisher forwards the message to the hosts that are no hubs.
         """
         self.losses.take(news)
         hubs = self.hubs
@@ -232,7 +234,7 @@
         )
 
     def make_passer(self, form: HeaderForm) -> Passer:
-        """Return what sends calls on."""
+        """Return the dispatcher of calls."""
         bounds = self.settings.bounds
         budget = RetryBudget(
             RetryLimits(
@@ -251,7 +253,7 @@
         )
 
     def start(self) -> None:
-        """Start every part."""
+        """Start all components."""
         settings = self.settings
         self.mesh.start()
         self.stack.callback(self.mesh.close)
@@ -272,7 +274,7 @@
         )
 
     def ready(self) -> bool:
-        """Return whether callers should be sent here."""
+        """Return whether the load balancer should send callers to this host."""
         known = self.app.in_force.document.version >= 0
         current = self.currency.holds(self.clock.boottime())
         return (
@@ -283,24 +285,24 @@
         )
 
     def peer_discovery_done(self) -> bool:
-        """Return whether a peer was found, or none can be.
+        """Return whether a peer was found or the search has timed out.
 
-        A host that knows no peer takes itself for the allocator of its region;
-        with callers sent to it, targets would get twice their slots.
+        A host that knows no peer acts as the allocator of its region. If callers
+        reached it beside the real allocator, targets would be given twice as many
+        calls as they have slots.
         """
         waited_s = self.clock.monotonic() - self.started
         return bool(self.mesh.current()) or waited_s > PEER_DISCOVERY_TIMEOUT_S
 
     def drain(self) -> None:
-        """Let the balancer see that this host goes, and finish what is in flight.
+        """Report this host as not ready to the load balancer, and finish open calls.
 
-        The balancer looks once a second and needs two misses. Until then new
-        connections come, and calls on them are served; those that come later
-        are turned away, which leaves the rest of the grace period to the ones
-        in flight.
+        The load balancer probes once a second and removes a host after two failed
+        probes. Until then, calls on new connections are still served. Later calls
+        are refused, which leaves the rest of the grace period to the open calls.
         """
         began = self.clock.monotonic()
-        log.info("The host is leaving", extra={"open_calls": self.app.open_calls})
+        log.info("The host is draining", extra={"open_calls": self.app.open_calls})
         self.membership.ask(Leave())
         self.host_list.leave()
         self.caller_server.closing = True
@@ -316,31 +318,34 @@
         return self.app.open_calls > 0 or count_unfinished(self.caller_server) > 0
 
     def reload(self) -> None:
-        """Read the settings file again; what can change without a start does."""
+        """Reload the settings file, and apply what can change without a restart."""
         self.file_text = read_text(self.path)
         try:
             settings = read_routed_settings(self.path)
         except InvalidInput as error:
-            log.warning("New settings are refused", extra={"error": str(error)})
+            log.warning(
+                "The settings file is invalid; the previous settings stay",
+                extra={"error": str(error)},
+            )
             return
         self.mesh.seeds = frozenset(settings.peers.seeds) - {self.mesh.address}
         self.currency.bound_s = settings.bounds.revoke_s
         self.settings = settings
-        log.info("Settings were read again", extra={"host": settings.host})
+        log.info("The settings were reloaded", extra={"host": settings.host})
 
     def reload_if_changed(self) -> None:
-        """Read the settings again if the file holds something else than before.
+        """Reload the settings if the content of the file has changed.
 
-        Whoever writes the file may leave out the signal.
+        The file may be changed without a SIGHUP.
         """
         text = read_text(self.path)
         if text and text != self.file_text:
             self.reload()
 
     def publish_view(self, view: StoreView) -> None:
-        """Put what the store says now in force on this host."""
+        """Apply the current state of the store on this host."""
         state = state_of(view, self.span)
-        # Targets first: a call on a new route may come as soon as it is there.
+        # Targets first: calls on a new route may arrive as soon as it is active.
         self.scheduler.tell(NewConfig(state))
         self.allocator.tell(NewConfig(state))
         if view.document is not self.app.in_force.document:
@@ -348,7 +353,7 @@
         self.metrics.config_offset.set({}, view.document.version)
 
     def publish_members(self, message: HostsChanged | TargetsLeaving) -> None:
-        """Tell those that hand out and use targets about hosts that changed."""
+        """Report a membership change to the scheduler and the allocator."""
         self.scheduler.tell(message)
         self.allocator.tell(message)
         if isinstance(message, HostsChanged):
@@ -363,11 +368,11 @@
                 "gone": sorted(gone),
                 "allocators": list(message.allocators[:SHOWN_HOSTS]),
             }
-            log.info("Live hosts have changed", extra=extra)
+            log.info("The set of live hosts has changed", extra=extra)
 
     def poll_host_list(self) -> None:
-        """Do this host's part in the list of hosts, and see if settings changed."""
-        # Peers are mostly found by the seeds in this time.
+        """Maintain this host's entry in the host list, and reload changed settings."""
+        # Most peers are found through the seeds within this time.
         period_s = FIRST_LOOK_S
         while not self.clock.wait(self.stopping, period_s):
             linked = bool(self.mesh.current())
@@ -376,11 +381,11 @@
 
 
 def read_text(path: Path) -> str:
-    """Return what ``path`` holds; nothing while it can't be read."""
+    """Return the content of ``path``; empty if it can't be read."""
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        log.warning("The settings can't be read", extra={"error": str(error)})
+        log.warning("The settings file could not be read", extra={"error": str(error)})
         return ""
 
 
@@ -390,12 +395,12 @@
     make_source: Callable[[RoutedSettings], Source],
     form: HeaderForm,
 ) -> None:
-    """Run one host until SIGTERM or SIGINT, then stop as planned."""
+    """Run one host until SIGTERM or SIGINT, then drain and exit."""
     host = RoutingHost(path, settings, make_source(settings), form, Clock())
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: host.stop())
     signal.signal(signal.SIGHUP, lambda *_: host.reload())
     watch_threads(CRITICAL_THREADS, host.fail)
     host.run()
-    # Threads of calls may still run; nothing that they could do counts now.
+    # Threads of calls may still run; their results are no longer needed.
     os._exit(FAILURE_EXIT_CODE if host.failed else 0)
--- a/godwitladder/routing/matching.py
+++ b/godwitladder/routing/matching.py
@@ -1,7 +1,7 @@
-"""Finds the route of a request: its host, then the longest prefix of its path.
+"""Finds the route of a request by its host and the longest prefix of its path.
 
-Pure, and built once for each document: with hundreds of routes a scan for
-each request would cost more than all the rest of its way through a host.
+The index is built once per document: with hundreds of routes, a linear scan for
+each request would cost more than all other work of a host for the request.
 """
 
 from collections.abc import Iterable
@@ -24,7 +24,7 @@
             self.by_host.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route whose prefix is the longest that begins ``path``."""
+        """Return the route of ``host`` with the longest prefix of ``path``, or None."""
         prefixes = self.by_host.get(host)
         if not prefixes:
             return None
@@ -38,7 +38,13 @@
 
 
 def choose_split(splits: tuple[Split, ...], draw: float) -> Split:
-    """Return the split that ``draw``, from 0 up to 1, falls into by weight."""
+    """Return the split that ``draw`` selects by weight.
+
+    Parameters
+    ----------
+    draw : float
+        Random number in [0, 1).
+    """
     left = draw * sum(split.weight for split in splits)
     for split in splits:
         left -= split.weight
@@ -48,6 +54,6 @@
 
 
 def host_of(header: str) -> str:
-    """Return the host of a Host header in lower case, without its port."""
+    """Return the host name in a Host header, in lower case and without the port."""
     name, colon, port = header.rpartition(":")
     return (name if colon and port.isdigit() else header).lower()
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -1,7 +1,7 @@
-"""A whole routing document: routes, services, workspaces and bounds.
+"""The routing document: routes, services, workspaces and limits on callers.
 
-An operator writes documents, each with a version above the last one's. A
-document replaces the one before it as a whole.
+Operators write documents with increasing versions. Each document replaces the
+previous one as a whole.
 """
 
 import enum
@@ -12,7 +12,7 @@
 
 
 class Repeat(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """The kind of a route's requests, which decides whether they may be retried."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -29,29 +29,31 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Where requests with one host and path prefix go.
+    """The route of requests with one host and path prefix.
 
     Attributes
     ----------
     host, prefix : str
         Host in lower case; the prefix begins and ends with a slash.
+    repeat : Repeat
+        Kind of the requests.
     splits : tuple of Split
-        At least one.
+        Services that share the requests; at least one.
     timeout_s : float
-        Longest time a caller is kept waiting, in seconds.
+        Maximum time in seconds that a caller is kept waiting.
     aim_s : float
-        Seconds to the answer, or to a stream's first event, that count as
-        in time.
+        Latency objective: seconds to the answer, or to the first event of a
+        stream; 0 for none.
     gap_s : float
-        Longest pause between events that counts as in time; 0 for none.
+        Latency objective between two events of a stream, in seconds; 0 for none.
     max_sends : int
-        Targets that one request may be sent to.
+        Maximum number of targets that one request may be sent to.
     rank : int
-        0 matters most.
+        Rank of the requests; 0 is the most important.
     public : bool
         Whether requests need no key.
     resumable : bool
-        Whether a stream may go on at another target.
+        Whether a stream may be resumed at another target.
     """
 
     name: RouteName
@@ -70,14 +72,14 @@
 
 @dataclass(frozen=True)
 class RoutedService:
-    """A service that routes lead to.
+    """A service that routes refer to.
 
     Attributes
     ----------
     slots : int
-        Requests that a target runs at once; 0 where the target tells.
+        Requests that a target runs at once; 0 if the target itself states it.
     memory_tokens : int
-        Tokens that fit a model engine's memory; 0 for a plain service.
+        KV cache capacity of a model engine, in tokens; 0 for a plain service.
     event_tokens : int
         Output tokens in one event of a stream.
     """
@@ -90,16 +92,16 @@
 
 @dataclass(frozen=True)
 class TokenQuota:
-    """Tokens a workspace may have run, over all hosts.
+    """Token quota of a workspace, over all hosts.
 
     Attributes
     ----------
     rate : float
-        Tokens a second; 0 for no bound.
+        Tokens per second; 0 for no limit.
     burst : float
-        Tokens beyond the rate at once.
+        Tokens that may be used at once beyond the rate.
     plain_tokens : int
-        What a request counts for that states no tokens.
+        Tokens charged for a request that states no token counts.
     """
 
     rate: float = 0.0
@@ -114,7 +116,7 @@
     Attributes
     ----------
     rank : int or None
-        Goes before the route's rank; None where the route's alone counts.
+        Added to the weighted rank of the route; None counts as 0.
     """
 
     name: WorkspaceName
@@ -125,7 +127,15 @@
 
 @dataclass(frozen=True)
 class CallerBounds:
-    """What a caller may send: bytes, and idle seconds of a connection."""
+    """Limits on callers.
+
+    Attributes
+    ----------
+    header_bytes, body_bytes : int
+        Maximum size of the headers and of the body of a request.
+    idle_s : float
+        Seconds after which an idle connection is closed.
+    """
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -134,12 +144,14 @@
 
 @dataclass(frozen=True)
 class Document:
-    """Everything in force at one version.
+    """A routing document at one version.
 
     Attributes
     ----------
+    version : int
+        Version of the document; -1 if none is known yet.
     workspace_of : dict
-        Workspace for each digest of a key.
+        Maps the digest of each key to its workspace.
     """
 
     version: int = -1
@@ -157,5 +169,5 @@
 
     @property
     def keyed(self) -> bool:
-        """Return whether requests need a key at all."""
+        """Return whether any requests need a key."""
         return bool(self.workspaces)
--- a/godwitladder/routing/settings.py
+++ b/godwitladder/routing/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a host that serves routed calls, read from TOML."""
+"""Settings of a host that serves routed calls, read from a TOML file."""
 
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class RoutedListen:
-    """The listeners of a host, each ``address:port``."""
+    """Addresses that a host listens on, each ``address:port``."""
 
     callers: str = checked(ip_port)
     readiness: str = checked(ip_port)
@@ -29,25 +29,26 @@
 
 @dataclass(frozen=True)
 class StoreSettings:
-    """Where the platform's store is."""
+    """Address of the platform's store."""
 
     address: str = checked(ip_port)
 
 
 @dataclass(frozen=True)
 class RoutedPeers:
-    """How hosts find each other.
+    """Settings of the connections between hosts.
 
     Attributes
     ----------
     secret : str
-        Shared by all hosts.
+        Secret shared by all hosts.
     seeds : tuple of str
-        Peer addresses to try first; some may be gone.
+        Peer addresses to try first; some may no longer be reachable.
     heartbeat_s, timeout_s : float
-        Period of heartbeats, and silence after which a peer counts as gone: six
-        periods, as the longest gap that was seen between two was 4.6. Callers
-        of a zone that is cut off from its allocator wait for so long.
+        Heartbeat interval, and the silence after which a peer counts as failed,
+        in seconds. The default timeout is six intervals, because gaps of up to
+        4.6 intervals occur between heartbeats. Callers of an availability zone
+        that is cut off from its allocator wait for this time.
     """
 
     secret: str = checked(not_empty)
@@ -58,20 +59,20 @@
 
 @dataclass(frozen=True)
 class BoundSettings:
-    """What operators are promised; seconds, tokens and parts.
+    """Limits that operators rely on.
 
     Attributes
     ----------
     revoke_s : float
-        After which a key that was taken away is used by no host.
+        Seconds after which no host accepts a revoked key.
     grace_s : float
-        Between the request to stop and the end of the process.
+        Seconds between the stop signal and the exit of the process.
     repeat_ratio, repeat_slack, repeat_window_s : float
-        Repeats that all hosts may make in a window: a part of the requests of
-        a service, and a number beside that.
+        Retry budget of all hosts together in a window of so many seconds: a
+        fraction of a service's requests, plus a fixed number of retries.
     quota_window_s, quota_slack : float
-        Window in which a workspace's tokens are counted, and tokens beyond
-        the quota that it may hold.
+        Window in seconds in which a workspace's tokens are counted, and the
+        tokens that it may use beyond its quota.
     """
 
     revoke_s: float = checked(positive, default=5.0)
@@ -85,14 +86,14 @@
 
 @dataclass(frozen=True)
 class ProcessorSettings:
-    """How much processor the host has.
+    """Processor capacity of the host.
 
     Attributes
     ----------
     share : float
-        Part of a core.
+        Number of cores, which may be a fraction.
     speed : float
-        How fast that core is, against one of usual speed.
+        Speed of a core relative to a reference core.
     """
 
     share: float = checked(positive, default=1.0)
@@ -100,21 +101,21 @@
 
     @property
     def cores(self) -> float:
-        """Processor in cores of usual speed."""
+        """Processor capacity in reference cores."""
         return self.share * self.speed
 
 
 @dataclass(frozen=True)
 class RoutedSettings:
-    """Everything a host that serves routed calls is told at its start.
+    """All settings of a host that serves routed calls.
 
     Attributes
     ----------
     region : str
-        Hosts of one region share their view of the targets in it.
+        Region of the host. The hosts of a region share their view of its targets.
     first_start : bool
-        Whether the whole system starts for the first time: no caller waits yet,
-        and the host may take its time to spare calls of the store.
+        Whether the whole system starts for the first time. No caller is waiting
+        then, so the host may start more slowly to save calls to the store.
     """
 
     host: HostId = checked(not_empty)
@@ -135,7 +136,7 @@
     Raises
     ------
     InvalidInput
-        With every finding in the file.
+        The file is invalid; the error lists every finding.
     """
     findings = Findings()
     raw = read_toml_file(path, findings)
--- a/godwitladder/routing/state.py
+++ b/godwitladder/routing/state.py
@@ -1,7 +1,4 @@
-"""The scheduler's view of a document and the targets.
-
-Pure: what the store says goes in, the objects that the scheduler knows come out.
-"""
+"""Converts the routing document and the targets to the scheduler's configuration."""
 
 from godwitladder.configuration.model import (
     Service,
@@ -20,13 +17,14 @@
 TIER = TierName("all")
 PREFILL_TPS = 60_000.0
 DECODE_TPS = 250.0
-"""Speeds expected of a model engine that nobody has seen at work yet: of the
-order that engines of the users' generation show. Learned ones replace them."""
+"""Initial prefill and decode speeds of a model engine, in tokens per second.
+They have the order of magnitude of current engines, and learned speeds replace
+them."""
 NO_SERVICE = RoutedService("")
 
 
 def state_of(view: StoreView, span: Zone) -> ConfigState:
-    """Return the scheduler's configuration; all targets are in ``span``."""
+    """Return the scheduler's configuration, with all targets in ``span``."""
     document = view.document
     return ConfigState(
         offset=Offset(view.version),
@@ -58,7 +56,7 @@
     Parameters
     ----------
     unproved : bool
-        Whether it takes no calls, since its version is not proved.
+        Whether the target gets no calls because its version is not proved yet.
     """
     service = document.services.get(entry.service, NO_SERVICE)
     return Target(
@@ -76,7 +74,7 @@
 
 
 def state_of_target(entry: TargetEntry, unproved: bool) -> TargetState:
-    """Return whether a target takes new work."""
+    """Return the state of a target, which decides whether it gets new calls."""
     if entry.leaving:
         return TargetState.LEAVING
     return TargetState.UNPROVED if unproved else TargetState.ACTIVE
--- a/godwitladder/routing/status.py
+++ b/godwitladder/routing/status.py
@@ -1,16 +1,16 @@
-"""What operators read from a host that serves routed calls."""
+"""The operators' endpoint for the metrics and status of a host."""
 
 import json
 from collections.abc import Mapping
 
 
 class StatusApp:
-    """Serves ``/metrics`` and ``/v1/status``; tells no caller's data.
+    """Serves ``/metrics`` and ``/v1/status``, which contain no caller's data.
 
     Parameters
     ----------
     host : RoutingHost
-        Whose state to tell.
+        The host to report on.
     """
 
     def __init__(self, host) -> None:
@@ -32,7 +32,7 @@
         return []
 
     def status(self) -> dict:
-        """Return what this host knows."""
+        """Return the status of this host as a JSON-serializable dict."""
         host = self.host
         return {
             "host": host.settings.host,
--- a/tests/routing/test_full.py
+++ b/tests/routing/test_full.py
@@ -1,4 +1,4 @@
-"""A host whose threads all serve calls."""
+"""Calls to a host whose threads are all busy."""
 
 import json
 
@@ -10,10 +10,11 @@
 
 
 def test_a_call_beyond_the_threads_is_refused_at_once_and_truly():
-    """More callers are being served than the host may have threads for.
+    """Guards against a call that waits without an answer while all threads are busy.
 
-    The next one is told at once that nothing ran and when to come back, and
-    doesn't count as served; one that comes when there is room again is read.
+    The call must be refused at once, with an outcome that says that it did not run
+    and with a Retry-After, and must not be counted as open. After another call has
+    ended, the next one must be parsed.
     """
     app = RoutedApp(
         PlatformHeaders(), None, Currency(5.0), ManualClock(), Metrics(), most_calls=2
@@ -30,7 +31,7 @@
 
 
 def ask(app):
-    """Return status, headers and body of the answer to one call."""
+    """Return the status, headers and body of the answer to one call."""
     heads = []
     environ = {"REQUEST_METHOD": "POST", "PATH_INFO": "/a/x", "HTTP_HOST": "h"}
     answer = app(environ, lambda status, headers: heads.append((status, headers)))
--- a/tests/routing/test_reload.py
+++ b/tests/routing/test_reload.py
@@ -1,4 +1,4 @@
-"""A settings file that changes while the host runs."""
+"""Changes of the settings file while the host runs."""
 
 from functools import partial
 from types import SimpleNamespace
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def host(tmp_path):
-    """Return what a host has of its settings, without its other parts."""
+    """Return a stub of a host with only the attributes that hold settings."""
     path = tmp_path / "host.toml"
     path.write_text(TEXT.format(revoke_s=5))
     host = SimpleNamespace(
@@ -41,10 +41,11 @@
 
 
 def test_a_changed_file_is_read_without_a_signal(host):
-    """An operator shortens the bound on revoked keys, and nobody sends SIGHUP.
+    """Guards against settings that take effect only after a SIGHUP or a restart.
 
-    The host looks at the file from time to time. Without that, keys that were
-    taken away would go on being used for the longer time until its next start.
+    An operator shortens the time for which a revoked key may be used, without
+    sending SIGHUP. If the host did not check the file periodically, it would accept
+    revoked keys for the longer time until its next start.
     """
     RoutingHost.reload_if_changed(host)
     assert host.currency.bound_s == 5.0
@@ -55,7 +56,7 @@
 
 @pytest.mark.parametrize("text", ["", "host = 1", "no toml ["])
 def test_a_file_that_is_half_written_changes_nothing(host, text):
-    """The file is written in two steps, and looked at in between."""
+    """Guards against applying a file that is read while it is being written."""
     host.path.write_text(text)
     RoutingHost.reload_if_changed(host)
     assert host.currency.bound_s == 5.0
@@ -65,7 +66,7 @@
 
 
 def test_a_file_that_is_away_changes_nothing(host):
-    """The file is replaced, and missing for a moment."""
+    """Guards against a failure while the file is missing, as during a replacement."""
     host.path.unlink()
     RoutingHost.reload_if_changed(host)
     assert host.currency.bound_s == 5.0
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -1,4 +1,4 @@
-"""Which route a call takes, and how long a document may be believed."""
+"""Choice of a call's route, and the limit on the age of a document."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -44,10 +44,10 @@
 
 
 def test_keys_are_believed_within_the_bound_only():
-    """The store is cut off and a key is taken away meanwhile.
+    """Guards against accepting a key that was revoked while the store was unreachable.
 
-    The caller goes on with that key; the host last proved its document at 100.
-    Beyond the bound less a margin the key must be refused, whatever came since.
+    The host last confirmed its document at time 100. Once the limit less a margin
+    has passed, no key may be accepted.
     """
     currency = Currency(5.0)
     assert not currency.holds(0.0)
@@ -64,7 +64,7 @@
 
 
 def test_prompts_with_a_common_start_are_known_by_its_last_part():
-    """Guards against prompts that are read anew beside a target that keeps them."""
+    """Guards against a new prefill of a prefix that a target already has cached."""
     guide, garment = PromptPart("guide", 528), PromptPart("garment", 2454)
     first = (guide, garment, PromptPart("one", 900))
     second = (guide, garment, PromptPart("two", 400))
