--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -41,7 +41,7 @@
 from godwitladder.serving.calls import CallRefused
 from godwitladder.serving.counting import CountedApp
 from godwitladder.serving.losses import digest_call
-from godwitladder.serving.passing import Passer
+from godwitladder.serving.passing import RoutedProxy
 from godwitladder.serving.problems import answer_problem
 
 log = component_logger("routing")
@@ -112,7 +112,7 @@
     def __init__(
         self,
         form: HeaderForm,
-        passer: Passer,
+        passer: RoutedProxy,
         currency: Currency,
         clock: Clock,
         metrics: Metrics,
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -47,9 +47,9 @@
 from godwitladder.scheduler.messages import HostsChanged, NewConfig, TargetsLeaving
 from godwitladder.scheduler.rows import Tables
 from godwitladder.scheduler.ticker import Ticker
-from godwitladder.serving.losses import AnswerLost, LossBook
-from godwitladder.serving.passing import Passer
-from godwitladder.serving.watch import CallWatch
+from godwitladder.serving.losses import AnswerLost, LossRegistry
+from godwitladder.serving.passing import RoutedProxy
+from godwitladder.serving.watch import CallWatcher
 from godwitladder.supervision import watch_threads
 
 log = component_logger("daemon")
@@ -178,9 +178,9 @@
         self.feed.ask = self.ask_peer
         self.router.takers[FeedNews] = lambda link, news: self.feed.take_news(news)
         self.router.takers[FeedWanted] = self.tell_newcomer
-        self.losses = LossBook(clock, self.mesh.broadcast)
+        self.losses = LossRegistry(clock, self.mesh.broadcast)
         self.router.takers[AnswerLost] = self.take_loss
-        self.watch = CallWatch(clock)
+        self.watch = CallWatcher(clock)
         self.app = RoutedApp(
             form,
             self.make_passer(form),
@@ -212,7 +212,7 @@
         The host that lost the answer is linked to the hubs only. The hub that is
         that host's publisher forwards the message to the hosts that are no hubs.
         """
-        self.losses.take(news)
+        self.losses.record_loss(news)
         hubs = self.hubs
         if link.peer in hubs or publisher_of(link.peer, hubs) != self.host:
             return
@@ -233,7 +233,7 @@
             cores=self.settings.processor.cores,
         )
 
-    def make_passer(self, form: HeaderForm) -> Passer:
+    def make_passer(self, form: HeaderForm) -> RoutedProxy:
         """Return the dispatcher of calls."""
         bounds = self.settings.bounds
         budget = RetryBudget(
@@ -241,7 +241,7 @@
                 bounds.repeat_ratio, bounds.repeat_slack, bounds.repeat_window_s
             )
         )
-        return Passer(
+        return RoutedProxy(
             form,
             self.scheduler,
             self.clock,
--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -22,13 +22,13 @@
 from godwitladder.scheduler.messages import Returned, ReturnProof, Submit, Withdrawn
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.answers import internal_fault
-from godwitladder.serving.ending import Ending
+from godwitladder.serving.ending import DispatchReporter
 from godwitladder.serving.lateness import judge_lateness
-from godwitladder.serving.losses import LossBook
+from godwitladder.serving.losses import LossRegistry
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.streaming import StreamPassing
-from godwitladder.serving.upstream import NotRun, WholeAnswer, is_stream, read_whole
-from godwitladder.serving.watch import CallWatch, Cause, OpenCall
+from godwitladder.serving.upstream import BufferedAnswer, NotRun, is_stream, read_whole
+from godwitladder.serving.watch import CallWatcher, Cause, OpenCall
 
 log = component_logger("passing")
 
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class Passer:
+class RoutedProxy:
     """What every call needs.
 
     Attributes
@@ -62,9 +62,9 @@
     scheduler: pykka.ActorRef
     clock: Clock
     metrics: Metrics
-    watch: CallWatch
+    watch: CallWatcher
     budget: RetryBudget
-    losses: LossBook
+    losses: LossRegistry
     hosts: Callable[[], int]
 
     def serve(self, call: RoutedCall, gone, start_response) -> Iterable[bytes]:
@@ -87,24 +87,26 @@
         Whether the scheduler counts it as running at a target.
     resume_from : str
         Last event that the caller has of a stream which goes on elsewhere.
-    kept : WholeAnswer or None
+    kept : BufferedAnswer or None
         A failure that a target made, for want of a better answer.
     pause_s : float
         Longest time between two events of a stream.
     """
 
-    def __init__(self, passer: Passer, call: RoutedCall, gone) -> None:
+    def __init__(self, passer: RoutedProxy, call: RoutedCall, gone) -> None:
         self.passer = passer
         self.call = call
         self.clock = passer.clock
         self.sends = 0
         self.target = ""
         self.open = OpenCall(gone, call.until, self.withdraw)
-        self.ending = Ending(call, passer.scheduler, passer.clock, passer.metrics)
+        self.ending = DispatchReporter(
+            call, passer.scheduler, passer.clock, passer.metrics
+        )
         self.connection = None
         self.running = False
         self.resume_from = ""
-        self.kept: WholeAnswer | None = None
+        self.kept: BufferedAnswer | None = None
         self.pause_s = 0.0
         self.lost: MayHaveRun | None = None
         passer.watch.add(self.open)
@@ -210,7 +212,9 @@
         body = read_whole(response)
         headers = self.passer.form.for_caller(response.headers.items())
         headers.append(("Content-Length", str(len(body))))
-        whole = WholeAnswer(f"{response.status} {response.reason or ''}", headers, body)
+        whole = BufferedAnswer(
+            f"{response.status} {response.reason or ''}", headers, body
+        )
         if response.status >= 500 and self.repeat():
             self.kept = whole
             return None
--- a/tests/serving/app.py
+++ b/tests/serving/app.py
@@ -120,7 +120,7 @@
         for actor in (allocator, self.scheduler):
             actor.ask(NewConfig(self.app.config))
 
-    def wait_allowed(self) -> None:
+    def wait_for_allowances(self) -> None:
         """Wait until a target may be used unasked.
 
         Before that, the allocator is asked, and refuses what it expects to
--- a/tests/serving/test_dispatching.py
+++ b/tests/serving/test_dispatching.py
@@ -172,7 +172,7 @@
 def test_a_late_stream_ends_in_an_error_and_is_cancelled(stack, stream):
     """Past the deadline the caller is told so, and the engine is spared."""
     app, engine = with_engine(stack)
-    app.wait_allowed()
+    app.wait_for_allowances()
     answer = app.chat({"HTTP_REQUEST_TIMEOUT": "0.3"}, stream=stream, max_tokens=4000)
     body = answer.read()
     assert b"[DONE]" not in body
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -17,10 +17,10 @@
 from godwitladder.routing.currency import Currency
 from godwitladder.scheduler.messages import Finished, Returned, ReturnProof, Submit
 from godwitladder.scheduler.rows import Dispatch
-from godwitladder.serving.losses import AnswerLost, LossBook, digest_call
-from godwitladder.serving.passing import Passer
-from godwitladder.serving.upstream import StreamCut
-from godwitladder.serving.watch import CallWatch
+from godwitladder.serving.losses import AnswerLost, LossRegistry, digest_call
+from godwitladder.serving.passing import RoutedProxy
+from godwitladder.serving.upstream import StreamTruncated
+from godwitladder.serving.watch import CallWatcher
 from godwitladder.standins.ingress import start_engine
 from tests.fleet import wait_until
 from tests.platform.test_adapter import CONFIG
@@ -90,7 +90,7 @@
             self.pieces = []
             for piece in body:
                 self.pieces.append(piece)
-        except StreamCut:
+        except StreamTruncated:
             self.cut = True
         finally:
             body.close()
@@ -110,21 +110,21 @@
             stack.callback(engine.server_close)
             stack.callback(engine.shutdown)
         self.clock = Clock()
-        self.watch = CallWatch(self.clock)
+        self.watch = CallWatcher(self.clock)
         self.watch.start()
         stack.callback(self.watch.stop)
         self.desk = Desk(engine.address for engine in self.engines)
         form = PlatformHeaders()
         self.currency = Currency(5.0)
         self.currency.prove(self.clock.boottime())
-        passer = Passer(
+        passer = RoutedProxy(
             form,
             self.desk,
             self.clock,
             Metrics(),
             self.watch,
             RetryBudget(RetryLimits()),
-            LossBook(self.clock, lambda message: None),
+            LossRegistry(self.clock, lambda message: None),
             lambda: 1,
         )
         self.app = RoutedApp(form, passer, self.currency, self.clock, Metrics())
@@ -366,7 +366,7 @@
     bench.engines[0].standin.knobs.foreign = True
     digest = digest_call("w1", "/charge/bad", b"x")
     for name in ("t8", "t9"):
-        bench.app.passer.losses.take(AnswerLost(digest, name))
+        bench.app.passer.losses.record_loss(AnswerLost(digest, name))
     assert bench.call("/charge/bad", body=b"x").status == 502
     assert bench.call("/charge/bad", body=b"x").status == 503
     assert bench.call("/charge/good", body=b"x").status == 200
