--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -35,7 +35,7 @@
 from godwitladder.discovery.targets import TargetTable
 from godwitladder.ids import HostId, TargetName
 from godwitladder.logs import component_logger
-from godwitladder.routing.currency import Currency
+from godwitladder.routing.freshness import Currency
 from godwitladder.routing.model import Document
 
 log = component_logger("feed")
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -24,7 +24,7 @@
     PromptPart,
     RoutedCall,
 )
-from godwitladder.routing.currency import Currency
+from godwitladder.routing.freshness import Currency
 from godwitladder.routing.matching import RouteTable, choose_split, host_of
 from godwitladder.routing.model import (
     Document,
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -38,7 +38,7 @@
 from godwitladder.metrics import Metrics
 from godwitladder.routing.app import ReadinessApp, RoutedApp, put_in_force
 from godwitladder.routing.calls import HeaderForm
-from godwitladder.routing.currency import Currency
+from godwitladder.routing.freshness import Currency
 from godwitladder.routing.settings import RoutedSettings, read_routed_settings
 from godwitladder.routing.state import state_of
 from godwitladder.routing.status import StatusApp
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -23,7 +23,7 @@
 )
 from godwitladder.discovery.targets import RETURN_S, TargetEntry, TargetTable
 from godwitladder.membership.codec import decode, encode
-from godwitladder.routing.currency import Currency
+from godwitladder.routing.freshness import Currency
 from godwitladder.routing.model import Document
 
 ONE = TargetEntry("e1", "letters", "10.0.0.1:1", "a", 8)
--- a/tests/discovery/test_slow_store.py
+++ b/tests/discovery/test_slow_store.py
@@ -4,7 +4,7 @@
 
 from godwitladder.clock import ManualClock
 from godwitladder.discovery.feed import ASK_S, PERIOD_S, Feed
-from godwitladder.routing.currency import Currency
+from godwitladder.routing.freshness import Currency
 from tests.discovery.test_discovery import MemorySource, make_feed, make_newcomer
 
 STEP_S = 0.05
--- a/tests/routing/test_full.py
+++ b/tests/routing/test_full.py
@@ -6,7 +6,7 @@
 from godwitladder.metrics import Metrics
 from godwitladder.platform.headers import PlatformHeaders
 from godwitladder.routing.app import RoutedApp
-from godwitladder.routing.currency import Currency
+from godwitladder.routing.freshness import Currency
 
 
 def test_a_call_beyond_the_threads_is_refused_at_once_and_truly():
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -5,7 +5,7 @@
 
 from godwitladder.routing.app import shared_start
 from godwitladder.routing.calls import PromptPart
-from godwitladder.routing.currency import MARGIN_S, Currency
+from godwitladder.routing.freshness import MARGIN_S, Currency
 from godwitladder.routing.matching import RouteTable, choose_split, host_of
 from godwitladder.routing.model import Repeat, Route, Split
 
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -14,7 +14,7 @@
 from godwitladder.platform.documents import decode_document
 from godwitladder.platform.headers import PlatformHeaders
 from godwitladder.routing.app import RoutedApp, put_in_force
-from godwitladder.routing.currency import Currency
+from godwitladder.routing.freshness import Currency
 from godwitladder.scheduler.messages import Finished, Returned, ReturnProof, Submit
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.losses import AnswerLost, LossRegistry, digest_call
