--- a/godwitladder/serving/losses.py
+++ b/godwitladder/serving/losses.py
@@ -41,7 +41,7 @@
         self.table = LossTable()
         self.lock = threading.Lock()
 
-    def note(self, digest: BodyDigest, target: TargetName) -> None:
+    def report_loss(self, digest: BodyDigest, target: TargetName) -> None:
         """Take in a loss that this host has seen, and tell the others."""
         message = AnswerLost(digest, target)
         self.record_loss(message)
--- a/godwitladder/serving/passing.py
+++ b/godwitladder/serving/passing.py
@@ -350,7 +350,7 @@
     def note_loss(self) -> None:
         """Remember that the target lost the answer, unless it was cut here."""
         if self.open.cause is None:
-            self.passer.losses.note(self.call.row.body, self.target)
+            self.passer.losses.report_loss(self.call.row.body, self.target)
 
     def note_send(self, dispatch: Dispatch, left_s: float) -> None:
         """Log a send."""
