--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -400,7 +400,7 @@
             keep_newest(self.newest_documents, documents)
             changed |= self.take_documents(documents)
             changed |= self.desk.take(documents, self.clock.boottime())
-            self.currency.prove(began)
+            self.currency.confirm(began)
         if entries.next >= self.next_entry:
             self.next_entry = entries.next
             keep_newest(self.newest_entries, entries)
--- a/godwitladder/routing/freshness.py
+++ b/godwitladder/routing/freshness.py
@@ -34,7 +34,7 @@
     bound_s: float
     proved: float = float("-inf")
 
-    def prove(self, at: float) -> None:
+    def confirm(self, at: float) -> None:
         """Record a confirmation at time ``at``; an older one has no effect."""
         self.proved = max(self.proved, at)
 
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -51,15 +51,15 @@
     """
     currency = Currency(5.0)
     assert not currency.holds(0.0)
-    currency.prove(100.0)
+    currency.confirm(100.0)
     assert currency.holds(100.0 + 5.0 - MARGIN_S)
     assert not currency.holds(100.0 + 5.0 - MARGIN_S + 0.01)
 
 
 def test_a_late_older_proof_takes_nothing_back():
     currency = Currency(5.0)
-    currency.prove(100.0)
-    currency.prove(90.0)
+    currency.confirm(100.0)
+    currency.confirm(90.0)
     assert currency.age_s(101.0) == 1.0
 
 
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -116,7 +116,7 @@
         self.desk = Desk(engine.address for engine in self.engines)
         form = PlatformHeaders()
         self.currency = Currency(5.0)
-        self.currency.prove(self.clock.boottime())
+        self.currency.confirm(self.clock.boottime())
         passer = RoutedProxy(
             form,
             self.desk,
