--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -41,8 +41,8 @@
 from godwitladder.serving.calls import CallRefused
 from godwitladder.serving.counting import CountedApp
 from godwitladder.serving.losses import digest_call
-from godwitladder.serving.passing import RoutedProxy
 from godwitladder.serving.problems import answer_problem
+from godwitladder.serving.proxying import RoutedProxy
 
 log = component_logger("routing")
 
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -48,7 +48,7 @@
 from godwitladder.scheduler.rows import Tables
 from godwitladder.scheduler.ticker import Ticker
 from godwitladder.serving.losses import AnswerLost, LossRegistry
-from godwitladder.serving.passing import RoutedProxy
+from godwitladder.serving.proxying import RoutedProxy
 from godwitladder.serving.watch import CallWatcher
 from godwitladder.supervision import watch_threads
 
--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -19,7 +19,7 @@
 )
 from godwitladder.scheduler.pools import Pool
 
-REACH_S = 3.0
+ALLOCATOR_TIMEOUT_S = 3.0
 """Silence of an allocator after which a host goes by its fixed share. Longer
 than a grant lives, so that the allocator has stopped counting the host's
 grants, and has given the capacity to others, before the host helps itself."""
@@ -192,7 +192,7 @@
 
     def next_number(self, now: float) -> int:
         """Return the number of a report that is sent now."""
-        if now - self.reported > REACH_S:
+        if now - self.reported > ALLOCATOR_TIMEOUT_S:
             self.answered = now
         self.number += 1
         self.reported = now
@@ -219,8 +219,8 @@
 
         One that was not asked for a while has had no reason to answer.
         """
-        silent = now - self.answered > REACH_S
-        asking = now - self.reported <= REACH_S
+        silent = now - self.answered > ALLOCATOR_TIMEOUT_S
+        asking = now - self.reported <= ALLOCATOR_TIMEOUT_S
         return self.allocator is None or (silent and asking)
 
     def tell(self, requests: Collection[RequestId], now: float) -> DemandNews:
--- a/godwitladder/serving/streaming.py
+++ b/godwitladder/serving/streaming.py
@@ -12,7 +12,7 @@
 from godwitladder.serving.upstream import NotRun, StreamTruncated, is_stream
 
 if TYPE_CHECKING:
-    from godwitladder.serving.passing import Passing
+    from godwitladder.serving.proxying import Passing
 
 log = component_logger("passing")
 
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -8,7 +8,7 @@
 from godwitladder.decisions.types import RequestDemand, Shed, ShedReason, TargetUse
 from godwitladder.ids import HostId, Zone
 from godwitladder.outcomes import Reason, RequestState
-from godwitladder.scheduler.access import REACH_S
+from godwitladder.scheduler.access import ALLOCATOR_TIMEOUT_S
 from godwitladder.scheduler.accounts import NO_USAGE, HostAccount
 from godwitladder.scheduler.exchange import (
     GrantOffer,
@@ -186,7 +186,7 @@
         now += 0.2
         desk.tick("h1", now)
         ran = sum(row.state is RequestState.DISPATCHED for row in rows)
-        assert ran <= (1 if now - answered <= REACH_S else 2)
+        assert ran <= (1 if now - answered <= ALLOCATOR_TIMEOUT_S else 2)
     assert ran == 2
 
 
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -18,7 +18,7 @@
 from godwitladder.scheduler.messages import Finished, Returned, ReturnProof, Submit
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.losses import AnswerLost, LossRegistry, digest_call
-from godwitladder.serving.passing import RoutedProxy
+from godwitladder.serving.proxying import RoutedProxy
 from godwitladder.serving.upstream import StreamTruncated
 from godwitladder.serving.watch import CallWatcher
 from godwitladder.standins.ingress import start_engine
