--- a/godwitladder/routing/freshness.py
+++ b/godwitladder/routing/freshness.py
@@ -32,15 +32,15 @@
     """
 
     bound_s: float
-    proved: float = float("-inf")
+    confirmed_at: float = float("-inf")
 
     def confirm(self, at: float) -> None:
         """Record a confirmation at time ``at``; an older one has no effect."""
-        self.proved = max(self.proved, at)
+        self.confirmed_at = max(self.confirmed_at, at)
 
     def age_s(self, now: float) -> float:
         """Return the seconds since the document was last confirmed."""
-        return now - self.proved
+        return now - self.confirmed_at
 
     def holds(self, now: float) -> bool:
         """Return whether keys may still be accepted at time ``now``."""
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -197,7 +197,7 @@
     a route that is not known may be there by now, so that is no 404 either.
     """
     bench = Bench(stack)
-    bench.currency.proved -= 10
+    bench.currency.confirmed_at -= 10
     answer = bench.call("/charge/x")
     assert (answer.status, "Retry-After" in answer.headers) == (503, True)
     assert bench.call("/nowhere/x").status == 503
