--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -214,7 +214,7 @@
                 self.dirty = True
                 self.fates[GrantFate.LAPSED] += 1
 
-    def is_alone(self, now: float) -> bool:
+    def is_cut_off(self, now: float) -> bool:
         """Return whether no allocator can be reached.
 
         One that was not asked for a while has had no reason to answer.
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -175,7 +175,7 @@
 def spill_requests(tables: Tables, now: float) -> None:
     """Ask other zones for requests that the first pool keeps waiting."""
     late = {
-        service: now if pools[0].is_alone(now) else now - SPILL_AFTER_S
+        service: now if pools[0].is_cut_off(now) else now - SPILL_AFTER_S
         for service, pools in tables.by_service.items()
         if len(pools) > 1
     }
@@ -380,7 +380,7 @@
 def has_open_pool(tables: Tables, row: RequestRow, now: float) -> bool:
     """Return whether an allocator of another zone has yet to answer ``row``."""
     for pool in tables.by_service[row.service][1:]:
-        if pool.is_alone(now) or pool.answers(row.request):
+        if pool.is_cut_off(now) or pool.answers(row.request):
             continue
         full = len(pool.asked) >= FIRST_LINES + LAST_LINES
         if row.request in pool.asked or not full:
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -140,7 +140,7 @@
 
 def may_use_unasked(tables: Tables, access: PoolAccess, now: float) -> bool:
     """Return whether this host may use any target of a pool without a grant."""
-    if access.allowances or access.is_alone(now):
+    if access.allowances or access.is_cut_off(now):
         return True
     return is_left_alone(tables, access, now)
 
@@ -156,7 +156,7 @@
     candidates = [
         tables.targets[name]
         for access in tables.by_service.get(row.service, ())
-        if not bounded or access.is_alone(now) or is_left_alone(tables, access, now)
+        if not bounded or access.is_cut_off(now) or is_left_alone(tables, access, now)
         for name in access.pool.targets
         if may_add(tables, access, tables.targets[name], row.reserved_tokens, now)
         and usable(tables, tables.targets[name], row, now)
@@ -209,7 +209,7 @@
     if allowance and target.running < allowance.running:
         held = target.reserved_tokens + tokens
         return held <= allowance.tokens or not target.target.memory_tokens
-    if not access.is_alone(now) and not may_help_itself(tables, access, target, now):
+    if not access.is_cut_off(now) and not may_help_itself(tables, access, target, now):
         return False
     hosts = sharing(tables, access)
     if not hosts:
--- a/godwitladder/serving/answers.py
+++ b/godwitladder/serving/answers.py
@@ -8,7 +8,7 @@
 
 from godwitladder.logs import component_logger
 from godwitladder.outcomes import Reason, Refusal, RequestState
-from godwitladder.serving.ending import DispatchReporter
+from godwitladder.serving.dispatch_reporter import DispatchReporter
 from godwitladder.serving.problems import problem_body
 from godwitladder.serving.relay import AnswerTruncated, StreamFollower
 
--- a/godwitladder/serving/dispatching.py
+++ b/godwitladder/serving/dispatching.py
@@ -28,7 +28,7 @@
     start_events,
 )
 from godwitladder.serving.calls import Call
-from godwitladder.serving.ending import DispatchReporter
+from godwitladder.serving.dispatch_reporter import DispatchReporter
 from godwitladder.serving.joining import join_chunks
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.relay import AnswerTruncated, StreamFollower, lost, open_for
--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -22,7 +22,7 @@
 from godwitladder.scheduler.messages import Returned, ReturnProof, Submit, Withdrawn
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.answers import internal_fault
-from godwitladder.serving.ending import DispatchReporter
+from godwitladder.serving.dispatch_reporter import DispatchReporter
 from godwitladder.serving.lateness import judge_lateness
 from godwitladder.serving.losses import LossRegistry
 from godwitladder.serving.problems import answer_problem
--- a/tests/scheduler/test_grant_machine.py
+++ b/tests/scheduler/test_grant_machine.py
@@ -63,7 +63,7 @@
     def tick(self, host):
         if self.alive(host):
             tables = self.desk.hosts[host]
-            alone = tables.pools[self.desk.pool].is_alone(self.now)
+            alone = tables.pools[self.desk.pool].is_cut_off(self.now)
             self.desk.tick(host, self.now)
             self.note_dispatches(host, alone)
 
--- a/tests/scheduler/test_idle.py
+++ b/tests/scheduler/test_idle.py
@@ -61,7 +61,7 @@
     ((host, report),) = due_reports(tables, START + 90)
     assert host == access.allocator
     assert [line.request for line in report.demands] == ["r"]
-    assert not access.is_alone(START + 90)
+    assert not access.is_cut_off(START + 90)
 
 
 def test_an_allocator_answers_each_report_once_and_says_nothing_unasked():
--- a/tests/serving/test_ending.py
+++ b/tests/serving/test_ending.py
@@ -6,7 +6,7 @@
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import RequestState
 from godwitladder.scheduler.messages import Finished, Progress
-from godwitladder.serving.ending import PROGRESS_TOKENS, DispatchReporter
+from godwitladder.serving.dispatch_reporter import PROGRESS_TOKENS, DispatchReporter
 
 
 def make_ending():
