--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -187,7 +187,7 @@
         route = in_force.routes.find(
             host_of(environ.get("HTTP_HOST", "")), path.partition("?")[0]
         )
-        current = self.currency.holds(self.clock.boottime())
+        current = self.currency.is_fresh(self.clock.boottime())
         if route is None:
             # An outdated document may lack a route that has been added since.
             self.need_current(current)
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -276,7 +276,7 @@
     def ready(self) -> bool:
         """Return whether the load balancer should send callers to this host."""
         known = self.app.in_force.document.version >= 0
-        current = self.currency.holds(self.clock.boottime())
+        current = self.currency.is_fresh(self.clock.boottime())
         return (
             known
             and current
--- a/godwitladder/routing/freshness.py
+++ b/godwitladder/routing/freshness.py
@@ -42,6 +42,6 @@
         """Return the seconds since the document was last confirmed."""
         return now - self.confirmed_at
 
-    def holds(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Return whether keys may still be accepted at time ``now``."""
         return self.age_s(now) <= self.bound_s - MARGIN_S
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -50,10 +50,10 @@
     has passed, no key may be accepted.
     """
     currency = Currency(5.0)
-    assert not currency.holds(0.0)
+    assert not currency.is_fresh(0.0)
     currency.confirm(100.0)
-    assert currency.holds(100.0 + 5.0 - MARGIN_S)
-    assert not currency.holds(100.0 + 5.0 - MARGIN_S + 0.01)
+    assert currency.is_fresh(100.0 + 5.0 - MARGIN_S)
+    assert not currency.is_fresh(100.0 + 5.0 - MARGIN_S + 0.01)
 
 
 def test_a_late_older_proof_takes_nothing_back():
