--- a/bench/region.py
+++ b/bench/region.py
@@ -329,7 +329,7 @@
             call.until,
             False,
         )
-        row.aim = self.now + kind.aim_s
+        row.ttft_deadline = self.now + kind.aim_s
         row.gap_s, row.event_tokens = kind.gap_s, self.load.mix.event_tokens
         row.start_by = self.now + min(patience_s, kind.silence_s) * START_PART
         row.body = call.body
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -293,7 +293,7 @@
         )
         row.start_by = now + start_within_s(route, wait_s)
         if route.aim_s:
-            row.aim = now + route.aim_s
+            row.ttft_deadline = now + route.aim_s
         row.gap_s, row.event_tokens = route.gap_s, known.event_tokens
         row.charge = charge_of(facts, workspace.quota)
         return RoutedCall(
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -47,9 +47,9 @@
 from godwitladder.scheduler.messages import HostsChanged, NewConfig, TargetsLeaving
 from godwitladder.scheduler.rows import Tables
 from godwitladder.scheduler.ticker import Ticker
+from godwitladder.serving.call_watcher import CallWatcher
 from godwitladder.serving.losses import AnswerLost, LossRegistry
 from godwitladder.serving.proxying import RoutedProxy
-from godwitladder.serving.watch import CallWatcher
 from godwitladder.supervision import watch_threads
 
 log = component_logger("daemon")
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -301,7 +301,7 @@
         waited_s=now - row.arrived,
         prefix=row.prefix,
         likely_tokens=row.likely_tokens,
-        ttft_budget_s=row.aim - now if row.aim else math.inf,
+        ttft_budget_s=row.ttft_deadline - now if row.ttft_deadline else math.inf,
         start_within_s=row.start_by - now,
         charge=row.charge,
         availability_zone=tables.place,
--- a/godwitladder/scheduler/rows.py
+++ b/godwitladder/scheduler/rows.py
@@ -111,7 +111,7 @@
     claim: ClaimState = ClaimState.NOT_NEEDED
     body: BodyDigest = BodyDigest("")
     prefix: str = ""
-    aim: float = 0.0
+    ttft_deadline: float = 0.0
     start_by: float = math.inf
     gap_s: float = 0.0
     event_tokens: int = 1
--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -22,13 +22,13 @@
 from godwitladder.scheduler.messages import Returned, ReturnProof, Submit, Withdrawn
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.answers import internal_fault
+from godwitladder.serving.call_watcher import CallWatcher, Cause, OpenCall
 from godwitladder.serving.dispatch_reporter import DispatchReporter
 from godwitladder.serving.lateness import judge_lateness
 from godwitladder.serving.losses import LossRegistry
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.streaming import StreamPassing
 from godwitladder.serving.upstream import BufferedAnswer, NotRun, is_stream, read_whole
-from godwitladder.serving.watch import CallWatcher, Cause, OpenCall
 
 log = component_logger("passing")
 
--- a/tests/scheduler/flood.py
+++ b/tests/scheduler/flood.py
@@ -111,7 +111,7 @@
                 timeout_s=12.0,
                 prompt_tokens=self.prompt_tokens,
                 declared_tokens=self.output_tokens,
-                aim=self.now + 0.8,
+                ttft_deadline=self.now + 0.8,
             )
             row.start_by = self.now + 3.0
             self.rows.append((tables, submit(tables, row)))
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -17,10 +17,10 @@
 from godwitladder.routing.freshness import Currency
 from godwitladder.scheduler.messages import Finished, Returned, ReturnProof, Submit
 from godwitladder.scheduler.rows import Dispatch
+from godwitladder.serving.call_watcher import CallWatcher
 from godwitladder.serving.losses import AnswerLost, LossRegistry, digest_call
 from godwitladder.serving.proxying import RoutedProxy
 from godwitladder.serving.upstream import StreamTruncated
-from godwitladder.serving.watch import CallWatcher
 from godwitladder.standins.ingress import start_engine
 from tests.fleet import wait_until
 from tests.platform.test_adapter import CONFIG
--- a/tests/serving/test_watch.py
+++ b/tests/serving/test_watch.py
@@ -3,7 +3,7 @@
 import socket
 
 from godwitladder.clock import ManualClock
-from godwitladder.serving.watch import CallWatcher, Cause, OpenCall
+from godwitladder.serving.call_watcher import CallWatcher, Cause, OpenCall
 
 
 def make_call(gone=False, until=1010.0):
