--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -329,7 +329,7 @@
             )
             return
         self.mesh.seeds = frozenset(settings.peers.seeds) - {self.mesh.address}
-        self.currency.bound_s = settings.bounds.revoke_s
+        self.currency.max_age_s = settings.bounds.revoke_s
         self.settings = settings
         log.info("The settings were reloaded", extra={"host": settings.host})
 
--- a/godwitladder/routing/freshness.py
+++ b/godwitladder/routing/freshness.py
@@ -31,7 +31,7 @@
         host's clock.
     """
 
-    bound_s: float
+    max_age_s: float
     confirmed_at: float = float("-inf")
 
     def confirm(self, at: float) -> None:
@@ -44,4 +44,4 @@
 
     def is_fresh(self, now: float) -> bool:
         """Return whether keys may still be accepted at time ``now``."""
-        return self.age_s(now) <= self.bound_s - MARGIN_S
+        return self.age_s(now) <= self.max_age_s - MARGIN_S
