--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -118,7 +118,7 @@
             hosts=(settings.host,),
             place=settings.zone,
             standing=False,
-            helps_itself=True,
+            early_fallback=True,
         )
         self.scheduler = self.start_actor(
             Scheduler,
--- a/godwitladder/scheduler/rows.py
+++ b/godwitladder/scheduler/rows.py
@@ -209,7 +209,7 @@
         Which calls are worth asking for; any thread may ask it.
     standing : bool
         Whether allocators allow some requests unasked while nothing waits.
-    helps_itself : bool
+    early_fallback : bool
         Whether this host uses its fixed share of near targets as soon as its
         allocator misses to answer, beside what that may have given others.
     """
@@ -237,7 +237,7 @@
     seen: SeenHosts = field(default_factory=SeenHosts)
     gate: AdmissionGate = field(default_factory=AdmissionGate)
     standing: bool = True
-    helps_itself: bool = False
+    early_fallback: bool = False
 
     @property
     def allocators(self) -> tuple[HostId, ...]:
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -231,7 +231,7 @@
 
 def is_left_alone(tables: Tables, access: PoolAccess, now: float) -> bool:
     """Return whether the allocator of this host's zone is silent for a moment."""
-    return tables.helps_itself and access.home and access.is_unanswered(now)
+    return tables.early_fallback and access.home and access.is_unanswered(now)
 
 
 def sharing(tables: Tables, access: PoolAccess) -> tuple[HostId, ...]:
--- a/tests/scheduler/overload.py
+++ b/tests/scheduler/overload.py
@@ -70,7 +70,7 @@
         self.tables = [make_tables(name, names, config) for name in names]
         self.rows: list[list[RequestRow]] = [[] for _ in names]
         for tables in self.tables:
-            tables.standing, tables.helps_itself = False, True
+            tables.standing, tables.early_fallback = False, True
         (pool,) = make_pools(config.targets).values()
         (access,) = self.tables[0].pools.values()
         self.role = PoolRole(pool, access.allocator, 1, self.now, standing=False)
--- a/tests/scheduler/test_silence.py
+++ b/tests/scheduler/test_silence.py
@@ -18,7 +18,7 @@
     config = replace(config, targets={"e0": far, "e1": near})
     tables = make_tables("h0", ("h0", "h1"), config)
     tables.place = "b"
-    tables.helps_itself = True
+    tables.early_fallback = True
     update_targets(tables)
     for access in tables.pools.values():
         access.ask("h1", START)
