--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -35,7 +35,7 @@
 from godwitladder.discovery.targets import TargetTable
 from godwitladder.ids import HostId, TargetName
 from godwitladder.logs import component_logger
-from godwitladder.routing.freshness import Currency
+from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.model import Document
 
 log = component_logger("feed")
@@ -124,7 +124,7 @@
         host: HostId,
         source: Source,
         clock: Clock,
-        currency: Currency,
+        currency: DocumentFreshness,
         publish: Callable[[StoreView], None],
         reads_first: bool = False,
     ) -> None:
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -24,7 +24,7 @@
     PromptPart,
     RoutedCall,
 )
-from godwitladder.routing.freshness import Currency
+from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.matching import RouteTable, choose_split, host_of
 from godwitladder.routing.model import (
     Document,
@@ -113,7 +113,7 @@
         self,
         form: HeaderForm,
         passer: RoutedProxy,
-        currency: Currency,
+        currency: DocumentFreshness,
         clock: Clock,
         metrics: Metrics,
         most_calls: int = UNBOUNDED,
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -38,7 +38,7 @@
 from godwitladder.metrics import Metrics
 from godwitladder.routing.app import ReadinessApp, RoutedApp, put_in_force
 from godwitladder.routing.calls import HeaderForm
-from godwitladder.routing.freshness import Currency
+from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.settings import RoutedSettings, read_routed_settings
 from godwitladder.routing.state import state_of
 from godwitladder.routing.status import StatusApp
@@ -108,7 +108,7 @@
         self.span = Zone(settings.region)
         self.hosts: tuple[HostId, ...] = (settings.host,)
         self.hubs: frozenset[HostId] = frozenset()
-        self.currency = Currency(settings.bounds.revoke_s)
+        self.currency = DocumentFreshness(settings.bounds.revoke_s)
         self.router = Router(settings.host)
         self.ticker = Ticker(clock, IDLE_TICK_S)
         tables = Tables(
--- a/godwitladder/routing/freshness.py
+++ b/godwitladder/routing/freshness.py
@@ -19,7 +19,7 @@
 
 
 @dataclass
-class Currency:
+class DocumentFreshness:
     """Tracks when the active document was last confirmed to be the newest.
 
     Parameters
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -23,7 +23,7 @@
 )
 from godwitladder.discovery.targets import RETURN_S, TargetEntry, TargetTable
 from godwitladder.membership.codec import decode, encode
-from godwitladder.routing.freshness import Currency
+from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.model import Document
 
 ONE = TargetEntry("e1", "letters", "10.0.0.1:1", "a", 8)
@@ -77,7 +77,7 @@
 
 def make_feed(source, clock, host="h1", hosts=("h1", "h2")):
     views = []
-    feed = Feed(host, source, clock, Currency(5.0), views.append)
+    feed = Feed(host, source, clock, DocumentFreshness(5.0), views.append)
     feed.hosts = hosts
     # No host that started a while ago waits for a peer to tell it all.
     feed.started = clock.boottime() - UNTOLD_S
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -5,7 +5,7 @@
 
 from godwitladder.routing.app import shared_start
 from godwitladder.routing.calls import PromptPart
-from godwitladder.routing.freshness import MARGIN_S, Currency
+from godwitladder.routing.freshness import MARGIN_S, DocumentFreshness
 from godwitladder.routing.matching import RouteTable, choose_split, host_of
 from godwitladder.routing.model import Repeat, Route, Split
 
@@ -49,7 +49,7 @@
     The host last confirmed its document at time 100. Once the limit less a margin
     has passed, no key may be accepted.
     """
-    currency = Currency(5.0)
+    currency = DocumentFreshness(5.0)
     assert not currency.is_fresh(0.0)
     currency.confirm(100.0)
     assert currency.is_fresh(100.0 + 5.0 - MARGIN_S)
@@ -57,7 +57,7 @@
 
 
 def test_a_late_older_proof_takes_nothing_back():
-    currency = Currency(5.0)
+    currency = DocumentFreshness(5.0)
     currency.confirm(100.0)
     currency.confirm(90.0)
     assert currency.age_s(101.0) == 1.0
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -14,7 +14,7 @@
 from godwitladder.platform.documents import decode_document
 from godwitladder.platform.headers import PlatformHeaders
 from godwitladder.routing.app import RoutedApp, put_in_force
-from godwitladder.routing.freshness import Currency
+from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.scheduler.messages import Finished, Returned, ReturnProof, Submit
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.call_watcher import CallWatcher
@@ -115,7 +115,7 @@
         stack.callback(self.watch.stop)
         self.desk = Desk(engine.address for engine in self.engines)
         form = PlatformHeaders()
-        self.currency = Currency(5.0)
+        self.currency = DocumentFreshness(5.0)
         self.currency.confirm(self.clock.boottime())
         passer = RoutedProxy(
             form,
