--- a/godwitladder/scheduler/actor.py
+++ b/godwitladder/scheduler/actor.py
@@ -40,8 +40,8 @@
     add_request,
     finish_request,
     grow_request,
-    make_room,
     note_read,
+    refuse_least_important,
     refuse_request,
     return_request,
     run_systems,
@@ -186,7 +186,7 @@
 
     @take.register
     def _(self, message: MakeRoom) -> None:
-        make_room(self.tables)
+        refuse_least_important(self.tables)
 
     @take.register
     def _(self, message: NewConfig) -> None:
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -416,7 +416,7 @@
     row.decisions.put(refusal)
 
 
-def make_room(tables: Tables) -> None:
+def refuse_least_important(tables: Tables) -> None:
     """Refuse the last of the least important requests that wait.
 
     A request that waits holds one of its host's threads. Were the next one left
--- a/tests/serving/test_room.py
+++ b/tests/serving/test_room.py
@@ -9,7 +9,7 @@
 from godwitladder.outcomes import Reason, RequestState, refuse
 from godwitladder.scheduler.messages import MakeRoom, Submit
 from godwitladder.scheduler.rows import RequestRow, Tables
-from godwitladder.scheduler.systems import add_request, make_room
+from godwitladder.scheduler.systems import add_request, refuse_least_important
 from godwitladder.serving.dispatching import Dispatcher
 from tests.serving.app import make_settings
 
@@ -28,7 +28,7 @@
     rows = [make_row(f"r{n}", rank, n) for n, rank in enumerate((0, 1, 1, 0))]
     for row in rows:
         add_request(tables, row)
-    make_room(tables)
+    refuse_least_important(tables)
     assert list(tables.waiting) == ["r0", "r1", "r3"]
     refusal = rows[2].decisions.get_nowait()
     assert (refusal.outcome, refusal.reason) == (RequestState.NOT_RUN, Reason.SHED)
