--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -113,7 +113,7 @@
         self,
         form: HeaderForm,
         passer: RoutedProxy,
-        currency: DocumentFreshness,
+        freshness: DocumentFreshness,
         clock: Clock,
         metrics: Metrics,
         most_calls: int = UNBOUNDED,
@@ -124,7 +124,7 @@
         self.gate = gate or AdmissionGate()
         self.form = form
         self.passer = passer
-        self.currency = currency
+        self.freshness = freshness
         self.clock = clock
         self.metrics = metrics
         self.in_force = put_in_force(Document())
@@ -157,7 +157,7 @@
             "reason": refusal.reason.value,
             "detail": refusal.detail,
             "version": self.in_force.document.version,
-            "age_s": round(self.currency.age_s(self.clock.boottime()), 3),
+            "age_s": round(self.freshness.age_s(self.clock.boottime()), 3),
             "retry_after_s": refusal.retry_after_s,
         }
         log.info("A call was turned away", extra=extra)
@@ -187,7 +187,7 @@
         route = in_force.routes.find(
             host_of(environ.get("HTTP_HOST", "")), path.partition("?")[0]
         )
-        current = self.currency.is_fresh(self.clock.boottime())
+        current = self.freshness.is_fresh(self.clock.boottime())
         if route is None:
             # An outdated document may lack a route that has been added since.
             self.need_current(current)
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -108,7 +108,7 @@
         self.span = Zone(settings.region)
         self.hosts: tuple[HostId, ...] = (settings.host,)
         self.hubs: frozenset[HostId] = frozenset()
-        self.currency = DocumentFreshness(settings.bounds.revoke_s)
+        self.freshness = DocumentFreshness(settings.bounds.revoke_s)
         self.router = Router(settings.host)
         self.ticker = Ticker(clock, IDLE_TICK_S)
         tables = Tables(
@@ -144,7 +144,7 @@
             settings.host,
             source,
             clock,
-            self.currency,
+            self.freshness,
             self.publish_view,
             reads_first=not settings.first_start or settings.listen.peers in seeds,
         )
@@ -184,7 +184,7 @@
         self.app = RoutedApp(
             form,
             self.make_passer(form),
-            self.currency,
+            self.freshness,
             clock,
             self.metrics,
             settings.limits.threads,
@@ -276,7 +276,7 @@
     def ready(self) -> bool:
         """Return whether the load balancer should send callers to this host."""
         known = self.app.in_force.document.version >= 0
-        current = self.currency.is_fresh(self.clock.boottime())
+        current = self.freshness.is_fresh(self.clock.boottime())
         return (
             known
             and current
@@ -329,7 +329,7 @@
             )
             return
         self.mesh.seeds = frozenset(settings.peers.seeds) - {self.mesh.address}
-        self.currency.max_age_s = settings.bounds.revoke_s
+        self.freshness.max_age_s = settings.bounds.revoke_s
         self.settings = settings
         log.info("The settings were reloaded", extra={"host": settings.host})
 
--- a/tests/discovery/test_slow_store.py
+++ b/tests/discovery/test_slow_store.py
@@ -174,4 +174,4 @@
     for _ in range(60):
         clock.advance(0.1)
         strong.step(), weak.step()
-        assert strong.currency.is_fresh(clock.boottime())
+        assert strong.freshness.is_fresh(clock.boottime())
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -49,18 +49,18 @@
     The host last confirmed its document at time 100. Once the limit less a margin
     has passed, no key may be accepted.
     """
-    currency = DocumentFreshness(5.0)
-    assert not currency.is_fresh(0.0)
-    currency.confirm(100.0)
-    assert currency.is_fresh(100.0 + 5.0 - MARGIN_S)
-    assert not currency.is_fresh(100.0 + 5.0 - MARGIN_S + 0.01)
+    freshness = DocumentFreshness(5.0)
+    assert not freshness.is_fresh(0.0)
+    freshness.confirm(100.0)
+    assert freshness.is_fresh(100.0 + 5.0 - MARGIN_S)
+    assert not freshness.is_fresh(100.0 + 5.0 - MARGIN_S + 0.01)
 
 
 def test_a_late_older_proof_takes_nothing_back():
-    currency = DocumentFreshness(5.0)
-    currency.confirm(100.0)
-    currency.confirm(90.0)
-    assert currency.age_s(101.0) == 1.0
+    freshness = DocumentFreshness(5.0)
+    freshness.confirm(100.0)
+    freshness.confirm(90.0)
+    assert freshness.age_s(101.0) == 1.0
 
 
 def test_prompts_with_a_common_start_are_known_by_its_last_part():
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -115,8 +115,8 @@
         stack.callback(self.watch.stop)
         self.desk = Desk(engine.address for engine in self.engines)
         form = PlatformHeaders()
-        self.currency = DocumentFreshness(5.0)
-        self.currency.confirm(self.clock.boottime())
+        self.freshness = DocumentFreshness(5.0)
+        self.freshness.confirm(self.clock.boottime())
         passer = RoutedProxy(
             form,
             self.desk,
@@ -127,7 +127,7 @@
             LossRegistry(self.clock, lambda message: None),
             lambda: 1,
         )
-        self.app = RoutedApp(form, passer, self.currency, self.clock, Metrics())
+        self.app = RoutedApp(form, passer, self.freshness, self.clock, Metrics())
         document = decode_document(json.dumps(CONFIG | {"routes": ROUTES}).encode())
         self.app.in_force = put_in_force(document)
 
@@ -197,7 +197,7 @@
     a route that is not known may be there by now, so that is no 404 either.
     """
     bench = Bench(stack)
-    bench.currency.confirmed_at -= 10
+    bench.freshness.confirmed_at -= 10
     answer = bench.call("/charge/x")
     assert (answer.status, "Retry-After" in answer.headers) == (503, True)
     assert bench.call("/nowhere/x").status == 503
