--- a/godwitladder/scheduler/actor.py
+++ b/godwitladder/scheduler/actor.py
@@ -14,8 +14,8 @@
 from godwitladder.scheduler.messages import (
     Finished,
     HostsChanged,
-    MakeRoom,
     NewConfig,
+    NoFreeThread,
     NothingSent,
     Progress,
     Returned,
@@ -185,7 +185,7 @@
             refuse_request(self.tables, row, refuse(Reason.CALLER_GONE, text))
 
     @take.register
-    def _(self, message: MakeRoom) -> None:
+    def _(self, message: NoFreeThread) -> None:
         refuse_least_important(self.tables)
 
     @take.register
--- a/godwitladder/scheduler/messages.py
+++ b/godwitladder/scheduler/messages.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True)
-class MakeRoom:
+class NoFreeThread:
     """The host has no thread left for one more request that waits."""
 
 
--- a/godwitladder/serving/dispatching.py
+++ b/godwitladder/serving/dispatching.py
@@ -15,7 +15,7 @@
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
 from godwitladder.scheduler.messages import (
-    MakeRoom,
+    NoFreeThread,
     NothingSent,
     Submit,
     Withdrawn,
@@ -79,7 +79,7 @@
         gone = environ.get("waitress.client_disconnected", lambda: False)
         self.scheduler.tell(Submit(call.row))
         if self.is_crowded():
-            self.scheduler.tell(MakeRoom())
+            self.scheduler.tell(NoFreeThread())
         while True:
             decision = self._await_decision(call, gone)
             if isinstance(decision, Refusal):
--- a/tests/serving/test_room.py
+++ b/tests/serving/test_room.py
@@ -7,7 +7,7 @@
 from godwitladder.clock import Clock
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, RequestState, refuse
-from godwitladder.scheduler.messages import MakeRoom, Submit
+from godwitladder.scheduler.messages import NoFreeThread, Submit
 from godwitladder.scheduler.rows import RequestRow, Tables
 from godwitladder.scheduler.systems import add_request, refuse_least_important
 from godwitladder.serving.dispatching import Dispatcher
@@ -53,4 +53,4 @@
     )
     call = SimpleNamespace(row=make_row("r", 0, 0.0), on_end=lambda state: None)
     dispatcher.serve(call, {}, lambda status, headers: None)
-    assert told == ([Submit, MakeRoom] if crowded else [Submit])
+    assert told == ([Submit, NoFreeThread] if crowded else [Submit])
