--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -62,7 +62,7 @@
         name=RouteName(str(raw["name"])),
         host=str(raw["host"]).lower(),
         prefix=str(raw["pathPrefix"]),
-        repeat=REPEATS.get(raw["kind"], Repeat.NON_IDEMPOTENT),
+        kind=REPEATS.get(raw["kind"], Repeat.NON_IDEMPOTENT),
         splits=tuple(
             Split(ServiceName(str(row["service"])), float(row["weight"]))
             for row in splits
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -59,7 +59,7 @@
     name: RouteName
     host: str
     prefix: str
-    repeat: Repeat
+    kind: Repeat
     splits: tuple[Split, ...]
     timeout_s: float
     aim_s: float
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -115,7 +115,7 @@
 def test_a_document_holds_routes_services_and_workspaces():
     document = decode_document(json.dumps(CONFIG).encode())
     letters, charge = document.routes
-    assert (letters.host, letters.repeat) == ("shop.example", Repeat.STREAM)
+    assert (letters.host, letters.kind) == ("shop.example", Repeat.STREAM)
     assert (letters.aim_s, letters.gap_s, letters.timeout_s) == (0.8, 0.4, 15.0)
     assert [split.weight for split in letters.splits] == [90, 10]
     assert letters.resumable and not charge.resumable
