--- a/godwitladder/scheduler/actor.py
+++ b/godwitladder/scheduler/actor.py
@@ -200,7 +200,7 @@
     @take.register
     def _(self, message: HostsChanged) -> None:
         self.tables.hosts = message.hosts
-        self.tables.able = message.able
+        self.tables.allocator_candidates = message.allocator_candidates
         self.tables.seen.note(message.hosts, self.clock.monotonic())
         self.tables.linked = message.linked
         choose_allocators(self.tables, self.clock.monotonic())
--- a/godwitladder/scheduler/rows.py
+++ b/godwitladder/scheduler/rows.py
@@ -227,7 +227,7 @@
     fresh: list[RequestId] = field(default_factory=list)
     queue: list[RequestRow] = field(default_factory=list)
     hosts: tuple[HostId, ...] = ()
-    able: tuple[HostId, ...] | None = None
+    allocator_candidates: tuple[HostId, ...] | None = None
     linked: Mapping[Zone, tuple[HostId, ...]] = field(default_factory=dict)
     leaving: frozenset[str] = frozenset()
     predictor: OutputPredictor = field(default_factory=OutputPredictor)
@@ -242,4 +242,8 @@
     @property
     def allocators(self) -> tuple[HostId, ...]:
         """Hosts of this zone that may be allocators."""
-        return self.hosts if self.able is None else self.able
+        return (
+            self.hosts
+            if self.allocator_candidates is None
+            else self.allocator_candidates
+        )
