--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -12,19 +12,19 @@
 from godwitladder.routing.model import (
     CallerBounds,
     Document,
-    Repeat,
     Route,
     RoutedService,
     RoutedWorkspace,
+    RouteKind,
     Split,
     TokenQuota,
 )
 from godwitladder.serving.auth import key_digest
 
 REPEATS = {
-    "idempotent": Repeat.IDEMPOTENT,
-    "non_idempotent": Repeat.NON_IDEMPOTENT,
-    "streaming": Repeat.STREAM,
+    "idempotent": RouteKind.IDEMPOTENT,
+    "non_idempotent": RouteKind.NON_IDEMPOTENT,
+    "streaming": RouteKind.STREAM,
 }
 NO_TIMEOUT_S = 3_600.0
 
@@ -62,7 +62,7 @@
         name=RouteName(str(raw["name"])),
         host=str(raw["host"]).lower(),
         prefix=str(raw["pathPrefix"]),
-        kind=REPEATS.get(raw["kind"], Repeat.NON_IDEMPOTENT),
+        kind=REPEATS.get(raw["kind"], RouteKind.NON_IDEMPOTENT),
         splits=tuple(
             Split(ServiceName(str(row["service"])), float(row["weight"]))
             for row in splits
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -28,10 +28,10 @@
 from godwitladder.routing.matching import RouteTable, choose_split, host_of
 from godwitladder.routing.model import (
     Document,
-    Repeat,
     Route,
     RoutedService,
     RoutedWorkspace,
+    RouteKind,
     TokenQuota,
 )
 from godwitladder.scheduler.gate import AdmissionGate
@@ -327,7 +327,7 @@
     The caller of a stream disconnects after a long silence, which also applies
     before the first event.
     """
-    if route.kind is Repeat.STREAM:
+    if route.kind is RouteKind.STREAM:
         silence_s = max(LEAST_SILENCE_S, AIMS * route.aim_s, GAPS * route.gap_s)
         wait_s = min(wait_s, silence_s)
     return wait_s * START_PART
@@ -335,7 +335,7 @@
 
 def may_repeat(route: Route) -> bool:
     """Return whether a request of this route may run more than once."""
-    return route.kind is Repeat.IDEMPOTENT or route.resumable
+    return route.kind is RouteKind.IDEMPOTENT or route.resumable
 
 
 def shared_start(parts: Sequence[PromptPart]) -> str:
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -11,7 +11,7 @@
 from godwitladder.ids import KeyDigest, RouteName, ServiceName, WorkspaceName
 
 
-class Repeat(enum.Enum):
+class RouteKind(enum.Enum):
     """The kind of a route's requests, which decides whether they may be retried."""
 
     IDEMPOTENT = "idempotent"
@@ -59,7 +59,7 @@
     name: RouteName
     host: str
     prefix: str
-    kind: Repeat
+    kind: RouteKind
     splits: tuple[Split, ...]
     timeout_s: float
     aim_s: float
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -15,7 +15,7 @@
 from godwitladder.platform.headers import PlatformHeaders
 from godwitladder.platform.store import StoreClient, parse_records
 from godwitladder.routing.calls import SendFacts
-from godwitladder.routing.model import Repeat
+from godwitladder.routing.model import RouteKind
 from godwitladder.serving.auth import key_digest
 from godwitladder.standins.ingress import start_store
 
@@ -115,7 +115,7 @@
 def test_a_document_holds_routes_services_and_workspaces():
     document = decode_document(json.dumps(CONFIG).encode())
     letters, charge = document.routes
-    assert (letters.host, letters.kind) == ("shop.example", Repeat.STREAM)
+    assert (letters.host, letters.kind) == ("shop.example", RouteKind.STREAM)
     assert (letters.aim_s, letters.gap_s, letters.timeout_s) == (0.8, 0.4, 15.0)
     assert [split.weight for split in letters.splits] == [90, 10]
     assert letters.resumable and not charge.resumable
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -7,14 +7,14 @@
 from godwitladder.routing.calls import PromptPart
 from godwitladder.routing.freshness import MARGIN_S, DocumentFreshness
 from godwitladder.routing.matching import RouteTable, choose_split, host_of
-from godwitladder.routing.model import Repeat, Route, Split
+from godwitladder.routing.model import Route, RouteKind, Split
 
 PARTS = st.lists(st.sampled_from(["a", "b"]), max_size=4)
 
 
 def make_route(prefix, host="h"):
     return Route(
-        prefix, host, prefix, Repeat.IDEMPOTENT, (Split("s", 1.0),), 1.0, 0.1, 1, 0
+        prefix, host, prefix, RouteKind.IDEMPOTENT, (Split("s", 1.0),), 1.0, 0.1, 1, 0
     )
 
 
