--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -116,7 +116,7 @@
             self.span,
             self.incarnation,
             hosts=(settings.host,),
-            place=settings.zone,
+            availability_zone=settings.zone,
             standing=False,
             early_fallback=True,
         )
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -304,7 +304,7 @@
         ttft_budget_s=row.ttft_deadline - now if row.ttft_deadline else math.inf,
         start_within_s=row.start_by - now,
         charge=row.charge,
-        availability_zone=tables.place,
+        availability_zone=tables.availability_zone,
         body=caller_digest(row),
         gap_s=row.gap_s,
         event_tokens=row.event_tokens,
--- a/godwitladder/scheduler/rows.py
+++ b/godwitladder/scheduler/rows.py
@@ -232,7 +232,7 @@
     leaving: frozenset[str] = frozenset()
     predictor: OutputPredictor = field(default_factory=OutputPredictor)
     stopping: bool = False
-    place: Zone = Zone("")
+    availability_zone: Zone = Zone("")
     quotas: TokenQuotas = field(default_factory=TokenQuotas)
     seen: SeenHosts = field(default_factory=SeenHosts)
     gate: AdmissionGate = field(default_factory=AdmissionGate)
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -225,7 +225,7 @@
     Only targets of its own availability zone: of the others it can't tell whether
     they are beyond the same cut.
     """
-    near = target.target.place == tables.place
+    near = target.target.place == tables.availability_zone
     return near and is_left_alone(tables, access, now)
 
 
--- a/tests/scheduler/test_silence.py
+++ b/tests/scheduler/test_silence.py
@@ -17,7 +17,7 @@
     far = replace(config.targets["e0"], place="a")
     config = replace(config, targets={"e0": far, "e1": near})
     tables = make_tables("h0", ("h0", "h1"), config)
-    tables.place = "b"
+    tables.availability_zone = "b"
     tables.early_fallback = True
     update_targets(tables)
     for access in tables.pools.values():
