--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -46,7 +46,7 @@
         stream; 0 for none.
     gap_s : float
         Latency objective between two events of a stream, in seconds; 0 for none.
-    max_sends : int
+    max_attempts : int
         Maximum number of targets that one request may be sent to.
     rank : int
         Rank of the requests; 0 is the most important.
@@ -63,7 +63,7 @@
     splits: tuple[Split, ...]
     timeout_s: float
     aim_s: float
-    max_sends: int
+    max_attempts: int
     rank: int
     public: bool = False
     resumable: bool = False
--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -295,7 +295,7 @@
         """Return whether one more send is within all bounds."""
         if self.open.cause is not None or self.left_s() < LEAST_S:
             return False
-        if self.sends >= self.call.route.max_sends:
+        if self.sends >= self.call.route.max_attempts:
             return False
         now = self.clock.monotonic()
         return self.passer.budget.take(self.call.row.service, self.passer.hosts(), now)
