--- a/bench/region.py
+++ b/bench/region.py
@@ -38,7 +38,7 @@
 )
 from godwitladder.scheduler.role import PoolRole
 from godwitladder.scheduler.rows import RequestRow, Tables
-from godwitladder.scheduler.stretches import note_progress
+from godwitladder.scheduler.stretches import record_progress
 from godwitladder.scheduler.systems import (
     add_request,
     finish_request,
@@ -426,7 +426,7 @@
             return
         call.first = self.now
         note_read(self.tables, row)
-        note_progress(self.tables, row, 1, self.now)
+        record_progress(self.tables, row, 1, self.now)
         grow_request(self.tables, row, 1)
         self.wake()
 
--- a/godwitladder/scheduler/actor.py
+++ b/godwitladder/scheduler/actor.py
@@ -35,7 +35,7 @@
     update_targets,
 )
 from godwitladder.scheduler.rows import Tables
-from godwitladder.scheduler.stretches import note_progress
+from godwitladder.scheduler.stretches import record_progress
 from godwitladder.scheduler.systems import (
     add_request,
     finish_request,
@@ -168,7 +168,7 @@
         row = self.tables.running.get(message.request)
         if row:
             note_read(self.tables, row)
-            note_progress(self.tables, row, message.tokens, self.clock.monotonic())
+            record_progress(self.tables, row, message.tokens, self.clock.monotonic())
             grow_request(self.tables, row, message.tokens)
 
     @take.register
--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -8,7 +8,7 @@
 from godwitladder.ids import RequestId
 from godwitladder.outcomes import RequestState
 from godwitladder.scheduler.exchange import Completion, ThroughputSample
-from godwitladder.scheduler.stretches import note_progress
+from godwitladder.scheduler.stretches import record_progress
 from godwitladder.scheduler.systems import (
     dispatch_request,
     finish_request,
@@ -56,7 +56,7 @@
 
 
 def progress(desk, row, tokens, now):
-    note_progress(desk.hosts["h1"], row, tokens, now)
+    record_progress(desk.hosts["h1"], row, tokens, now)
     grow_request(desk.hosts["h1"], row, tokens)
 
 
