--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -99,7 +99,7 @@
         quota=TokenQuota(
             rate=float(raw.get("ratePerS") or 0),
             burst=float(raw.get("burst") or 0),
-            plain_tokens=int(raw.get("plainTokens") or 1),
+            default_tokens=int(raw.get("plainTokens") or 1),
         ),
     )
 
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -350,7 +350,7 @@
 
 def charge_of(facts: CallFacts, quota: TokenQuota) -> int:
     """Return the tokens that a request is charged to its workspace's quota."""
-    return facts.prompt_tokens + facts.output_tokens or quota.plain_tokens
+    return facts.prompt_tokens + facts.output_tokens or quota.default_tokens
 
 
 def read_headers(environ: Mapping) -> Headers:
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -106,7 +106,7 @@
 
     rate: float = 0.0
     burst: float = 0.0
-    plain_tokens: int = 1
+    default_tokens: int = 1
 
 
 @dataclass(frozen=True)
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -123,7 +123,7 @@
     assert document.services["letters"].event_tokens == 6
     workspace = document.workspace_of[key_digest("k2")]
     assert (workspace.name, workspace.rank) == ("w1", 1)
-    assert workspace.quota.plain_tokens == 200
+    assert workspace.quota.default_tokens == 200
     assert "k2" not in repr(document)
 
 
