--- a/bench/region.py
+++ b/bench/region.py
@@ -43,7 +43,7 @@
     add_request,
     finish_request,
     grow_request,
-    note_read,
+    record_first_output,
     refuse_request,
     run_systems,
 )
@@ -425,7 +425,7 @@
         if call is None or row.state is not RequestState.DISPATCHED:
             return
         call.first = self.now
-        note_read(self.tables, row)
+        record_first_output(self.tables, row)
         record_progress(self.tables, row, 1, self.now)
         grow_request(self.tables, row, 1)
         self.wake()
--- a/godwitladder/scheduler/actor.py
+++ b/godwitladder/scheduler/actor.py
@@ -40,7 +40,7 @@
     add_request,
     finish_request,
     grow_request,
-    note_read,
+    record_first_output,
     refuse_least_important,
     refuse_request,
     return_request,
@@ -167,7 +167,7 @@
     def _(self, message: Progress) -> None:
         row = self.tables.running.get(message.request)
         if row:
-            note_read(self.tables, row)
+            record_first_output(self.tables, row)
             record_progress(self.tables, row, message.tokens, self.clock.monotonic())
             grow_request(self.tables, row, message.tokens)
 
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -348,7 +348,7 @@
         insort(tables.queue, row, key=attrgetter("order"))
 
 
-def note_read(tables: Tables, row: RequestRow) -> None:
+def record_first_output(tables: Tables, row: RequestRow) -> None:
     """Take in that a target has read a prompt, which the allocator waits for."""
     target = tables.targets.get(row.target)
     if target and not row.first_token:
--- a/godwitladder/serving/retries.py
+++ b/godwitladder/serving/retries.py
@@ -79,7 +79,7 @@
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
         self.originals: OrderedDict[KeyDigest, OriginalRequest] = OrderedDict()
-        self.bytes = 0
+        self.retained_bytes = 0
         self.lock = threading.Lock()
 
     def find_or_add(
@@ -100,7 +100,7 @@
                 return
             first.ended = self.now()
             self.originals.move_to_end(key)
-            self.bytes += len(first.body or b"")
+            self.retained_bytes += len(first.body or b"")
             self._evict()
 
     def discard(self, key: KeyDigest, first: OriginalRequest) -> None:
@@ -114,11 +114,11 @@
         oldest = self.now() - RETENTION_S
         for key, first in list(self.originals.items()):
             if first.ended and (
-                first.ended < oldest or self.bytes > MAX_RETAINED_BYTES
+                first.ended < oldest or self.retained_bytes > MAX_RETAINED_BYTES
             ):
                 self._remove(key)
 
     def _remove(self, key: KeyDigest) -> None:
         first = self.originals.pop(key)
         if first.ended:
-            self.bytes -= len(first.body or b"")
+            self.retained_bytes -= len(first.body or b"")
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -90,7 +90,7 @@
         assert is_first
         first.record_answer([part])
         repeats.retain(f"key-{index}", first)
-    assert repeats.bytes <= MAX_RETAINED_BYTES
+    assert repeats.retained_bytes <= MAX_RETAINED_BYTES
     assert not repeats.find_or_add("key-7", "body")[1]
     now[0] += RETENTION_S + 1
     last, _ = repeats.find_or_add("last", "body")
--- a/tests/scheduler/overload.py
+++ b/tests/scheduler/overload.py
@@ -9,7 +9,11 @@
 from godwitladder.scheduler.reports import due_reports, take_offer
 from godwitladder.scheduler.role import PoolRole
 from godwitladder.scheduler.rows import Dispatch, RequestRow, Tables
-from godwitladder.scheduler.systems import finish_request, note_read, run_systems
+from godwitladder.scheduler.systems import (
+    finish_request,
+    record_first_output,
+    run_systems,
+)
 from tests.scheduler.desk import (
     START,
     make_config,
@@ -140,7 +144,7 @@
                 self.answered[int(self.now - START)] += 1
                 continue
             if self.now - started >= PREFILL_S and not row.first_token:
-                note_read(tables, row)
+                record_first_output(tables, row)
                 row.first_token = self.now
             kept.append((started, tables, row))
         self.running = kept
