--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -50,7 +50,7 @@
             routes=tuple(map(_route, raw.get("routes") or ())),
             services={row.name: row for row in services},
             workspaces={row.name: row for row in workspaces},
-            bounds=_bounds(raw.get("limits") or {}),
+            limits=_bounds(raw.get("limits") or {}),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise BadDocument(f"invalid configuration: {error!r}") from error
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -195,7 +195,7 @@
         workspace = self.find_workspace(document, route, facts, current)
         service = choose_split(route.splits, random.random()).service
         self.need_open((service, workspace.name), facts)
-        body = read_body(environ, document.bounds.body_bytes)
+        body = read_body(environ, document.limits.body_bytes)
         digest = digest_call(workspace.name, path, body)
         held_s = self.passer.losses.held_s(digest)
         if held_s > 0:
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -158,7 +158,7 @@
     routes: tuple[Route, ...] = ()
     services: Mapping[ServiceName, RoutedService] = field(default_factory=dict)
     workspaces: Mapping[WorkspaceName, RoutedWorkspace] = field(default_factory=dict)
-    bounds: CallerBounds = CallerBounds()
+    limits: CallerBounds = CallerBounds()
 
     def __post_init__(self) -> None:
         self.__dict__["workspace_of"] = {
