--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -10,7 +10,7 @@
 
 from godwitladder.ids import KeyDigest, RouteName, ServiceName, WorkspaceName
 from godwitladder.routing.model import (
-    CallerBounds,
+    CallerLimits,
     Document,
     Route,
     RoutedService,
@@ -104,9 +104,9 @@
     )
 
 
-def _bounds(raw: dict[str, Any]) -> CallerBounds:
-    default = CallerBounds()
-    return CallerBounds(
+def _bounds(raw: dict[str, Any]) -> CallerLimits:
+    default = CallerLimits()
+    return CallerLimits(
         header_bytes=int(raw.get("maxHeaderBytes") or default.header_bytes),
         body_bytes=int(raw.get("maxBodyBytes") or default.body_bytes),
         idle_s=_seconds(raw.get("idleTimeoutMs")) or default.idle_s,
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -126,7 +126,7 @@
 
 
 @dataclass(frozen=True)
-class CallerBounds:
+class CallerLimits:
     """Limits on callers.
 
     Attributes
@@ -158,7 +158,7 @@
     routes: tuple[Route, ...] = ()
     services: Mapping[ServiceName, RoutedService] = field(default_factory=dict)
     workspaces: Mapping[WorkspaceName, RoutedWorkspace] = field(default_factory=dict)
-    limits: CallerBounds = CallerBounds()
+    limits: CallerLimits = CallerLimits()
 
     def __post_init__(self) -> None:
         self.__dict__["workspace_of"] = {
