--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -252,7 +252,7 @@
         CallRefused
             The key is missing or unknown, or the document is too old.
         """
-        if route.public or not document.keyed:
+        if route.public or not document.requires_keys:
             return NO_WORKSPACE
         self.need_current(current)
         workspace = document.workspace_of.get(key_digest(facts.key))
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -168,6 +168,6 @@
         }
 
     @property
-    def keyed(self) -> bool:
+    def requires_keys(self) -> bool:
         """Return whether any requests need a key."""
         return bool(self.workspaces)
