--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -36,7 +36,7 @@
 from godwitladder.ids import HostId, TargetName
 from godwitladder.logs import component_logger
 from godwitladder.routing.freshness import DocumentFreshness
-from godwitladder.routing.model import Document
+from godwitladder.routing.model import RoutingDocument
 
 log = component_logger("feed")
 
@@ -85,7 +85,7 @@
     """
 
     version: int
-    document: Document
+    document: RoutingDocument
     targets: tuple
     held_back: frozenset[TargetName] = frozenset()
 
@@ -144,7 +144,7 @@
         self.table = TargetTable()
         self.newest_documents: dict[str, Record] = {}
         self.newest_entries: dict[str, Record] = {}
-        self.document = Document()
+        self.document = RoutingDocument()
         self.desk = RolloutDesk(source)
         self.next_document = -1
         self.next_entry = -1
--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -11,11 +11,11 @@
 from godwitladder.ids import KeyDigest, RouteName, ServiceName, WorkspaceName
 from godwitladder.routing.model import (
     CallerLimits,
-    Document,
     Route,
     RoutedService,
     RoutedWorkspace,
     RouteKind,
+    RoutingDocument,
     Split,
     TokenQuota,
 )
@@ -33,7 +33,7 @@
     """The bytes are not a valid configuration."""
 
 
-def decode_document(data: bytes) -> Document:
+def decode_document(data: bytes) -> RoutingDocument:
     """Return the configuration in ``data``.
 
     Raises
@@ -45,7 +45,7 @@
         raw = json.loads(data)
         services = map(_service, raw.get("services") or ())
         workspaces = map(_workspace, raw.get("tenants") or ())
-        return Document(
+        return RoutingDocument(
             version=int(raw["version"]),
             routes=tuple(map(_route, raw.get("routes") or ())),
             services={row.name: row for row in services},
--- a/godwitladder/platform/source.py
+++ b/godwitladder/platform/source.py
@@ -19,7 +19,7 @@
     is_rollout,
 )
 from godwitladder.platform.store import StoreClient
-from godwitladder.routing.model import Document
+from godwitladder.routing.model import RoutingDocument
 
 log = component_logger("platform")
 
@@ -67,7 +67,7 @@
         value = json.dumps([host.zone, host.leaving]).encode()
         self.store.append(names.HOSTS_TOPIC, host.address, value)
 
-    def decode_document(self, record: Record) -> Document | None:
+    def decode_document(self, record: Record) -> RoutingDocument | None:
         """Return the configuration in ``record``; None if it is missing or invalid."""
         if record.key != names.CONFIG_KEY or not record.value:
             return None
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -27,11 +27,11 @@
 from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.matching import RouteTable, choose_split, host_of
 from godwitladder.routing.model import (
-    Document,
     Route,
     RoutedService,
     RoutedWorkspace,
     RouteKind,
+    RoutingDocument,
     TokenQuota,
 )
 from godwitladder.scheduler.gate import AdmissionGate
@@ -72,11 +72,11 @@
 class InForce:
     """A routing document with its routes indexed for look-up."""
 
-    document: Document
+    document: RoutingDocument
     routes: RouteTable
 
 
-def put_in_force(document: Document) -> InForce:
+def put_in_force(document: RoutingDocument) -> InForce:
     """Return ``document`` with its routes indexed for look-up."""
     return InForce(document, RouteTable(document.routes))
 
@@ -127,7 +127,7 @@
         self.freshness = freshness
         self.clock = clock
         self.metrics = metrics
-        self.in_force = put_in_force(Document())
+        self.in_force = put_in_force(RoutingDocument())
         self.refusing = False
 
     def answer(self, environ: Mapping, start_response) -> Iterable[bytes]:
@@ -240,7 +240,7 @@
             raise _refused(Reason.NO_CONFIG, text, UNKNOWN_RETRY_S)
 
     def find_workspace(
-        self, document: Document, route: Route, facts: CallFacts, current: bool
+        self, document: RoutingDocument, route: Route, facts: CallFacts, current: bool
     ) -> RoutedWorkspace:
         """Return the workspace that the call's bearer key belongs to.
 
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -143,7 +143,7 @@
 
 
 @dataclass(frozen=True)
-class Document:
+class RoutingDocument:
     """A routing document at one version.
 
     Attributes
--- a/godwitladder/routing/state.py
+++ b/godwitladder/routing/state.py
@@ -12,7 +12,7 @@
 from godwitladder.discovery.feed import StoreView
 from godwitladder.discovery.targets import TargetEntry
 from godwitladder.ids import Offset, TierName, Zone
-from godwitladder.routing.model import Document, RoutedService
+from godwitladder.routing.model import RoutedService, RoutingDocument
 
 TIER = TierName("all")
 PREFILL_TPS = 60_000.0
@@ -49,7 +49,7 @@
 
 
 def make_target(
-    entry: TargetEntry, document: Document, span: Zone, unproved: bool = False
+    entry: TargetEntry, document: RoutingDocument, span: Zone, unproved: bool = False
 ) -> Target:
     """Return the scheduler's object for a target.
 
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -24,7 +24,7 @@
 from godwitladder.discovery.targets import RETURN_S, TargetEntry, TargetTable
 from godwitladder.membership.codec import decode, encode
 from godwitladder.routing.freshness import DocumentFreshness
-from godwitladder.routing.model import Document
+from godwitladder.routing.model import RoutingDocument
 
 ONE = TargetEntry("e1", "letters", "10.0.0.1:1", "a", 8)
 TWO = TargetEntry("e2", "letters", "10.0.0.2:1", "a", 8)
@@ -66,7 +66,7 @@
         self.documents.append(record)
 
     def decode_document(self, record):
-        return Document(version=int(record.value))
+        return RoutingDocument(version=int(record.value))
 
     def decode_entry(self, record):
         return KNOWN.get(record.value)
