--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -29,7 +29,7 @@
 NO_TIMEOUT_S = 3_600.0
 
 
-class BadDocument(ValueError):
+class InvalidDocument(ValueError):
     """The bytes are not a valid configuration."""
 
 
@@ -38,7 +38,7 @@
 
     Raises
     ------
-    BadDocument
+    InvalidDocument
         ``data`` is not a valid configuration.
     """
     try:
@@ -53,7 +53,7 @@
             limits=_bounds(raw.get("limits") or {}),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise BadDocument(f"invalid configuration: {error!r}") from error
+        raise InvalidDocument(f"invalid configuration: {error!r}") from error
 
 
 def _route(raw: dict[str, Any]) -> Route:
--- a/godwitladder/platform/source.py
+++ b/godwitladder/platform/source.py
@@ -11,7 +11,7 @@
 from godwitladder.logs import component_logger
 from godwitladder.membership.contacts import ListedHost
 from godwitladder.platform import names
-from godwitladder.platform.documents import BadDocument, decode_document
+from godwitladder.platform.documents import InvalidDocument, decode_document
 from godwitladder.platform.entries import decode_entry
 from godwitladder.platform.rollouts import (
     decode_rollout,
@@ -73,7 +73,7 @@
             return None
         try:
             return decode_document(record.value)
-        except BadDocument as error:
+        except InvalidDocument as error:
             log.warning("A configuration is invalid", extra={"error": str(error)})
             return None
 
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -10,7 +10,7 @@
 from returns.result import Failure
 
 from godwitladder.discovery.source import StoreTrimmed, StoreUnavailable
-from godwitladder.platform.documents import BadDocument, decode_document
+from godwitladder.platform.documents import InvalidDocument, decode_document
 from godwitladder.platform.entries import decode_entry
 from godwitladder.platform.headers import PlatformHeaders
 from godwitladder.platform.store import StoreClient, parse_records
@@ -129,7 +129,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b"\xff", b'{"version": "x"}'])
 def test_what_is_no_document_is_refused(data):
-    with pytest.raises(BadDocument):
+    with pytest.raises(InvalidDocument):
         decode_document(data)
 
 
