--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -69,16 +69,16 @@
 
 
 @dataclass(frozen=True)
-class InForce:
+class IndexedDocument:
     """A routing document with its routes indexed for look-up."""
 
     document: RoutingDocument
     routes: RouteTable
 
 
-def put_in_force(document: RoutingDocument) -> InForce:
+def put_in_force(document: RoutingDocument) -> IndexedDocument:
     """Return ``document`` with its routes indexed for look-up."""
-    return InForce(document, RouteTable(document.routes))
+    return IndexedDocument(document, RouteTable(document.routes))
 
 
 class RoutedApp(CountedApp):
@@ -103,7 +103,7 @@
 
     Attributes
     ----------
-    in_force : InForce
+    in_force : IndexedDocument
         The active document, always replaced as a whole.
     refusing : bool
         Whether new calls are refused because the host is about to stop.
