--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -76,7 +76,7 @@
     routes: RouteTable
 
 
-def put_in_force(document: RoutingDocument) -> IndexedDocument:
+def index_document(document: RoutingDocument) -> IndexedDocument:
     """Return ``document`` with its routes indexed for look-up."""
     return IndexedDocument(document, RouteTable(document.routes))
 
@@ -127,7 +127,7 @@
         self.freshness = freshness
         self.clock = clock
         self.metrics = metrics
-        self.in_force = put_in_force(RoutingDocument())
+        self.in_force = index_document(RoutingDocument())
         self.refusing = False
 
     def answer(self, environ: Mapping, start_response) -> Iterable[bytes]:
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -36,7 +36,7 @@
 from godwitladder.membership.messages import Heartbeat
 from godwitladder.membership.router import Router
 from godwitladder.metrics import Metrics
-from godwitladder.routing.app import ReadinessApp, RoutedApp, put_in_force
+from godwitladder.routing.app import ReadinessApp, RoutedApp, index_document
 from godwitladder.routing.calls import HeaderForm
 from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.settings import RoutedSettings, read_routed_settings
@@ -349,7 +349,7 @@
         self.scheduler.tell(NewConfig(state))
         self.allocator.tell(NewConfig(state))
         if view.document is not self.app.in_force.document:
-            self.app.in_force = put_in_force(view.document)
+            self.app.in_force = index_document(view.document)
         self.metrics.config_offset.set({}, view.document.version)
 
     def publish_members(self, message: HostsChanged | TargetsLeaving) -> None:
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -13,7 +13,7 @@
 from godwitladder.outcomes import Reason, RequestState, refuse
 from godwitladder.platform.documents import decode_document
 from godwitladder.platform.headers import PlatformHeaders
-from godwitladder.routing.app import RoutedApp, put_in_force
+from godwitladder.routing.app import RoutedApp, index_document
 from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.scheduler.messages import Finished, Returned, ReturnProof, Submit
 from godwitladder.scheduler.rows import Dispatch
@@ -129,7 +129,7 @@
         )
         self.app = RoutedApp(form, passer, self.freshness, self.clock, Metrics())
         document = decode_document(json.dumps(CONFIG | {"routes": ROUTES}).encode())
-        self.app.in_force = put_in_force(document)
+        self.app.in_force = index_document(document)
 
     def call(self, path, method="POST", body=b"", gone=lambda: False, **headers):
         environ = {
@@ -207,7 +207,7 @@
 
 def test_a_host_without_a_document_promises_nothing(stack):
     bench = Bench(stack)
-    bench.app.in_force = put_in_force(type(bench.app.in_force.document)())
+    bench.app.in_force = index_document(type(bench.app.in_force.document)())
     assert bench.call("/charge/x").status == 503
 
 
