--- a/bench/ticks.py
+++ b/bench/ticks.py
@@ -83,7 +83,7 @@
     times = []
     for _ in range(ROUNDS):
         now += HEARTBEAT_S
-        access.answered = now
+        access.answered_at = now
         access.allowed_until = now + 1.0
         if free:
             running = tables.targets["engine-0"].running
--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -119,7 +119,7 @@
     term: int = 0
     seen: int = 0
     number: int = 0
-    answered: float = 0.0
+    answered_at: float = 0.0
     echoed: int = 0
     unanswered: tuple[int, float] = (0, 0.0)
     silent_since: float | None = None
@@ -151,7 +151,7 @@
         if allocator == self.allocator:
             return
         self.allocator = allocator
-        self.answered = now
+        self.answered_at = now
         self.unanswered = (0, 0.0)
         self.outstanding.clear()
         self.dirty = True
@@ -174,7 +174,7 @@
         if offer.number <= self.seen:
             return False
         self.seen = offer.number
-        self.answered = now
+        self.answered_at = now
         self.echoed = max(self.echoed, offer.acked_report)
         if self.echoed >= self.unanswered[0]:
             self.unanswered = (0, 0.0)
@@ -193,7 +193,7 @@
     def next_number(self, now: float) -> int:
         """Return the number of a report that is sent now."""
         if now - self.reported > ALLOCATOR_TIMEOUT_S:
-            self.answered = now
+            self.answered_at = now
         self.number += 1
         self.reported = now
         self.dirty = False
@@ -219,7 +219,7 @@
 
         One that was not asked for a while has had no reason to answer.
         """
-        silent = now - self.answered > ALLOCATOR_TIMEOUT_S
+        silent = now - self.answered_at > ALLOCATOR_TIMEOUT_S
         asking = now - self.reported <= ALLOCATOR_TIMEOUT_S
         return self.allocator is None or (silent and asking)
 
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -177,7 +177,9 @@
     """
     book = tables.quotas
     book.share = 1.0 / tables.seen.count_recent(now)
-    book.discard_stale_bucket(row.workspace, tables.by_service[row.service][0].answered)
+    book.discard_stale_bucket(
+        row.workspace, tables.by_service[row.service][0].answered_at
+    )
     wait_s = book.wait_s(row.workspace, row.charge, now)
     if wait_s > 0:
         refuse_request(tables, row, refuse(Reason.QUOTA, OVER_QUOTA, wait_s))
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -181,7 +181,7 @@
     desk, now = settled({"e0": 4})
     tables = desk.hosts["h1"]
     rows = [submit(tables, make_request(f"r{n}", now)) for n in range(4)]
-    answered = tables.pools[desk.pool].answered
+    answered = tables.pools[desk.pool].answered_at
     for _ in range(24):
         now += 0.2
         desk.tick("h1", now)
