--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -96,7 +96,7 @@
         Time source.
     metrics : Metrics
         Counts the refused calls.
-    most_calls : int
+    max_open_calls : int
         Limit on open calls. A few threads beyond it refuse the remaining calls.
     gate : AdmissionGate or None
         Refuses calls before an allocator is asked; None admits all.
@@ -116,11 +116,11 @@
         freshness: DocumentFreshness,
         clock: Clock,
         metrics: Metrics,
-        most_calls: int = UNBOUNDED,
+        max_open_calls: int = UNBOUNDED,
         gate: AdmissionGate | None = None,
     ) -> None:
         super().__init__()
-        self.most_calls = most_calls
+        self.max_open_calls = max_open_calls
         self.gate = gate or AdmissionGate()
         self.form = form
         self.passer = passer
@@ -179,7 +179,7 @@
             raise _refused(Reason.STOPPING, "This host is stopping.", STOPPING_RETRY_S)
         # With all threads busy, a call would wait in the socket's queue, and its
         # caller would get no answer until its deadline.
-        if self.open_calls > self.most_calls:
+        if self.open_calls > self.max_open_calls:
             raise _refused(Reason.SHED, "This host is full.", FULL_RETRY_S)
         if document.version < 0:
             raise _refused(Reason.NO_CONFIG, "No document is known.", UNKNOWN_RETRY_S)
--- a/tests/routing/test_full.py
+++ b/tests/routing/test_full.py
@@ -22,7 +22,7 @@
         DocumentFreshness(5.0),
         ManualClock(),
         Metrics(),
-        most_calls=2,
+        max_open_calls=2,
     )
     app.open_calls = 2
     status, headers, body = ask(app)
