--- a/bench/ticks.py
+++ b/bench/ticks.py
@@ -84,7 +84,7 @@
     for _ in range(ROUNDS):
         now += HEARTBEAT_S
         access.answered_at = now
-        access.allowed_until = now + 1.0
+        access.allowances_expire_at = now + 1.0
         if free:
             running = tables.targets["engine-0"].running
             allowance = Allowance("engine-0", running + 1, 1_000_000)
--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -129,7 +129,7 @@
         default_factory=lambda: deque(maxlen=MOST_OUTSTANDING)
     )
     allowances: dict[TargetName, Allowance] = field(default_factory=dict)
-    allowed_until: float = 0.0
+    allowances_expire_at: float = 0.0
     grants: dict[RequestId, HeldGrant] = field(default_factory=dict)
     completions: list[Completion] = field(default_factory=list)
     throughput_samples: dict[tuple[TargetName, bool], ThroughputSample] = field(
@@ -181,7 +181,7 @@
         while self.outstanding and self.outstanding[0][0] <= self.echoed:
             self.outstanding.popleft()
         self.allowances = {row.target: row for row in offer.allowances}
-        self.allowed_until = offer.expires_s
+        self.allowances_expire_at = offer.expires_s
         for grant in offer.grants:
             self.grants[grant.request] = HeldGrant(grant, offer.expires_s)
         self.dirty |= offer.report_now or bool(offer.grants)
@@ -206,7 +206,7 @@
         process, is void: the allocator takes it that a report sent from now
         on leaves it out, and gives the slot to another host.
         """
-        if self.allowed_until <= now:
+        if self.allowances_expire_at <= now:
             self.allowances = {}
         for request, held in list(self.grants.items()):
             if held.until <= now:
