--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -25,7 +25,7 @@
     RoutedCall,
 )
 from godwitladder.routing.freshness import DocumentFreshness
-from godwitladder.routing.matching import RouteTable, choose_split, host_of
+from godwitladder.routing.matching import RouteTable, choose_split, parse_host_header
 from godwitladder.routing.model import (
     Route,
     RoutedService,
@@ -185,7 +185,7 @@
             raise _refused(Reason.NO_CONFIG, "No document is known.", UNKNOWN_RETRY_S)
         path = environ.get("REQUEST_URI") or environ["PATH_INFO"]
         route = in_force.routes.find(
-            host_of(environ.get("HTTP_HOST", "")), path.partition("?")[0]
+            parse_host_header(environ.get("HTTP_HOST", "")), path.partition("?")[0]
         )
         current = self.freshness.is_fresh(self.clock.boottime())
         if route is None:
--- a/godwitladder/routing/matching.py
+++ b/godwitladder/routing/matching.py
@@ -53,7 +53,7 @@
     return splits[-1]
 
 
-def host_of(header: str) -> str:
+def parse_host_header(header: str) -> str:
     """Return the host name in a Host header, in lower case and without the port."""
     name, colon, port = header.rpartition(":")
     return (name if colon and port.isdigit() else header).lower()
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -6,7 +6,7 @@
 from godwitladder.routing.app import shared_start
 from godwitladder.routing.calls import PromptPart
 from godwitladder.routing.freshness import MARGIN_S, DocumentFreshness
-from godwitladder.routing.matching import RouteTable, choose_split, host_of
+from godwitladder.routing.matching import RouteTable, choose_split, parse_host_header
 from godwitladder.routing.model import Route, RouteKind, Split
 
 PARTS = st.lists(st.sampled_from(["a", "b"]), max_size=4)
@@ -32,7 +32,7 @@
 
 
 def test_hosts_are_compared_without_case_and_port():
-    assert host_of("Shop.Example:8080") == "shop.example"
+    assert parse_host_header("Shop.Example:8080") == "shop.example"
 
 
 def test_a_split_follows_its_weights():
