--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -113,7 +113,7 @@
     """
 
     pool: Pool
-    home: bool
+    is_local: bool
     allocator: HostId | None = None
     holder: HostId | None = None
     term: int = 0
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -93,8 +93,10 @@
     knows its zone's allocator and passes messages on.
     """
     for name, access in tables.pools.items():
-        hosts = tables.allocators if access.home else tables.linked.get(name.zone, ())
-        key = pool_key(name) if access.home else tables.host
+        hosts = (
+            tables.allocators if access.is_local else tables.linked.get(name.zone, ())
+        )
+        key = pool_key(name) if access.is_local else tables.host
         access.ask(choose_host(hosts, key), now)
 
 
@@ -149,7 +151,7 @@
     is silent: hundreds of idle hosts would take most of their allocator's time.
     One that was not answered yet says again what its workspaces have spent.
     """
-    if access.home and (tables.standing or access.holder is None):
+    if access.is_local and (tables.standing or access.holder is None):
         return True
     if access.asked or access.grants:
         return True
@@ -326,7 +328,7 @@
         return
     if not access.take(offer, now):
         return
-    if access.home:
+    if access.is_local:
         tables.gate.set(offer.pool, offer.shares, now)
     for request in offer.spill:
         row = tables.waiting.get(request)
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -233,7 +233,7 @@
 
 def is_left_alone(tables: Tables, access: PoolAccess, now: float) -> bool:
     """Return whether the allocator of this host's zone is silent for a moment."""
-    return tables.early_fallback and access.home and access.is_unanswered(now)
+    return tables.early_fallback and access.is_local and access.is_unanswered(now)
 
 
 def sharing(tables: Tables, access: PoolAccess) -> tuple[HostId, ...]:
@@ -242,11 +242,11 @@
     A pool of another zone is used unasked only where this zone has none of
     its own and no host of the other zone is in sight.
     """
-    if access.home:
+    if access.is_local:
         return tables.hosts or (tables.host,)
     if tables.linked.get(access.pool.name.zone):
         return ()
-    if any(tables.by_service[name][0].home for name in access.pool.services):
+    if any(tables.by_service[name][0].is_local for name in access.pool.services):
         return ()
     others = [host for hosts in tables.linked.values() for host in hosts]
     return tuple({tables.host, *tables.hosts, *others})
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -241,7 +241,7 @@
 
 def shed(tables, request, now, number, grants=()):
     """Deliver a shed of ``request`` from the allocator of the host's own zone."""
-    home = next(access for access in tables.pools.values() if access.home)
+    home = next(access for access in tables.pools.values() if access.is_local)
     order = Shed("h0", request, ShedReason.OVERLOAD, 3.0)
     offer = GrantOffer(
         "h0", 1, "h0", home.pool.name, 1, number, 0, now + 1, sheds=(order,)
