--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -68,7 +68,7 @@
             for row in splits
         ),
         timeout_s=_seconds(raw.get("timeoutMs")) or NO_TIMEOUT_S,
-        aim_s=_seconds(raw.get("targetLatencyMs")),
+        ttft_budget_s=_seconds(raw.get("targetLatencyMs")),
         max_attempts=max(1, int(raw.get("maxAttempts") or 1)),
         rank=int(raw.get("priority") or 0),
         public=bool(raw.get("public")),
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -292,8 +292,8 @@
             prefix=shared_start(facts.parts),
         )
         row.start_by = now + start_within_s(route, wait_s)
-        if route.aim_s:
-            row.ttft_deadline = now + route.aim_s
+        if route.ttft_budget_s:
+            row.ttft_deadline = now + route.ttft_budget_s
         row.gap_s, row.event_tokens = route.gap_s, known.event_tokens
         row.charge = charge_of(facts, workspace.quota)
         return RoutedCall(
@@ -328,7 +328,7 @@
     before the first event.
     """
     if route.kind is RouteKind.STREAM:
-        silence_s = max(LEAST_SILENCE_S, AIMS * route.aim_s, GAPS * route.gap_s)
+        silence_s = max(LEAST_SILENCE_S, AIMS * route.ttft_budget_s, GAPS * route.gap_s)
         wait_s = min(wait_s, silence_s)
     return wait_s * START_PART
 
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -62,7 +62,7 @@
     kind: RouteKind
     splits: tuple[Split, ...]
     timeout_s: float
-    aim_s: float
+    ttft_budget_s: float
     max_attempts: int
     rank: int
     public: bool = False
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -116,7 +116,7 @@
     document = decode_document(json.dumps(CONFIG).encode())
     letters, charge = document.routes
     assert (letters.host, letters.kind) == ("shop.example", RouteKind.STREAM)
-    assert (letters.aim_s, letters.gap_s, letters.timeout_s) == (0.8, 0.4, 15.0)
+    assert (letters.ttft_budget_s, letters.gap_s, letters.timeout_s) == (0.8, 0.4, 15.0)
     assert [split.weight for split in letters.splits] == [90, 10]
     assert letters.resumable and not charge.resumable
     assert charge.splits[0].service == "core"
