--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -142,7 +142,7 @@
     fates: Counter[GrantFate] = field(default_factory=Counter)
     history: SpendingHistory = field(default_factory=SpendingHistory)
 
-    def ask(self, allocator: HostId | None, now: float) -> None:
+    def set_allocator(self, allocator: HostId | None, now: float) -> None:
         """Report to ``allocator`` from now on.
 
         What another one gave is dropped: the new one must be able to count
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -97,7 +97,7 @@
             tables.allocators if access.is_local else tables.linked.get(name.zone, ())
         )
         key = pool_key(name) if access.is_local else tables.host
-        access.ask(choose_host(hosts, key), now)
+        access.set_allocator(choose_host(hosts, key), now)
 
 
 def due_reports(tables: Tables, now: float) -> list[tuple[HostId, PoolReport]]:
--- a/tests/scheduler/desk.py
+++ b/tests/scheduler/desk.py
@@ -141,7 +141,7 @@
     def point(self, host: str, holder: str, now: float) -> None:
         """Let a host take ``holder`` for the allocator."""
         access = self.hosts[host].pools[self.pool]
-        access.ask(HostId(holder), now)
+        access.set_allocator(HostId(holder), now)
 
 
 def make_desk(slots: dict[str, int], hosts: tuple[str, ...], holders=("h0",)) -> Desk:
--- a/tests/scheduler/test_silence.py
+++ b/tests/scheduler/test_silence.py
@@ -21,7 +21,7 @@
     tables.early_fallback = True
     update_targets(tables)
     for access in tables.pools.values():
-        access.ask("h1", START)
+        access.set_allocator("h1", START)
     return tables
 
 
