--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -305,7 +305,7 @@
             headers=headers,
             body=body,
             workspace=workspace.name,
-            until=row.deadline,
+            deadline=row.deadline,
             event_tokens=known.event_tokens,
         )
 
--- a/godwitladder/routing/calls.py
+++ b/godwitladder/routing/calls.py
@@ -152,6 +152,6 @@
     headers: Headers
     body: bytes
     workspace: str
-    until: float
+    deadline: float
     event_tokens: int = 1
     on_end: Callable[[RequestState], None] = lambda state: None
--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -99,7 +99,7 @@
         self.clock = passer.clock
         self.sends = 0
         self.target = ""
-        self.open = OpenCall(gone, call.until, self.withdraw)
+        self.open = OpenCall(gone, call.deadline, self.withdraw)
         self.ending = DispatchReporter(
             call, passer.scheduler, passer.clock, passer.metrics
         )
@@ -315,7 +315,7 @@
 
     def left_s(self) -> float:
         """Return the seconds left of the call's time."""
-        return self.call.until - self.clock.monotonic()
+        return self.call.deadline - self.clock.monotonic()
 
     def disconnect(self) -> None:
         """Close the connection to the target."""
