--- a/tests/scheduler/desk.py
+++ b/tests/scheduler/desk.py
@@ -138,7 +138,7 @@
                 while self.offers[host, holder]:
                     self.deliver_offer(host, holder, now)
 
-    def point(self, host: str, holder: str, now: float) -> None:
+    def set_allocator(self, host: str, holder: str, now: float) -> None:
         """Let a host take ``holder`` for the allocator."""
         access = self.hosts[host].pools[self.pool]
         access.set_allocator(HostId(holder), now)
@@ -156,7 +156,7 @@
         },
     )
     for host in hosts:
-        desk.point(host, holders[0], 0.0)
+        desk.set_allocator(host, holders[0], 0.0)
     return desk
 
 
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -154,7 +154,7 @@
     new allocator grants all remaining capacity.
     """
     desk, now = settled({"e0": 4})
-    desk.point("h1", "h9", now)
+    desk.set_allocator("h1", "h9", now)
     row = submit(desk.hosts["h1"], make_request("r", now))
     run_systems(desk.hosts["h1"], now)
     assert decision(row) is None
--- a/tests/scheduler/test_grant_machine.py
+++ b/tests/scheduler/test_grant_machine.py
@@ -191,7 +191,9 @@
 
     @rule(host=HOST, holder=HOLDER)
     def ask(self, host, holder):
-        self.desk.point(host, self.holders[holder % len(self.holders)], self.now)
+        self.desk.set_allocator(
+            host, self.holders[holder % len(self.holders)], self.now
+        )
 
     @rule(host=st.sampled_from(HOSTS[1:]))
     def die(self, host):
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -108,7 +108,7 @@
     hosts = {host: tables_of(host, PAIR, SLOW) for host in PAIR}
     desk = Desk(SLOW, hosts, {"h0": make_role("h0", SLOW, now)})
     for host in PAIR:
-        desk.point(host, "h0", now)
+        desk.set_allocator(host, "h0", now)
         desk.hosts[host].pools[desk.pool].history.known_s(now - 60.0)
     return desk
 
@@ -141,7 +141,7 @@
     assert count_sent(rows) == 6
     desk.roles = {"h1": make_role("h1", SLOW, now + 1, term=2)}
     for host in PAIR:
-        desk.point(host, "h1", now + 1)
+        desk.set_allocator(host, "h1", now + 1)
     desk.reports.clear()
     rows = [ask(desk, "h1", n, now + 1) for n in range(10, 20)]
     desk.settle(now + 1)
