--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -299,7 +299,7 @@
         return RoutedCall(
             row=row,
             route=route,
-            facts=facts,
+            metadata=facts,
             method=method,
             path=path,
             headers=headers,
--- a/godwitladder/routing/calls.py
+++ b/godwitladder/routing/calls.py
@@ -146,7 +146,7 @@
 
     row: RequestRow
     route: Route
-    facts: CallFacts
+    metadata: CallFacts
     method: str
     path: str
     headers: Headers
--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -197,7 +197,7 @@
         if facts.not_run or response.status == MISDIRECTED:
             raise NotRun(f"answered {response.status}")
         # A target may hand out another request's answer; its id tells.
-        if facts.attempt != self.call.facts.attempt:
+        if facts.attempt != self.call.metadata.attempt:
             raise MayHaveRun("the answer belongs to another request")
         if 200 <= response.status < 300 and not facts.signature:
             raise MayHaveRun("the answer bears no signature")
@@ -332,7 +332,7 @@
     def names(self) -> dict[str, str]:
         """Return what a log line says of which call it is about."""
         return {
-            "request": self.call.facts.attempt,
+            "request": self.call.metadata.attempt,
             "route": self.call.route.name,
             "target": self.target,
         }
