--- a/bench/region.py
+++ b/bench/region.py
@@ -38,7 +38,6 @@
 )
 from godwitladder.scheduler.role import PoolRole
 from godwitladder.scheduler.rows import RequestRow, Tables
-from godwitladder.scheduler.stretches import record_progress
 from godwitladder.scheduler.systems import (
     add_request,
     finish_request,
@@ -47,6 +46,7 @@
     refuse_request,
     run_systems,
 )
+from godwitladder.scheduler.throughput import record_progress
 
 SERVICE = "letters"
 HOST = HostId("h0")
--- a/godwitladder/scheduler/actor.py
+++ b/godwitladder/scheduler/actor.py
@@ -35,7 +35,6 @@
     update_targets,
 )
 from godwitladder.scheduler.rows import Tables
-from godwitladder.scheduler.stretches import record_progress
 from godwitladder.scheduler.systems import (
     add_request,
     finish_request,
@@ -46,6 +45,7 @@
     return_request,
     run_systems,
 )
+from godwitladder.scheduler.throughput import record_progress
 from godwitladder.scheduler.ticker import Ticker
 
 log = component_logger("scheduler")
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -19,8 +19,8 @@
 )
 from godwitladder.scheduler.pools import make_pools, pool_key
 from godwitladder.scheduler.rows import RequestRow, Tables, TargetRow
-from godwitladder.scheduler.stretches import take_stretches
 from godwitladder.scheduler.systems import refuse_request, waiting_order
+from godwitladder.scheduler.throughput import take_stretches
 
 HEARTBEAT_S = 1.0
 """Longest time between two reports on a pool that is in use."""
--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -8,7 +8,6 @@
 from godwitladder.ids import RequestId
 from godwitladder.outcomes import RequestState
 from godwitladder.scheduler.exchange import Completion, ThroughputSample
-from godwitladder.scheduler.stretches import record_progress
 from godwitladder.scheduler.systems import (
     dispatch_request,
     finish_request,
@@ -16,6 +15,7 @@
     return_request,
     run_systems,
 )
+from godwitladder.scheduler.throughput import record_progress
 from godwitladder.scheduler.views import target_views
 from tests.scheduler.desk import (
     make_config,
