--- a/godwitladder/platform/headers.py
+++ b/godwitladder/platform/headers.py
@@ -5,7 +5,7 @@
 from godwitladder.platform import names
 from godwitladder.routing.calls import (
     AnswerFacts,
-    CallFacts,
+    CallMetadata,
     Headers,
     PromptPart,
     SendFacts,
@@ -32,14 +32,14 @@
 class PlatformHeaders:
     """Implements `HeaderForm` with the names of the platform's headers."""
 
-    def read_call(self, headers: Headers) -> CallFacts:
+    def read_call(self, headers: Headers) -> CallMetadata:
         """Return the data in a caller's headers; invalid values count as not sent."""
         found = {name.lower(): value for name, value in headers}
         prompt, output = _pair(found.get(names.TOKENS.lower(), ""))
         deadline = _number(found.get(names.DEADLINE_MS.lower(), ""))
         authorization = found.get("authorization", "")
         bearer = authorization.lower().startswith(BEARER)
-        return CallFacts(
+        return CallMetadata(
             attempt=found.get(names.ATTEMPT.lower(), ""),
             wait_s=deadline / 1000 if deadline else None,
             key=authorization[len(BEARER) :].strip() if bearer else "",
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -18,7 +18,7 @@
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, refuse
 from godwitladder.routing.calls import (
-    CallFacts,
+    CallMetadata,
     HeaderForm,
     Headers,
     PromptPart,
@@ -147,7 +147,7 @@
         return self.passer.serve(call, gone, start_response)
 
     def turn_away(
-        self, error: CallRefused, facts: CallFacts, start_response
+        self, error: CallRefused, facts: CallMetadata, start_response
     ) -> Iterable[bytes]:
         """Refuse a call that has not reached the scheduler."""
         refusal = error.refusal
@@ -163,7 +163,9 @@
         log.info("A call was turned away", extra=extra)
         return answer_problem(start_response, refusal, exact=True)
 
-    def read(self, environ: Mapping, headers: Headers, facts: CallFacts) -> RoutedCall:
+    def read(
+        self, environ: Mapping, headers: Headers, facts: CallMetadata
+    ) -> RoutedCall:
         """Return the call in a request.
 
         Raises
@@ -213,7 +215,7 @@
             digest,
         )
 
-    def need_open(self, flow: Flow, facts: CallFacts) -> None:
+    def need_open(self, flow: Flow, facts: CallMetadata) -> None:
         """Refuse a call that the allocator would probably not serve.
 
         Raises
@@ -240,7 +242,11 @@
             raise _refused(Reason.NO_CONFIG, text, UNKNOWN_RETRY_S)
 
     def find_workspace(
-        self, document: RoutingDocument, route: Route, facts: CallFacts, current: bool
+        self,
+        document: RoutingDocument,
+        route: Route,
+        facts: CallMetadata,
+        current: bool,
     ) -> RoutedWorkspace:
         """Return the workspace that the call's bearer key belongs to.
 
@@ -265,7 +271,7 @@
         method: str,
         path: str,
         headers: Headers,
-        facts: CallFacts,
+        facts: CallMetadata,
         route: Route,
         service: ServiceName,
         workspace: RoutedWorkspace,
@@ -348,7 +354,7 @@
     return parts[-2].name if len(parts) > 1 else ""
 
 
-def charge_of(facts: CallFacts, quota: TokenQuota) -> int:
+def charge_of(facts: CallMetadata, quota: TokenQuota) -> int:
     """Return the tokens that a request is charged to its workspace's quota."""
     return facts.prompt_tokens + facts.output_tokens or quota.default_tokens
 
--- a/godwitladder/routing/calls.py
+++ b/godwitladder/routing/calls.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class CallFacts:
+class CallMetadata:
     """Data from the headers of a caller's request.
 
     Attributes
@@ -112,7 +112,7 @@
 class HeaderForm(Protocol):
     """Reads and writes the headers of a platform."""
 
-    def read_call(self, headers: Headers) -> CallFacts:
+    def read_call(self, headers: Headers) -> CallMetadata:
         """Return the data in a caller's headers."""
 
     def for_target(self, headers: Headers, send: SendFacts) -> list[tuple[str, str]]:
@@ -146,7 +146,7 @@
 
     row: RequestRow
     route: Route
-    metadata: CallFacts
+    metadata: CallMetadata
     method: str
     path: str
     headers: Headers
