--- a/godwitladder/platform/headers.py
+++ b/godwitladder/platform/headers.py
@@ -6,9 +6,9 @@
 from godwitladder.routing.calls import (
     AnswerFacts,
     CallMetadata,
+    DispatchMetadata,
     Headers,
     PromptPart,
-    SendFacts,
 )
 
 HOP_BY_HOP = frozenset(
@@ -50,7 +50,9 @@
             last_event=found.get(names.LAST_EVENT.lower(), ""),
         )
 
-    def for_target(self, headers: Headers, send: SendFacts) -> list[tuple[str, str]]:
+    def for_target(
+        self, headers: Headers, send: DispatchMetadata
+    ) -> list[tuple[str, str]]:
         """Return the caller's end-to-end headers, with those that the system sets."""
         kept = [
             (name, value)
--- a/godwitladder/routing/calls.py
+++ b/godwitladder/routing/calls.py
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True)
-class SendFacts:
+class DispatchMetadata:
     """Data that is added to the headers of a call sent to a target.
 
     Attributes
@@ -115,7 +115,9 @@
     def read_call(self, headers: Headers) -> CallMetadata:
         """Return the data in a caller's headers."""
 
-    def for_target(self, headers: Headers, send: SendFacts) -> list[tuple[str, str]]:
+    def for_target(
+        self, headers: Headers, send: DispatchMetadata
+    ) -> list[tuple[str, str]]:
         """Return the headers to send to a target."""
 
     def read_answer(self, headers: Mapping[str, str]) -> AnswerFacts:
--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -18,7 +18,7 @@
 from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
-from godwitladder.routing.calls import HeaderForm, RoutedCall, SendFacts
+from godwitladder.routing.calls import DispatchMetadata, HeaderForm, RoutedCall
 from godwitladder.scheduler.messages import Returned, ReturnProof, Submit, Withdrawn
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.answers import internal_fault
@@ -179,7 +179,7 @@
             raise NotSent("the call is over")
         self.open.attach(connection.sock)
         self.sends += 1
-        facts = SendFacts(
+        facts = DispatchMetadata(
             left_s, dispatch.target, self.call.workspace, self.resume_from
         )
         headers = self.passer.form.for_target(self.call.headers, facts)
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -14,7 +14,7 @@
 from godwitladder.platform.entries import decode_entry
 from godwitladder.platform.headers import PlatformHeaders
 from godwitladder.platform.store import StoreClient, parse_records
-from godwitladder.routing.calls import SendFacts
+from godwitladder.routing.calls import DispatchMetadata
 from godwitladder.routing.model import RouteKind
 from godwitladder.serving.auth import key_digest
 from godwitladder.standins.ingress import start_store
@@ -249,7 +249,7 @@
         ("Transfer-Encoding", "chunked"),
         ("X-Own", "kept"),
     )
-    sent = PlatformHeaders().for_target(forged, SendFacts(1.5, "e1", "w1"))
+    sent = PlatformHeaders().for_target(forged, DispatchMetadata(1.5, "e1", "w1"))
     assert dict(sent) == {
         "X-Own": "kept",
         "Godwitladder-Deadline-Ms": "1500",
