--- a/tests/scheduler/overload.py
+++ b/tests/scheduler/overload.py
@@ -14,7 +14,7 @@
     record_first_output,
     run_systems,
 )
-from tests.scheduler.desk import (
+from tests.scheduler.harness import (
     START,
     make_config,
     make_request,
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -19,7 +19,7 @@
 from godwitladder.scheduler.role import HOST_TIMEOUT_S, OFFER_LIFETIME_S, WARM_UP_S
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.scheduler.systems import finish_request, run_systems
-from tests.scheduler.desk import (
+from tests.scheduler.harness import (
     START,
     decision,
     hosts_changed,
--- a/tests/scheduler/test_grant_machine.py
+++ b/tests/scheduler/test_grant_machine.py
@@ -13,7 +13,7 @@
 from godwitladder.scheduler.role import HOST_TIMEOUT_S, OFFER_LIFETIME_S
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.scheduler.systems import finish_request, return_request
-from tests.scheduler.desk import decision, make_desk, make_request, submit
+from tests.scheduler.harness import decision, make_desk, make_request, submit
 
 SLOTS = {"e0": 4, "e1": 1}
 HOSTS = ("h0", "h1", "h2")
--- a/tests/scheduler/test_idle.py
+++ b/tests/scheduler/test_idle.py
@@ -7,7 +7,7 @@
 from godwitladder.scheduler.reports import HEARTBEAT_S, due_reports, take_offer
 from godwitladder.scheduler.role import ANSWER_INTERVAL_S, PoolRole
 from godwitladder.scheduler.views import target_views
-from tests.scheduler.desk import (
+from tests.scheduler.harness import (
     START,
     make_config,
     make_request,
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -27,8 +27,8 @@
 from godwitladder.scheduler.rows import Dispatch, RequestRow, Tables
 from godwitladder.scheduler.systems import add_request, run_systems
 from godwitladder.scheduler.ticker import Ticker
-from tests.scheduler.desk import Desk, make_role
-from tests.scheduler.desk import make_tables as tables_of
+from tests.scheduler.harness import Desk, make_role
+from tests.scheduler.harness import make_tables as tables_of
 
 CONFIG = ConfigState(
     tiers={"t": Tier(0)},
--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -9,7 +9,13 @@
 from godwitladder.scheduler.reports import due_reports, take_offer
 from godwitladder.scheduler.role import PoolRole
 from godwitladder.scheduler.systems import run_systems
-from tests.scheduler.desk import START, make_config, make_request, make_tables, submit
+from tests.scheduler.harness import (
+    START,
+    make_config,
+    make_request,
+    make_tables,
+    submit,
+)
 
 BODY = "b0d1" * 6
 
--- a/tests/scheduler/test_silence.py
+++ b/tests/scheduler/test_silence.py
@@ -6,7 +6,13 @@
 from godwitladder.scheduler.reports import due_reports, take_offer, update_targets
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.scheduler.systems import run_systems
-from tests.scheduler.desk import START, make_config, make_request, make_tables, submit
+from tests.scheduler.harness import (
+    START,
+    make_config,
+    make_request,
+    make_tables,
+    submit,
+)
 from tests.scheduler.test_returns import exchange, make_host_and_role
 
 
--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -17,7 +17,7 @@
 )
 from godwitladder.scheduler.throughput import record_progress
 from godwitladder.scheduler.views import target_views
-from tests.scheduler.desk import (
+from tests.scheduler.harness import (
     make_config,
     make_request,
     make_tables,
