--- a/godwitladder/platform/headers.py
+++ b/godwitladder/platform/headers.py
@@ -4,7 +4,7 @@
 
 from godwitladder.platform import names
 from godwitladder.routing.calls import (
-    AnswerFacts,
+    AnswerMetadata,
     CallMetadata,
     DispatchMetadata,
     Headers,
@@ -69,9 +69,9 @@
             kept.append((names.LAST_EVENT, send.last_event))
         return kept
 
-    def read_answer(self, headers: Mapping[str, str]) -> AnswerFacts:
+    def read_answer(self, headers: Mapping[str, str]) -> AnswerMetadata:
         """Return the data in a target's headers."""
-        return AnswerFacts(
+        return AnswerMetadata(
             attempt=headers.get(names.ATTEMPT, ""),
             signature=headers.get(names.SIGNATURE, ""),
             not_run=names.NOT_EXECUTED in headers,
--- a/godwitladder/routing/calls.py
+++ b/godwitladder/routing/calls.py
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True)
-class AnswerFacts:
+class AnswerMetadata:
     """Data from the headers of a target's answer.
 
     Attributes
@@ -120,7 +120,7 @@
     ) -> list[tuple[str, str]]:
         """Return the headers to send to a target."""
 
-    def read_answer(self, headers: Mapping[str, str]) -> AnswerFacts:
+    def read_answer(self, headers: Mapping[str, str]) -> AnswerMetadata:
         """Return the data in a target's headers."""
 
     def for_caller(self, headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
