--- a/tests/scheduler/harness.py
+++ b/tests/scheduler/harness.py
@@ -86,7 +86,7 @@
 
 
 @dataclass
-class Desk:
+class AllocationHarness:
     """Hosts, the allocators they may ask, and what is on its way between."""
 
     config: ConfigState
@@ -144,10 +144,12 @@
         access.set_allocator(HostId(holder), now)
 
 
-def make_desk(slots: dict[str, int], hosts: tuple[str, ...], holders=("h0",)) -> Desk:
+def make_desk(
+    slots: dict[str, int], hosts: tuple[str, ...], holders=("h0",)
+) -> AllocationHarness:
     """Return hosts of one zone that ask the first holder."""
     config = make_config(slots)
-    desk = Desk(
+    desk = AllocationHarness(
         config,
         {host: make_tables(host, hosts, config) for host in hosts},
         {
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -27,7 +27,7 @@
 from godwitladder.scheduler.rows import Dispatch, RequestRow, Tables
 from godwitladder.scheduler.systems import add_request, run_systems
 from godwitladder.scheduler.ticker import Ticker
-from tests.scheduler.harness import Desk, make_role
+from tests.scheduler.harness import AllocationHarness, make_role
 from tests.scheduler.harness import make_tables as tables_of
 
 CONFIG = ConfigState(
@@ -106,7 +106,7 @@
 def make_pair(now):
     """Return two hosts that report to the allocator on the first one."""
     hosts = {host: tables_of(host, PAIR, SLOW) for host in PAIR}
-    desk = Desk(SLOW, hosts, {"h0": make_role("h0", SLOW, now)})
+    desk = AllocationHarness(SLOW, hosts, {"h0": make_role("h0", SLOW, now)})
     for host in PAIR:
         desk.set_allocator(host, "h0", now)
         desk.hosts[host].pools[desk.pool].history.known_s(now - 60.0)
