--- a/godwitladder/platform/headers.py
+++ b/godwitladder/platform/headers.py
@@ -30,7 +30,7 @@
 
 
 class PlatformHeaders:
-    """Implements `HeaderForm` with the names of the platform's headers."""
+    """Implements `HeaderCodec` with the names of the platform's headers."""
 
     def read_call(self, headers: Headers) -> CallMetadata:
         """Return the data in a caller's headers; invalid values count as not sent."""
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -19,7 +19,7 @@
 from godwitladder.outcomes import Reason, refuse
 from godwitladder.routing.calls import (
     CallMetadata,
-    HeaderForm,
+    HeaderCodec,
     Headers,
     PromptPart,
     RoutedCall,
@@ -86,7 +86,7 @@
 
     Parameters
     ----------
-    form : HeaderForm
+    form : HeaderCodec
         Reads and writes the headers of this platform.
     passer : Passer
         Dispatches calls to targets.
@@ -111,7 +111,7 @@
 
     def __init__(
         self,
-        form: HeaderForm,
+        form: HeaderCodec,
         passer: RoutedProxy,
         freshness: DocumentFreshness,
         clock: Clock,
--- a/godwitladder/routing/calls.py
+++ b/godwitladder/routing/calls.py
@@ -1,7 +1,7 @@
 """Routed calls: the data in their headers, and their state while they run.
 
 The names of headers depend on the platform that the host runs on; the platform's
-adapter implements `HeaderForm`.
+adapter implements `HeaderCodec`.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -109,7 +109,7 @@
     not_run: bool
 
 
-class HeaderForm(Protocol):
+class HeaderCodec(Protocol):
     """Reads and writes the headers of a platform."""
 
     def read_call(self, headers: Headers) -> CallMetadata:
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -37,7 +37,7 @@
 from godwitladder.membership.router import Router
 from godwitladder.metrics import Metrics
 from godwitladder.routing.app import ReadinessApp, RoutedApp, index_document
-from godwitladder.routing.calls import HeaderForm
+from godwitladder.routing.calls import HeaderCodec
 from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.settings import RoutedSettings, read_routed_settings
 from godwitladder.routing.state import state_of
@@ -81,7 +81,7 @@
         The settings read from it.
     source : Source
         The platform's store.
-    form : HeaderForm
+    form : HeaderCodec
         Reads and writes the headers of the platform.
     clock : Clock
         Time source of all components.
@@ -92,7 +92,7 @@
         path: Path,
         settings: RoutedSettings,
         source: Source,
-        form: HeaderForm,
+        form: HeaderCodec,
         clock: Clock,
     ) -> None:
         super().__init__(settings.host, clock, settings.limits)
@@ -233,7 +233,7 @@
             cores=self.settings.processor.cores,
         )
 
-    def make_passer(self, form: HeaderForm) -> RoutedProxy:
+    def make_passer(self, form: HeaderCodec) -> RoutedProxy:
         """Return the dispatcher of calls."""
         bounds = self.settings.bounds
         budget = RetryBudget(
@@ -393,7 +393,7 @@
     path: Path,
     settings: RoutedSettings,
     make_source: Callable[[RoutedSettings], Source],
-    form: HeaderForm,
+    form: HeaderCodec,
 ) -> None:
     """Run one host until SIGTERM or SIGINT, then drain and exit."""
     host = RoutingHost(path, settings, make_source(settings), form, Clock())
--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -18,7 +18,7 @@
 from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
-from godwitladder.routing.calls import DispatchMetadata, HeaderForm, RoutedCall
+from godwitladder.routing.calls import DispatchMetadata, HeaderCodec, RoutedCall
 from godwitladder.scheduler.messages import Returned, ReturnProof, Submit, Withdrawn
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.serving.answers import internal_fault
@@ -52,13 +52,13 @@
 
     Attributes
     ----------
-    form : HeaderForm
+    form : HeaderCodec
         Names of headers on this platform.
     hosts : callable
         Returns how many hosts share the budget of repeats.
     """
 
-    form: HeaderForm
+    form: HeaderCodec
     scheduler: pykka.ActorRef
     clock: Clock
     metrics: Metrics
