--- a/tests/scheduler/harness.py
+++ b/tests/scheduler/harness.py
@@ -144,7 +144,7 @@
         access.set_allocator(HostId(holder), now)
 
 
-def make_desk(
+def make_harness(
     slots: dict[str, int], hosts: tuple[str, ...], holders=("h0",)
 ) -> AllocationHarness:
     """Return hosts of one zone that ask the first holder."""
@@ -170,7 +170,7 @@
 
 def settled(slots, hosts=("h0", "h1")):
     """Return a desk whose idle hosts hold allowances, and the time."""
-    desk = make_desk(slots, hosts)
+    desk = make_harness(slots, hosts)
     desk.settle(START)
     return desk, START + 0.8
 
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -24,7 +24,7 @@
     decision,
     hosts_changed,
     make_config,
-    make_desk,
+    make_harness,
     make_request,
     make_role,
     make_tables,
@@ -118,7 +118,7 @@
 def test_a_report_out_of_order_is_ignored():
     """Guards against a report on a slower path that overwrites a newer one."""
     account = HostAccount(HostId("h1"), 1)
-    report = PoolReport("h1", 1, make_desk({"e0": 1}, ("h0",)).pool, 2, 1.0, 1, 0)
+    report = PoolReport("h1", 1, make_harness({"e0": 1}, ("h0",)).pool, 2, 1.0, 1, 0)
     assert account.take(replace(report, uses=(TargetUse("e0", 3, 0),)), 0, 1.0)
     assert not account.take(replace(report, number=1, sent_s=0.5), 0, 1.1)
     assert account.max_usage().get("e0", NO_USAGE).running == 3
--- a/tests/scheduler/test_grant_machine.py
+++ b/tests/scheduler/test_grant_machine.py
@@ -13,7 +13,7 @@
 from godwitladder.scheduler.role import HOST_TIMEOUT_S, OFFER_LIFETIME_S
 from godwitladder.scheduler.rows import Dispatch
 from godwitladder.scheduler.systems import finish_request, return_request
-from tests.scheduler.harness import decision, make_desk, make_request, submit
+from tests.scheduler.harness import decision, make_harness, make_request, submit
 
 SLOTS = {"e0": 4, "e1": 1}
 HOSTS = ("h0", "h1", "h2")
@@ -37,7 +37,7 @@
     def __init__(self):
         super().__init__()
         self.now = 0.0
-        self.desk = make_desk(SLOTS, HOSTS, self.holders)
+        self.desk = make_harness(SLOTS, HOSTS, self.holders)
         self.dead, self.rows, self.running = set(), {}, {}
         self.unasked, self.leaving, self.heard = set(), set(), {}
         self.given, self.dispatched = [], Counter()
