--- a/godwitladder/engines/engine.py
+++ b/godwitladder/engines/engine.py
@@ -17,7 +17,9 @@
 
 # Statuses that mean that an engine has not started the request. Any other error
 # (500, 502, 504) may occur after the work has begun.
-NOT_TAKEN = frozenset({400, 401, 403, 404, 405, 409, 410, 411, 413, 415, 422, 429, 503})
+NOT_STARTED_STATUSES = frozenset(
+    {400, 401, 403, 404, 405, 409, 410, 411, 413, 415, 422, 429, 503}
+)
 DONE = b"[DONE]"
 READ_BYTES = 65_536
 EVENT_BYTES = 1_048_576
@@ -162,7 +164,7 @@
 ) -> EngineStream:
     if response.status == 200:
         return EngineStream(connection, response)
-    if response.status not in NOT_TAKEN:
+    if response.status not in NOT_STARTED_STATUSES:
         connection.close()
         raise MayHaveRun(f"target answered {response.status}")
     try:
