--- a/tests/scheduler/harness.py
+++ b/tests/scheduler/harness.py
@@ -149,7 +149,7 @@
 ) -> AllocationHarness:
     """Return hosts of one zone that ask the first holder."""
     config = make_config(slots)
-    desk = AllocationHarness(
+    harness = AllocationHarness(
         config,
         {host: make_tables(host, hosts, config) for host in hosts},
         {
@@ -158,8 +158,8 @@
         },
     )
     for host in hosts:
-        desk.set_allocator(host, holders[0], 0.0)
-    return desk
+        harness.set_allocator(host, holders[0], 0.0)
+    return harness
 
 
 def hosts_changed(tables: Tables, message: HostsChanged, now: float) -> None:
@@ -170,22 +170,22 @@
 
 def settled(slots, hosts=("h0", "h1")):
     """Return a desk whose idle hosts hold allowances, and the time."""
-    desk = make_harness(slots, hosts)
-    desk.settle(START)
-    return desk, START + 0.8
+    harness = make_harness(slots, hosts)
+    harness.settle(START)
+    return harness, START + 0.8
 
 
-def run_for(desk, now, seconds, each):
+def run_for(harness, now, seconds, each):
     """Let time pass, with ``each`` called and all reports delivered."""
     for _ in range(int(seconds / 0.5)):
         now += 0.5
         each(now)
-        for host in desk.hosts:
-            desk.tick(host, now)
-            while desk.reports.get((host, "h0")):
-                desk.deliver_report(host, "h0", now)
-        desk.decide("h0", now)
-        for host in desk.hosts:
-            while desk.offers.get((host, "h0")):
-                desk.deliver_offer(host, "h0", now)
+        for host in harness.hosts:
+            harness.tick(host, now)
+            while harness.reports.get((host, "h0")):
+                harness.deliver_report(host, "h0", now)
+        harness.decide("h0", now)
+        for host in harness.hosts:
+            while harness.offers.get((host, "h0")):
+                harness.deliver_offer(host, "h0", now)
     return now
