--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -40,7 +40,7 @@
 from godwitladder.routing.calls import HeaderCodec
 from godwitladder.routing.freshness import DocumentFreshness
 from godwitladder.routing.settings import RoutedSettings, read_routed_settings
-from godwitladder.routing.state import state_of
+from godwitladder.routing.state import make_config_state
 from godwitladder.routing.status import StatusApp
 from godwitladder.scheduler.actor import Scheduler
 from godwitladder.scheduler.allocator import Allocator, AllocatorTables
@@ -344,7 +344,7 @@
 
     def publish_view(self, view: StoreView) -> None:
         """Apply the current state of the store on this host."""
-        state = state_of(view, self.span)
+        state = make_config_state(view, self.span)
         # Targets first: calls on a new route may arrive as soon as it is active.
         self.scheduler.tell(NewConfig(state))
         self.allocator.tell(NewConfig(state))
--- a/godwitladder/routing/state.py
+++ b/godwitladder/routing/state.py
@@ -23,7 +23,7 @@
 NO_SERVICE = RoutedService("")
 
 
-def state_of(view: StoreView, span: Zone) -> ConfigState:
+def make_config_state(view: StoreView, span: Zone) -> ConfigState:
     """Return the scheduler's configuration, with all targets in ``span``."""
     document = view.document
     return ConfigState(
