--- a/tests/scheduler/harness.py
+++ b/tests/scheduler/harness.py
@@ -168,7 +168,7 @@
     choose_allocators(tables, now)
 
 
-def settled(slots, hosts=("h0", "h1")):
+def make_settled_harness(slots, hosts=("h0", "h1")):
     """Return a desk whose idle hosts hold allowances, and the time."""
     harness = make_harness(slots, hosts)
     harness.settle(START)
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -27,9 +27,9 @@
     make_harness,
     make_request,
     make_role,
+    make_settled_harness,
     make_tables,
     run_for,
-    settled,
     submit,
 )
 
@@ -40,7 +40,7 @@
     The host has an allowance. The report of its use can wait for the next
     heartbeat, since the allocator counts the allowance already.
     """
-    harness, now = settled({"e0": 8, "e1": 8})
+    harness, now = make_settled_harness({"e0": 8, "e1": 8})
     row = submit(harness.hosts["h1"], make_request("r", now))
     run_systems(harness.hosts["h1"], now)
     assert isinstance(decision(row), Dispatch)
@@ -54,7 +54,7 @@
     uses the allowance. If h1 had got the slot, five requests would run on four
     slots.
     """
-    harness, now = settled({"e0": 4})
+    harness, now = make_settled_harness({"e0": 4})
     rows = [submit(harness.hosts["h1"], make_request(f"r{n}", now)) for n in range(6)]
     for _ in range(6):
         now += 0.1
@@ -104,7 +104,7 @@
     The host sent the report, used its allowance and then lost its link. The
     report arrives after the allowance has expired, but was sent before.
     """
-    harness, now = settled({"e0": 4})
+    harness, now = make_settled_harness({"e0": 4})
     account = harness.roles["h0"].account("h1", now)
     assert account.max_usage().get("e0", NO_USAGE).running == 1
     expires_s = account.allowances[-1].expires_s
@@ -153,7 +153,7 @@
     The first report to a new allocator contains only running requests, and the
     new allocator grants all remaining capacity.
     """
-    harness, now = settled({"e0": 4})
+    harness, now = make_settled_harness({"e0": 4})
     harness.set_allocator("h1", "h9", now)
     row = submit(harness.hosts["h1"], make_request("r", now))
     run_systems(harness.hosts["h1"], now)
@@ -162,7 +162,7 @@
 
 def test_a_late_offer_of_another_process_of_the_host_is_ignored():
     """Guards against a restarted host that uses grants of its former process."""
-    harness, now = settled({"e0": 4})
+    harness, now = make_settled_harness({"e0": 4})
     tables = harness.hosts["h1"]
     access = tables.pools[harness.pool]
     before = dict(access.allowances)
@@ -178,7 +178,7 @@
     other requests wait for a while. Then the host uses its half of the four
     slots, and no more.
     """
-    harness, now = settled({"e0": 4})
+    harness, now = make_settled_harness({"e0": 4})
     tables = harness.hosts["h1"]
     rows = [submit(tables, make_request(f"r{n}", now)) for n in range(4)]
     answered = tables.pools[harness.pool].answered_at
@@ -197,7 +197,7 @@
     it for the same workspace, its quota of one would be exceeded without any host
     noticing.
     """
-    harness, now = settled({"e0": 8})
+    harness, now = make_settled_harness({"e0": 8})
     bounded = harness.config.workspaces["bounded"]
     harness.config.workspaces["bounded"] = replace(bounded, quota=1)
     row = submit(harness.hosts["h1"], make_request("r", now, workspace="bounded"))
@@ -210,7 +210,7 @@
 @pytest.mark.parametrize("news", ["ticket", "list"])
 def test_a_leaving_target_gets_no_grant(news):
     """The allocator grants nothing on a target once it knows that the target leaves."""
-    harness, now = settled({"e0": 4, "e1": 4})
+    harness, now = make_settled_harness({"e0": 4, "e1": 4})
     role = harness.roles["h0"]
     config, leaving = harness.config, frozenset()
     if news == "list":
@@ -304,7 +304,7 @@
 
 def test_use_and_completions_are_reported():
     """A completion updates the learned speed and frees the slot at once."""
-    harness, now = settled({"e0": 2})
+    harness, now = make_settled_harness({"e0": 2})
     row = submit(harness.hosts["h1"], make_request("r", now))
     harness.settle(now)
     now += 2.0
@@ -326,7 +326,7 @@
     would discard them as outdated. The request has to be granted in one round
     trip.
     """
-    harness, now = settled({"e0": 1})
+    harness, now = make_settled_harness({"e0": 1})
     now = run_for(harness, now, 5.0, lambda now: None)
     now += HOST_TIMEOUT_S + 1.0
     harness.tick("h0", now)
--- a/tests/scheduler/test_targets.py
+++ b/tests/scheduler/test_targets.py
@@ -20,9 +20,9 @@
 from tests.scheduler.harness import (
     make_config,
     make_request,
+    make_settled_harness,
     make_tables,
     run_for,
-    settled,
     submit,
 )
 
@@ -68,7 +68,7 @@
     take minutes to end, and until then completions show nothing. Once its
     tokens come as before, the limit rises again.
     """
-    harness, now = settled({"e0": 8})
+    harness, now = make_settled_harness({"e0": 8})
     role, tps = harness.roles["h0"], harness.config.targets["e0"].decode_tps
     row = submit(harness.hosts["h1"], make_request("r", now, declared_tokens=100_000))
     run_systems(harness.hosts["h1"], now)
@@ -97,7 +97,7 @@
     The third one's stream is as slow as on a slow engine. The engine's limit
     stays whole, since the other streams show that it is well.
     """
-    harness, now = settled({"e0": 8})
+    harness, now = make_settled_harness({"e0": 8})
     role, tps = harness.roles["h0"], harness.config.targets["e0"].decode_tps
     role.speeds.learned["e0"].count = MIN_OBSERVATIONS
     lengths = {"declared_tokens": 9000, "predicted_tokens": 900, "likely_tokens": 90}
@@ -124,7 +124,7 @@
 
     It would be eased off from its first request on, though it does its best.
     """
-    harness, now = settled({"e0": 8})
+    harness, now = make_settled_harness({"e0": 8})
     role = harness.roles["h0"]
     for _ in range(MIN_OBSERVATIONS - 1):
         role.observe_completion(Completion("e0", "w", "chat", 10, 10, 5.0, 50.0))
@@ -134,7 +134,7 @@
 
 def test_grants_follow_the_prefix_that_a_target_was_sent():
     """Two engines are alike; the second letter shares the start of the first."""
-    harness, now = settled({"e0": 1, "e1": 1})
+    harness, now = make_settled_harness({"e0": 1, "e1": 1})
     role = harness.roles["h0"]
     role.hints.record_dispatch("e1", "start", now)
     assert target_views(role, now)["e1"].prefixes == {"start"}
@@ -143,7 +143,7 @@
 
 def test_a_granted_request_marks_its_prefix_at_the_target():
     """The next request with the same start is to find the first one's cache."""
-    harness, now = settled({"e0": 1})
+    harness, now = make_settled_harness({"e0": 1})
     submit(harness.hosts["h1"], make_request("first", now))
     harness.settle(now)
     submit(harness.hosts["h1"], make_request("second", now, prefix="start"))
@@ -162,7 +162,7 @@
     can't connect to it; the allocator chose it again in each run, for its
     prefix, and then granted nothing.
     """
-    harness, now = settled({"e0": 1, "e1": 1}, hosts=("h0", "h1", "h2"))
+    harness, now = make_settled_harness({"e0": 1, "e1": 1}, hosts=("h0", "h1", "h2"))
     harness.roles["h0"].hints.record_dispatch("e0", "start", now)
     host = harness.hosts["h1"]
     for name in ("e0", "e1"):
