--- a/bench/region.py
+++ b/bench/region.py
@@ -26,7 +26,7 @@
 from godwitladder.configuration.state import ConfigState
 from godwitladder.ids import HostId, RequestId, StreamId, Zone
 from godwitladder.outcomes import Refusal, RequestState
-from godwitladder.routing.app import ROUTE_STEP, START_PART
+from godwitladder.routing.app import ROUTE_RANK_WEIGHT, START_PART
 from godwitladder.routing.state import DECODE_TPS, PREFILL_TPS
 from godwitladder.scheduler.pools import make_pools
 from godwitladder.scheduler.reports import (
@@ -322,7 +322,7 @@
             StreamId(name),
             f"w{hash((call.prompt, call.output)) % 5}",
             SERVICE,
-            ROUTE_STEP * kind.rank,
+            ROUTE_RANK_WEIGHT * kind.rank,
             call.prompt,
             call.declared,
             self.now,
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -46,7 +46,7 @@
 
 log = component_logger("routing")
 
-ROUTE_STEP = 2
+ROUTE_RANK_WEIGHT = 2
 """Factor of a route's rank in the combined rank; a workspace's rank counts once."""
 UNKNOWN_RETRY_S = 0.5
 """Retry-After, in seconds, while no current document is known; the next read of
@@ -324,7 +324,7 @@
     the longest requests of one workspace would wait behind the least important
     requests of another.
     """
-    return ROUTE_STEP * route.rank + (workspace.rank or 0)
+    return ROUTE_RANK_WEIGHT * route.rank + (workspace.rank or 0)
 
 
 def start_within_s(route: Route, wait_s: float) -> float:
