--- a/tests/scheduler/harness.py
+++ b/tests/scheduler/harness.py
@@ -162,7 +162,7 @@
     return harness
 
 
-def hosts_changed(tables: Tables, message: HostsChanged, now: float) -> None:
+def set_live_hosts(tables: Tables, message: HostsChanged, now: float) -> None:
     """Let a host know who is live."""
     tables.hosts, tables.linked = message.hosts, message.linked
     choose_allocators(tables, now)
--- a/tests/scheduler/test_allocation.py
+++ b/tests/scheduler/test_allocation.py
@@ -22,7 +22,6 @@
 from tests.scheduler.harness import (
     START,
     decision,
-    hosts_changed,
     make_config,
     make_harness,
     make_request,
@@ -30,6 +29,7 @@
     make_settled_harness,
     make_tables,
     run_for,
+    set_live_hosts,
     submit,
 )
 
@@ -234,7 +234,7 @@
     other = replace(config.targets["e0"], zone=Zone("b"), address="10.0.1.0:1")
     config = replace(config, targets={**config.targets, "e1": other})
     tables = make_tables("h0", ("h0",), config)
-    hosts_changed(tables, HostsChanged(("h0",), {"b": ("k0",)}), now)
+    set_live_hosts(tables, HostsChanged(("h0",), {"b": ("k0",)}), now)
     update_targets(tables)
     return tables
 
