--- a/bench/region.py
+++ b/bench/region.py
@@ -26,7 +26,7 @@
 from godwitladder.configuration.state import ConfigState
 from godwitladder.ids import HostId, RequestId, StreamId, Zone
 from godwitladder.outcomes import Refusal, RequestState
-from godwitladder.routing.app import ROUTE_RANK_WEIGHT, START_PART
+from godwitladder.routing.app import MAX_START_FRACTION, ROUTE_RANK_WEIGHT
 from godwitladder.routing.state import DECODE_TPS, PREFILL_TPS
 from godwitladder.scheduler.pools import make_pools
 from godwitladder.scheduler.reports import (
@@ -331,7 +331,7 @@
         )
         row.ttft_deadline = self.now + kind.aim_s
         row.gap_s, row.event_tokens = kind.gap_s, self.load.mix.event_tokens
-        row.start_by = self.now + min(patience_s, kind.silence_s) * START_PART
+        row.start_by = self.now + min(patience_s, kind.silence_s) * MAX_START_FRACTION
         row.body = call.body
         predictor = self.tables.predictor
         row.predicted_tokens = predictor.predict(row.workspace, SERVICE, call.declared)
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -56,7 +56,7 @@
 seconds, AIMS times the route's latency objective, and GAPS times its longest
 pause between events. The values follow what users state about their callers."""
 UNBOUNDED = 1 << 30
-START_PART = 0.7
+MAX_START_FRACTION = 0.7
 """Fraction of the caller's waiting time within which its call has to start. The
 rest is left for prefill, or for the work of a plain service."""
 FULL_RETRY_S = 0.5
@@ -336,7 +336,7 @@
     if route.kind is RouteKind.STREAM:
         silence_s = max(LEAST_SILENCE_S, AIMS * route.ttft_budget_s, GAPS * route.gap_s)
         wait_s = min(wait_s, silence_s)
-    return wait_s * START_PART
+    return wait_s * MAX_START_FRACTION
 
 
 def may_repeat(route: Route) -> bool:
