--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -295,7 +295,7 @@
             deadline=now + wait_s,
             idempotent=may_repeat(route),
             body=digest,
-            prefix=shared_start(facts.parts),
+            prefix=shared_prefix_name(facts.parts),
         )
         row.start_by = now + start_within_s(route, wait_s)
         if route.ttft_budget_s:
@@ -344,7 +344,7 @@
     return route.kind is RouteKind.IDEMPOTENT or route.resumable
 
 
-def shared_start(parts: Sequence[PromptPart]) -> str:
+def shared_prefix_name(parts: Sequence[PromptPart]) -> str:
     """Return the name of the last prompt part that other requests may share.
 
     The last part is unique to the request, so this is the one before it; empty if
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from godwitladder.routing.app import shared_start
+from godwitladder.routing.app import shared_prefix_name
 from godwitladder.routing.calls import PromptPart
 from godwitladder.routing.freshness import MARGIN_S, DocumentFreshness
 from godwitladder.routing.matching import RouteTable, choose_split, parse_host_header
@@ -68,5 +68,7 @@
     guide, garment = PromptPart("guide", 528), PromptPart("garment", 2454)
     first = (guide, garment, PromptPart("one", 900))
     second = (guide, garment, PromptPart("two", 400))
-    assert shared_start(first) == shared_start(second) == "garment"
-    assert shared_start((PromptPart("alone", 10),)) == shared_start(()) == ""
+    assert shared_prefix_name(first) == shared_prefix_name(second) == "garment"
+    assert (
+        shared_prefix_name((PromptPart("alone", 10),)) == shared_prefix_name(()) == ""
+    )
