--- a/godwitladder/engines/engine.py
+++ b/godwitladder/engines/engine.py
@@ -22,7 +22,7 @@
 )
 DONE = b"[DONE]"
 READ_BYTES = 65_536
-EVENT_BYTES = 1_048_576
+MAX_EVENT_BYTES = 1_048_576
 STREAM_HEADER = "X-Stream-Id"
 
 
@@ -81,8 +81,8 @@
         try:
             while block := self._read():
                 *events, rest = (rest + block).split(b"\n\n")
-                if len(rest) > EVENT_BYTES:
-                    raise MayHaveRun(f"an event of more than {EVENT_BYTES} bytes")
+                if len(rest) > MAX_EVENT_BYTES:
+                    raise MayHaveRun(f"an event of more than {MAX_EVENT_BYTES} bytes")
                 parsed = map(parse_event, events)
                 yield [chunk for chunk in parsed if chunk]
         except (urllib3.exceptions.HTTPError, OSError) as error:
