--- a/godwitladder/engines/engine.py
+++ b/godwitladder/engines/engine.py
@@ -21,7 +21,7 @@
     {400, 401, 403, 404, 405, 409, 410, 411, 413, 415, 422, 429, 503}
 )
 DONE = b"[DONE]"
-READ_BYTES = 65_536
+MAX_READ_BYTES = 65_536
 MAX_EVENT_BYTES = 1_048_576
 STREAM_HEADER = "X-Stream-Id"
 
@@ -77,11 +77,11 @@
         MayHaveRun
             The connection broke or timed out, or sent an event that is too long.
         """
-        rest = b""
+        remainder = b""
         try:
             while block := self._read():
-                *events, rest = (rest + block).split(b"\n\n")
-                if len(rest) > MAX_EVENT_BYTES:
+                *events, remainder = (remainder + block).split(b"\n\n")
+                if len(remainder) > MAX_EVENT_BYTES:
                     raise MayHaveRun(f"an event of more than {MAX_EVENT_BYTES} bytes")
                 parsed = map(parse_event, events)
                 yield [chunk for chunk in parsed if chunk]
@@ -90,20 +90,20 @@
 
     def _read(self) -> bytes:
         """Return the bytes that have arrived; block only if there are none."""
-        return self.response.read1(READ_BYTES)
+        return self.response.read1(MAX_READ_BYTES)
 
 
 def parse_event(event: bytes) -> Chunk | None:
     """Return the chunk in one server-sent event; None if it holds none."""
-    identity = data = None
+    event_id = data = None
     for line in event.split(b"\n"):
         if line.startswith(b"id: "):
-            identity = line[4:]
+            event_id = line[4:]
         elif line.startswith(b"data: "):
             data = line[6:]
-    if identity is None or data is None:
+    if event_id is None or data is None:
         return None
-    stream, _, sequence = identity.rpartition(b":")
+    stream, _, sequence = event_id.rpartition(b":")
     if not sequence.isdigit():
         return None
     return Chunk(StreamId(stream.decode(errors="replace")), int(sequence), data)
@@ -122,7 +122,7 @@
     connection = connect(address, idle_s)
     headers = {"Content-Type": "application/json", STREAM_HEADER: stream}
     response = send(connection, "POST", "/v1/chat/completions", body, headers)
-    return _accepted(connection, response)
+    return _open_or_raise(connection, response)
 
 
 def resume_stream(
@@ -137,7 +137,7 @@
     """
     connection = connect(address, idle_s)
     path = f"/v1/streams/{stream}?from={sequence}"
-    return _accepted(connection, send(connection, "GET", path, None, {}))
+    return _open_or_raise(connection, send(connection, "GET", path, None, {}))
 
 
 def cancel_stream(address: str, stream: StreamId) -> None:
@@ -159,7 +159,7 @@
     return LoadReport(answer["running"], answer["queued"], answer["memory_tokens"])
 
 
-def _accepted(
+def _open_or_raise(
     connection: HTTPConnection, response: urllib3.BaseHTTPResponse
 ) -> EngineStream:
     if response.status == 200:
--- a/godwitladder/engines/service.py
+++ b/godwitladder/engines/service.py
@@ -8,8 +8,8 @@
 from godwitladder.engines.wire import MayHaveRun, connect, send
 from godwitladder.ids import ServiceName, StreamId
 
-READ_BYTES = 65_536
-ANSWER_BYTES = 16_777_216
+MAX_READ_BYTES = 65_536
+MAX_ANSWER_BYTES = 16_777_216
 CALL_HEADER = "X-Call-Id"
 NO_BODY = (204, 304)
 
@@ -49,7 +49,7 @@
     headers = {"Content-Type": content_type, CALL_HEADER: call}
     response = send(connection, "POST", f"/call/{service}", body, headers)
     try:
-        _check_head(response, call)
+        _check_headers(response, call)
         data = _read_body(response, clock, deadline)
     except (urllib3.exceptions.HTTPError, OSError) as error:
         raise MayHaveRun(f"{address} cut its answer short: {error}") from error
@@ -60,7 +60,7 @@
     return ServiceAnswer(response.status, kind, data)
 
 
-def _check_head(response: urllib3.BaseHTTPResponse, call: StreamId) -> None:
+def _check_headers(response: urllib3.BaseHTTPResponse, call: StreamId) -> None:
     """Reject an answer to another call, or one whose end can't be detected.
 
     An answer with neither a length nor chunked encoding ends when the connection
@@ -91,10 +91,10 @@
     """
     blocks = []
     size = 0
-    while block := response.read1(READ_BYTES):
+    while block := response.read1(MAX_READ_BYTES):
         size += len(block)
-        if size > ANSWER_BYTES:
-            raise MayHaveRun(f"the answer has more than {ANSWER_BYTES} bytes")
+        if size > MAX_ANSWER_BYTES:
+            raise MayHaveRun(f"the answer has more than {MAX_ANSWER_BYTES} bytes")
         if clock.monotonic() >= deadline:
             raise MayHaveRun("the deadline passed within the answer")
         blocks.append(block)
--- a/godwitladder/platform/__main__.py
+++ b/godwitladder/platform/__main__.py
@@ -4,7 +4,7 @@
 import signal
 
 
-def hold_signals() -> None:
+def install_early_signal_handlers() -> None:
     """Install signal handlers for the time until the host installs its own.
 
     Importing the host takes half a second. Without handlers, SIGHUP in that time
@@ -18,7 +18,7 @@
 
 def main() -> None:
     """Install the signal handlers before importing and running the host."""
-    hold_signals()
+    install_early_signal_handlers()
     from godwitladder.platform.host import run_host
 
     run_host()
--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -21,12 +21,12 @@
 )
 from godwitladder.serving.auth import key_digest
 
-REPEATS = {
+ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAM,
 }
-NO_TIMEOUT_S = 3_600.0
+DEFAULT_TIMEOUT_S = 3_600.0
 
 
 class InvalidDocument(ValueError):
@@ -50,7 +50,7 @@
             routes=tuple(map(_route, raw.get("routes") or ())),
             services={row.name: row for row in services},
             workspaces={row.name: row for row in workspaces},
-            limits=_bounds(raw.get("limits") or {}),
+            limits=_limits(raw.get("limits") or {}),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise InvalidDocument(f"invalid configuration: {error!r}") from error
@@ -62,12 +62,12 @@
         name=RouteName(str(raw["name"])),
         host=str(raw["host"]).lower(),
         prefix=str(raw["pathPrefix"]),
-        kind=REPEATS.get(raw["kind"], RouteKind.NON_IDEMPOTENT),
+        kind=ROUTE_KINDS.get(raw["kind"], RouteKind.NON_IDEMPOTENT),
         splits=tuple(
             Split(ServiceName(str(row["service"])), float(row["weight"]))
             for row in splits
         ),
-        timeout_s=_seconds(raw.get("timeoutMs")) or NO_TIMEOUT_S,
+        timeout_s=_seconds(raw.get("timeoutMs")) or DEFAULT_TIMEOUT_S,
         ttft_budget_s=_seconds(raw.get("targetLatencyMs")),
         max_attempts=max(1, int(raw.get("maxAttempts") or 1)),
         rank=int(raw.get("priority") or 0),
@@ -104,7 +104,7 @@
     )
 
 
-def _bounds(raw: dict[str, Any]) -> CallerLimits:
+def _limits(raw: dict[str, Any]) -> CallerLimits:
     default = CallerLimits()
     return CallerLimits(
         header_bytes=int(raw.get("maxHeaderBytes") or default.header_bytes),
--- a/godwitladder/platform/entries.py
+++ b/godwitladder/platform/entries.py
@@ -13,7 +13,7 @@
 from godwitladder.ids import ServiceName, TargetName, Zone
 from godwitladder.tables import host_port
 
-STATES = {"ready": False, "draining": True}
+IS_LEAVING = {"ready": False, "draining": True}
 
 
 def decode_entry(key: str, value: bytes) -> Result[TargetEntry, str]:
@@ -24,9 +24,9 @@
         return Failure(f"is not JSON: {error}")
     if not isinstance(raw, dict):
         return Failure("is no table")
-    fault = _find_fault(raw)
-    if fault:
-        return Failure(fault)
+    problem = _find_problem(raw)
+    if problem:
+        return Failure(problem)
     return Success(
         TargetEntry(
             name=TargetName(key),
@@ -35,28 +35,28 @@
             zone=Zone(raw["zone"]),
             slots=raw["slots"],
             born_ms=raw.get("born", 0),
-            leaving=STATES[raw["state"]],
-            release=_release_of(raw),
+            leaving=IS_LEAVING[raw["state"]],
+            release=_parse_release(raw),
         )
     )
 
 
-def _release_of(raw: dict[str, Any]) -> str:
+def _parse_release(raw: dict[str, Any]) -> str:
     release = raw.get("version")
     return str(release) if isinstance(release, str | int) else ""
 
 
-def _find_fault(raw: dict[str, Any]) -> str | None:
+def _find_problem(raw: dict[str, Any]) -> str | None:
     for name in ("service", "address", "zone", "state"):
         if not isinstance(raw.get(name), str) or not raw[name]:
             return f"{name} is no text"
-    if raw["state"] not in STATES:
+    if raw["state"] not in IS_LEAVING:
         return f"state {raw['state']!r} is not known"
     if host_port(raw["address"]):
         return "address is no address:port"
-    for name, least in (("slots", 1), ("born", 0)):
-        value = raw.get(name, least)
-        if type(value) is not int or value < least:
+    for name, minimum in (("slots", 1), ("born", 0)):
+        value = raw.get(name, minimum)
+        if type(value) is not int or value < minimum:
             return f"{name} is no whole number"
     if "slots" not in raw:
         return "slots is missing"
--- a/godwitladder/platform/headers.py
+++ b/godwitladder/platform/headers.py
@@ -35,8 +35,8 @@
     def read_call(self, headers: Headers) -> CallMetadata:
         """Return the data in a caller's headers; invalid values count as not sent."""
         found = {name.lower(): value for name, value in headers}
-        prompt, output = _pair(found.get(names.TOKENS.lower(), ""))
-        deadline = _number(found.get(names.DEADLINE_MS.lower(), ""))
+        prompt, output = _parse_token_counts(found.get(names.TOKENS.lower(), ""))
+        deadline = _parse_positive_number(found.get(names.DEADLINE_MS.lower(), ""))
         authorization = found.get("authorization", "")
         bearer = authorization.lower().startswith(BEARER)
         return CallMetadata(
@@ -45,8 +45,10 @@
             key=authorization[len(BEARER) :].strip() if bearer else "",
             prompt_tokens=prompt,
             output_tokens=output,
-            output_hint=int(_number(found.get(names.LENGTH_HINT.lower(), "")) or 0),
-            parts=_parts(found.get(names.PREFIX.lower(), "")),
+            output_hint=int(
+                _parse_positive_number(found.get(names.LENGTH_HINT.lower(), "")) or 0
+            ),
+            parts=_parse_prompt_parts(found.get(names.PREFIX.lower(), "")),
             last_event=found.get(names.LAST_EVENT.lower(), ""),
         )
 
@@ -82,7 +84,7 @@
         return [row for row in headers if row[0].lower() not in HOP_BY_HOP]
 
 
-def _number(text: str) -> float | None:
+def _parse_positive_number(text: str) -> float | None:
     try:
         value = float(text)
     except ValueError:
@@ -90,14 +92,14 @@
     return value if 0 < value < 1e9 else None
 
 
-def _pair(text: str) -> tuple[int, int]:
+def _parse_token_counts(text: str) -> tuple[int, int]:
     first, _, second = text.partition(",")
     if not (first.strip().isdecimal() and second.strip().isdecimal()):
         return 0, 0
     return int(first), int(second)
 
 
-def _parts(text: str) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(text: str) -> tuple[PromptPart, ...]:
     parts = []
     for item in text.split(",") if text else ():
         name, _, tokens = item.strip().partition(":")
--- a/godwitladder/platform/store.py
+++ b/godwitladder/platform/store.py
@@ -20,8 +20,8 @@
 TIMEOUT_S = 1.0
 """Timeout in seconds, since a connection may stay silent forever. The store
 answers within 4 ms, and within 250 ms while it is slow; this is four times that."""
-HEAD = struct.Struct(">QQ")
-LENGTH = struct.Struct(">I")
+HEADER = struct.Struct(">QQ")
+RECORD_LENGTH = struct.Struct(">I")
 
 
 @dataclass(frozen=True)
@@ -68,11 +68,11 @@
         after = ""
         while True:
             query = {"topic": topic, "part": 0} | ({"after": after} if after else {})
-            page = self._json("GET", names.NEWEST, query)
+            page = self._request_json("GET", names.NEWEST, query)
             try:
                 end = page["endOffset"] if end is None else end
                 rows = page["entries"]
-                records += [_newest_record(row) for row in rows]
+                records += [_parse_newest_record(row) for row in rows]
                 if not page.get("hasMore") or not rows:
                     return Newest(tuple(records), int(end))
                 after = rows[-1]["key"]
@@ -102,10 +102,10 @@
             The record may have been appended, or may be appended later.
         """
         content = bytes([len(key.encode())]) + key.encode() + value
-        body = LENGTH.pack(len(content)) + content
+        body = RECORD_LENGTH.pack(len(content)) + content
         self._request("POST", names.APPEND, {"topic": topic, "part": 0}, body)
 
-    def _json(self, method: str, path: str, query: dict) -> dict:
+    def _request_json(self, method: str, path: str, query: dict) -> dict:
         data = self._request(method, path, query)
         try:
             answer = json.loads(data)
@@ -139,28 +139,30 @@
     StoreUnavailable
         The body is truncated or has no header.
     """
-    if len(data) < HEAD.size:
+    if len(data) < HEADER.size:
         raise StoreUnavailable(f"a body of {len(data)} bytes has no complete header")
     records = []
-    place = HEAD.size
-    while place < len(data):
+    position = HEADER.size
+    while position < len(data):
         try:
-            (length,) = LENGTH.unpack_from(data, place)
+            (length,) = RECORD_LENGTH.unpack_from(data, position)
         except struct.error as error:
             raise StoreUnavailable("the body of a read is truncated") from error
-        content = data[place + LENGTH.size : place + LENGTH.size + length]
+        content = data[
+            position + RECORD_LENGTH.size : position + RECORD_LENGTH.size + length
+        ]
         if len(content) < length:
             raise StoreUnavailable("the body of a read is truncated")
-        records.append(_keyed_record(offset + len(records), content))
-        place += LENGTH.size + length
+        records.append(_parse_keyed_record(offset + len(records), content))
+        position += RECORD_LENGTH.size + length
     return tuple(records)
 
 
-def _keyed_record(offset: int, content: bytes) -> Record:
+def _parse_keyed_record(offset: int, content: bytes) -> Record:
     end = 1 + (content[0] if content else 0)
     return Record(offset, content[1:end].decode(errors="replace"), content[end:])
 
 
-def _newest_record(row: dict) -> Record:
+def _parse_newest_record(row: dict) -> Record:
     value = base64.b64decode(row.get("value") or "")
     return Record(int(row["offset"]), str(row["key"]), value)
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -48,13 +48,14 @@
 
 ROUTE_RANK_WEIGHT = 2
 """Factor of a route's rank in the combined rank; a workspace's rank counts once."""
-UNKNOWN_RETRY_S = 0.5
-"""Retry-After, in seconds, while no current document is known; the next read of
-the store is due within this time."""
-LEAST_SILENCE_S, AIMS, GAPS = 2.0, 4.0, 8.0
+NO_CONFIG_RETRY_S = 0.5
+"""Retry-After, in seconds, while no current document is known; the next read
+of the store is due within this time."""
+MIN_SILENCE_S, TTFT_MULTIPLE, GAP_MULTIPLE = 2.0, 4.0, 8.0
 """Callers abandon a stream after a silence of the longest of: this minimum in
-seconds, AIMS times the route's latency objective, and GAPS times its longest
-pause between events. The values follow what users state about their callers."""
+seconds, TTFT_MULTIPLE times the route's latency objective, and GAP_MULTIPLE times
+its longest pause between events. The values follow what users state about their
+callers."""
 UNBOUNDED = 1 << 30
 MAX_START_FRACTION = 0.7
 """Fraction of the caller's waiting time within which its call has to start. The
@@ -86,11 +87,11 @@
 
     Parameters
     ----------
-    form : HeaderCodec
+    codec : HeaderCodec
         Reads and writes the headers of this platform.
-    passer : Passer
+    passer : RoutedProxy
         Dispatches calls to targets.
-    currency : Currency
+    freshness : DocumentFreshness
         Tells whether the document may still be used.
     clock : Clock
         Time source.
@@ -111,7 +112,7 @@
 
     def __init__(
         self,
-        form: HeaderCodec,
+        codec: HeaderCodec,
         passer: RoutedProxy,
         freshness: DocumentFreshness,
         clock: Clock,
@@ -122,7 +123,7 @@
         super().__init__()
         self.max_open_calls = max_open_calls
         self.gate = gate or AdmissionGate()
-        self.form = form
+        self.codec = codec
         self.passer = passer
         self.freshness = freshness
         self.clock = clock
@@ -133,27 +134,27 @@
     def answer(self, environ: Mapping, start_response) -> Iterable[bytes]:
         """Answer one request, or refuse it with the reason."""
         headers = read_headers(environ)
-        facts = self.form.read_call(headers)
+        metadata = self.codec.read_call(headers)
         try:
-            call = self.read(environ, headers, facts)
+            call = self.parse_call(environ, headers, metadata)
         except CallRefused as error:
-            return self.turn_away(error, facts, start_response)
+            return self.refuse_call(error, metadata, start_response)
         except Exception:
             log.exception(
-                "A call could not be parsed", extra={"request": facts.attempt}
+                "A call could not be parsed", extra={"request": metadata.attempt}
             )
             return answer_problem(start_response, internal_fault())
         gone = environ.get("waitress.client_disconnected", lambda: False)
         return self.passer.serve(call, gone, start_response)
 
-    def turn_away(
-        self, error: CallRefused, facts: CallMetadata, start_response
+    def refuse_call(
+        self, error: CallRefused, metadata: CallMetadata, start_response
     ) -> Iterable[bytes]:
         """Refuse a call that has not reached the scheduler."""
         refusal = error.refusal
         self.metrics.count_refused_call(refusal.reason)
         extra = {
-            "request": facts.attempt,
+            "request": metadata.attempt,
             "reason": refusal.reason.value,
             "detail": refusal.detail,
             "version": self.in_force.document.version,
@@ -163,8 +164,8 @@
         log.info("A call was turned away", extra=extra)
         return answer_problem(start_response, refusal, exact=True)
 
-    def read(
-        self, environ: Mapping, headers: Headers, facts: CallMetadata
+    def parse_call(
+        self, environ: Mapping, headers: Headers, metadata: CallMetadata
     ) -> RoutedCall:
         """Return the call in a request.
 
@@ -184,7 +185,7 @@
         if self.open_calls > self.max_open_calls:
             raise _refused(Reason.SHED, "This host is full.", FULL_RETRY_S)
         if document.version < 0:
-            raise _refused(Reason.NO_CONFIG, "No document is known.", UNKNOWN_RETRY_S)
+            raise _refused(Reason.NO_CONFIG, "No document is known.", NO_CONFIG_RETRY_S)
         path = environ.get("REQUEST_URI") or environ["PATH_INFO"]
         route = in_force.routes.find(
             parse_host_header(environ.get("HTTP_HOST", "")), path.partition("?")[0]
@@ -192,11 +193,11 @@
         current = self.freshness.is_fresh(self.clock.boottime())
         if route is None:
             # An outdated document may lack a route that has been added since.
-            self.need_current(current)
+            self.require_current(current)
             raise _refused(Reason.UNKNOWN_PATH, "No route leads there.")
-        workspace = self.find_workspace(document, route, facts, current)
+        workspace = self.find_workspace(document, route, metadata, current)
         service = choose_split(route.splits, random.random()).service
-        self.need_open((service, workspace.name), facts)
+        self.check_admission((service, workspace.name), metadata)
         body = read_body(environ, document.limits.body_bytes)
         digest = digest_call(workspace.name, path, body)
         held_s = self.passer.losses.held_s(digest)
@@ -207,7 +208,7 @@
             environ["REQUEST_METHOD"],
             path,
             headers,
-            facts,
+            metadata,
             route,
             service,
             workspace,
@@ -215,7 +216,7 @@
             digest,
         )
 
-    def need_open(self, flow: Flow, facts: CallMetadata) -> None:
+    def check_admission(self, flow: Flow, metadata: CallMetadata) -> None:
         """Refuse a call that the allocator would probably not serve.
 
         Raises
@@ -224,12 +225,12 @@
             The admission gate refuses the call.
         """
         now = self.clock.monotonic()
-        name = RequestId(facts.attempt)
+        name = RequestId(metadata.attempt)
         refusal = self.gate.refusal(flow, name, random.random(), now)
         if refusal is not None:
             raise CallRefused(refusal)
 
-    def need_current(self, current: bool) -> None:
+    def require_current(self, current: bool) -> None:
         """Refuse a call that can't be decided with an outdated document.
 
         Raises
@@ -239,13 +240,13 @@
         """
         if not current:
             text = "The document in force is not known to be the newest."
-            raise _refused(Reason.NO_CONFIG, text, UNKNOWN_RETRY_S)
+            raise _refused(Reason.NO_CONFIG, text, NO_CONFIG_RETRY_S)
 
     def find_workspace(
         self,
         document: RoutingDocument,
         route: Route,
-        facts: CallMetadata,
+        metadata: CallMetadata,
         current: bool,
     ) -> RoutedWorkspace:
         """Return the workspace that the call's bearer key belongs to.
@@ -260,9 +261,9 @@
         """
         if route.public or not document.requires_keys:
             return NO_WORKSPACE
-        self.need_current(current)
-        workspace = document.workspace_of.get(key_digest(facts.key))
-        if not facts.key or workspace is None:
+        self.require_current(current)
+        workspace = document.workspace_of.get(key_digest(metadata.key))
+        if not metadata.key or workspace is None:
             raise _refused(Reason.UNAUTHENTICATED, "The bearer key is not known.")
         return workspace
 
@@ -271,7 +272,7 @@
         method: str,
         path: str,
         headers: Headers,
-        facts: CallMetadata,
+        metadata: CallMetadata,
         route: Route,
         service: ServiceName,
         workspace: RoutedWorkspace,
@@ -280,43 +281,43 @@
     ) -> RoutedCall:
         """Return the call with its row for the scheduler's table."""
         now = self.clock.monotonic()
-        wait_s = min(facts.wait_s or route.timeout_s, route.timeout_s)
-        known = self.in_force.document.services.get(service, NO_SERVICE)
+        wait_s = min(metadata.wait_s or route.timeout_s, route.timeout_s)
+        routed_service = self.in_force.document.services.get(service, NO_SERVICE)
         identity = secrets.token_hex(8)
         row = RequestRow(
             request=RequestId(identity),
             stream=StreamId(identity),
             workspace=workspace.name,
             service=service,
-            tier_rank=rank_of(workspace, route),
-            prompt_tokens=facts.prompt_tokens,
-            declared_tokens=facts.output_tokens,
+            tier_rank=combine_ranks(workspace, route),
+            prompt_tokens=metadata.prompt_tokens,
+            declared_tokens=metadata.output_tokens,
             arrived=now,
             deadline=now + wait_s,
-            idempotent=may_repeat(route),
+            idempotent=may_rerun(route),
             body=digest,
-            prefix=shared_prefix_name(facts.parts),
+            prefix=shared_prefix_name(metadata.parts),
         )
         row.start_by = now + start_within_s(route, wait_s)
         if route.ttft_budget_s:
             row.ttft_deadline = now + route.ttft_budget_s
-        row.gap_s, row.event_tokens = route.gap_s, known.event_tokens
-        row.charge = charge_of(facts, workspace.quota)
+        row.gap_s, row.event_tokens = route.gap_s, routed_service.event_tokens
+        row.charge = quota_charge(metadata, workspace.quota)
         return RoutedCall(
             row=row,
             route=route,
-            metadata=facts,
+            metadata=metadata,
             method=method,
             path=path,
             headers=headers,
             body=body,
             workspace=workspace.name,
             deadline=row.deadline,
-            event_tokens=known.event_tokens,
+            event_tokens=routed_service.event_tokens,
         )
 
 
-def rank_of(workspace: RoutedWorkspace, route: Route) -> int:
+def combine_ranks(workspace: RoutedWorkspace, route: Route) -> int:
     """Return the rank of a call; lower ranks are served first.
 
     The route's rank counts most. Between calls with the same route rank, the
@@ -334,12 +335,16 @@
     before the first event.
     """
     if route.kind is RouteKind.STREAM:
-        silence_s = max(LEAST_SILENCE_S, AIMS * route.ttft_budget_s, GAPS * route.gap_s)
+        silence_s = max(
+            MIN_SILENCE_S,
+            TTFT_MULTIPLE * route.ttft_budget_s,
+            GAP_MULTIPLE * route.gap_s,
+        )
         wait_s = min(wait_s, silence_s)
     return wait_s * MAX_START_FRACTION
 
 
-def may_repeat(route: Route) -> bool:
+def may_rerun(route: Route) -> bool:
     """Return whether a request of this route may run more than once."""
     return route.kind is RouteKind.IDEMPOTENT or route.resumable
 
@@ -354,9 +359,9 @@
     return parts[-2].name if len(parts) > 1 else ""
 
 
-def charge_of(facts: CallMetadata, quota: TokenQuota) -> int:
+def quota_charge(metadata: CallMetadata, quota: TokenQuota) -> int:
     """Return the tokens that a request is charged to its workspace's quota."""
-    return facts.prompt_tokens + facts.output_tokens or quota.default_tokens
+    return metadata.prompt_tokens + metadata.output_tokens or quota.default_tokens
 
 
 def read_headers(environ: Mapping) -> Headers:
@@ -371,16 +376,16 @@
     return tuple(rows)
 
 
-def read_body(environ: Mapping, most: int) -> bytes:
+def read_body(environ: Mapping, max_bytes: int) -> bytes:
     """Return the body of a request.
 
     Raises
     ------
     CallRefused
-        The body has more than ``most`` bytes.
+        The body has more than ``max_bytes`` bytes.
     """
     length = int(environ.get("CONTENT_LENGTH") or 0)
-    if length > most:
+    if length > max_bytes:
         raise _refused(Reason.TOO_LARGE, f"A body of {length} bytes is too large.")
     return environ["wsgi.input"].read(length) if length else b""
 
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -55,16 +55,16 @@
 log = component_logger("daemon")
 
 IDLE_TICK_S = 0.25
-FIRST_LOOK_S = 1.0
+FIRST_POLL_S = 1.0
 PEER_DISCOVERY_TIMEOUT_S = 3.0
 """A host that has found no peer after this time serves alone."""
-NOTICE_S = 2.5
+DRAIN_NOTICE_S = 2.5
 """Seconds for the load balancer to notice that this host is leaving: it probes
 once a second and removes a host after two failed probes."""
-LAST_S = 0.5
+EXIT_RESERVE_S = 0.5
 """Seconds of the grace period that are reserved for the exit of the process."""
-SMALL_THREADS = 2
-SHOWN_HOSTS = 12
+ADMIN_THREADS = 2
+MAX_LOGGED_HOSTS = 12
 """Limit on the allocators listed in a log line."""
 CRITICAL_THREADS = frozenset({"feed", "ticker", "http", "watch", "peers"})
 FAILURE_EXIT_CODE = 70
@@ -81,7 +81,7 @@
         The settings read from it.
     source : Source
         The platform's store.
-    form : HeaderCodec
+    codec : HeaderCodec
         Reads and writes the headers of the platform.
     clock : Clock
         Time source of all components.
@@ -92,13 +92,13 @@
         path: Path,
         settings: RoutedSettings,
         source: Source,
-        form: HeaderCodec,
+        codec: HeaderCodec,
         clock: Clock,
     ) -> None:
         super().__init__(settings.host, clock, settings.limits)
         self.path = path
         self.settings = settings
-        self.file_text = read_text(path)
+        self.file_text = read_settings_text(path)
         self.source = source
         self.metrics = Metrics()
         self.started = clock.monotonic()
@@ -177,13 +177,13 @@
         self.feed.spread = self.mesh.broadcast
         self.feed.ask = self.ask_peer
         self.router.takers[FeedNews] = lambda link, news: self.feed.take_news(news)
-        self.router.takers[FeedWanted] = self.tell_newcomer
+        self.router.takers[FeedWanted] = self.answer_feed_request
         self.losses = LossRegistry(clock, self.mesh.broadcast)
-        self.router.takers[AnswerLost] = self.take_loss
+        self.router.takers[AnswerLost] = self.receive_loss
         self.watch = CallWatcher(clock)
         self.app = RoutedApp(
-            form,
-            self.make_passer(form),
+            codec,
+            self.make_passer(codec),
             self.freshness,
             clock,
             self.metrics,
@@ -197,7 +197,7 @@
         links = self.mesh.current()
         return bool(links) and random.choice(links).send(encode(wanted))
 
-    def tell_newcomer(self, link: Link, wanted: FeedWanted) -> None:
+    def answer_feed_request(self, link: Link, wanted: FeedWanted) -> None:
         """Send this host's copy of the store's data to a host that has just started."""
         self.feed.answer(lambda news: link.send(encode(news)))
 
@@ -206,7 +206,7 @@
         self.membership.tell(LinkUp(link))
         self.feed.ask_peer(lambda wanted: link.send(encode(wanted)))
 
-    def take_loss(self, link: Link, news: AnswerLost) -> None:
+    def receive_loss(self, link: Link, news: AnswerLost) -> None:
         """Record a lost answer, and forward it to hosts that have not received it.
 
         The host that lost the answer is linked to the hubs only. The hub that is
@@ -233,7 +233,7 @@
             cores=self.settings.processor.cores,
         )
 
-    def make_passer(self, form: HeaderCodec) -> RoutedProxy:
+    def make_passer(self, codec: HeaderCodec) -> RoutedProxy:
         """Return the dispatcher of calls."""
         bounds = self.settings.bounds
         budget = RetryBudget(
@@ -242,7 +242,7 @@
             )
         )
         return RoutedProxy(
-            form,
+            codec,
             self.scheduler,
             self.clock,
             self.metrics,
@@ -266,8 +266,8 @@
         threading.Thread(target=self.poll_host_list, name="hosts", daemon=True).start()
         listen, threads = settings.listen, settings.limits.threads
         self.caller_server = self.serve(self.app, listen.callers, threads)
-        self.serve(ReadinessApp(self.ready), listen.readiness, SMALL_THREADS)
-        self.serve(StatusApp(self), listen.operators, SMALL_THREADS)
+        self.serve(ReadinessApp(self.ready), listen.readiness, ADMIN_THREADS)
+        self.serve(StatusApp(self), listen.operators, ADMIN_THREADS)
         log.info(
             "The host serves",
             extra={"host": settings.host, "incarnation": self.incarnation},
@@ -306,9 +306,9 @@
         self.membership.ask(Leave())
         self.host_list.leave()
         self.caller_server.closing = True
-        self.clock.sleep(NOTICE_S)
+        self.clock.sleep(DRAIN_NOTICE_S)
         self.app.refusing = True
-        until = began + self.settings.bounds.grace_s - LAST_S
+        until = began + self.settings.bounds.grace_s - EXIT_RESERVE_S
         self.wait_until_idle(self.has_open_calls, until)
         stop_accepting(self.caller_server)
         self.wait_until_idle(self.has_open_calls, until)
@@ -319,7 +319,7 @@
 
     def reload(self) -> None:
         """Reload the settings file, and apply what can change without a restart."""
-        self.file_text = read_text(self.path)
+        self.file_text = read_settings_text(self.path)
         try:
             settings = read_routed_settings(self.path)
         except InvalidInput as error:
@@ -338,7 +338,7 @@
 
         The file may be changed without a SIGHUP.
         """
-        text = read_text(self.path)
+        text = read_settings_text(self.path)
         if text and text != self.file_text:
             self.reload()
 
@@ -366,21 +366,21 @@
                 "hosts": len(message.hosts),
                 "new": sorted(new),
                 "gone": sorted(gone),
-                "allocators": list(message.allocators[:SHOWN_HOSTS]),
+                "allocators": list(message.allocators[:MAX_LOGGED_HOSTS]),
             }
             log.info("The set of live hosts has changed", extra=extra)
 
     def poll_host_list(self) -> None:
         """Maintain this host's entry in the host list, and reload changed settings."""
         # Most peers are found through the seeds within this time.
-        period_s = FIRST_LOOK_S
+        period_s = FIRST_POLL_S
         while not self.clock.wait(self.stopping, period_s):
             linked = bool(self.mesh.current())
             period_s = self.host_list.look(linked, self.feed.hosts)
             self.reload_if_changed()
 
 
-def read_text(path: Path) -> str:
+def read_settings_text(path: Path) -> str:
     """Return the content of ``path``; empty if it can't be read."""
     try:
         return path.read_text(encoding="utf-8")
@@ -393,12 +393,12 @@
     path: Path,
     settings: RoutedSettings,
     make_source: Callable[[RoutedSettings], Source],
-    form: HeaderCodec,
+    codec: HeaderCodec,
 ) -> None:
     """Run one host until SIGTERM or SIGINT, then drain and exit."""
-    host = RoutingHost(path, settings, make_source(settings), form, Clock())
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: host.stop())
+    host = RoutingHost(path, settings, make_source(settings), codec, Clock())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: host.stop())
     signal.signal(signal.SIGHUP, lambda *_: host.reload())
     watch_threads(CRITICAL_THREADS, host.fail)
     host.run()
--- a/godwitladder/routing/freshness.py
+++ b/godwitladder/routing/freshness.py
@@ -24,9 +24,9 @@
 
     Parameters
     ----------
-    bound_s : float
+    max_age_s : float
         Seconds after which a revoked key must no longer be accepted.
-    proved : float
+    confirmed_at : float
         Start of the last read that confirmed the document, in seconds of this
         host's clock.
     """
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -35,7 +35,7 @@
     ----------
     host, prefix : str
         Host in lower case; the prefix begins and ends with a slash.
-    repeat : Repeat
+    kind : RouteKind
         Kind of the requests.
     splits : tuple of Split
         Services that share the requests; at least one.
--- a/godwitladder/routing/state.py
+++ b/godwitladder/routing/state.py
@@ -69,11 +69,11 @@
         prefill_tps=PREFILL_TPS,
         decode_tps=DECODE_TPS,
         generation=str(entry.born_ms),
-        state=state_of_target(entry, unproved),
+        state=target_state(entry, unproved),
     )
 
 
-def state_of_target(entry: TargetEntry, unproved: bool) -> TargetState:
+def target_state(entry: TargetEntry, unproved: bool) -> TargetState:
     """Return the state of a target, which decides whether it gets new calls."""
     if entry.leaving:
         return TargetState.LEAVING
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -79,11 +79,11 @@
     ],
 }
 # Names in the protocols of the platform, and the folders that may use them.
-FOREIGN = re.compile(
+PLATFORM_NAMES = re.compile(
     r"Godwitladder-|/api/|log-(append|read|newest|join)|keyed\.(op|servers|hosts)"
     r"|GODWITLADDER_NODE_FILE|Kv-From"
 )
-ADAPTER = ("godwitladder/platform/", "godwitladder/standins/")
+ADAPTER_FOLDERS = ("godwitladder/platform/", "godwitladder/standins/")
 
 
 @pytest.fixture
@@ -106,8 +106,8 @@
     found = [
         f"{path.relative_to(root)}: {match.group()}"
         for path in (root / "godwitladder").rglob("*.py")
-        if not str(path.relative_to(root)).startswith(ADAPTER)
-        for match in FOREIGN.finditer(path.read_text())
+        if not str(path.relative_to(root)).startswith(ADAPTER_FOLDERS)
+        for match in PLATFORM_NAMES.finditer(path.read_text())
     ]
     assert found == []
 
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b"\xff", b'{"version": "x"}'])
-def test_what_is_no_document_is_refused(data):
+def test_an_invalid_document_is_refused(data):
     with pytest.raises(InvalidDocument):
         decode_document(data)
 
@@ -153,7 +153,7 @@
         {"born": 1.5},
     ],
 )
-def test_an_unreadable_entry_names_no_target(change):
+def test_an_invalid_entry_is_refused(change):
     """Guards against using an invalid entry of another program, or failing on it."""
     assert isinstance(decode_entry("e1", json.dumps(ENTRY | change).encode()), Failure)
 
@@ -171,7 +171,7 @@
         pass
 
 
-def test_a_read_that_is_cut_short_is_no_read(store, client):
+def test_a_truncated_read_is_refused(store, client):
     """Guards against skipping the records behind a truncation.
 
     A target whose leaving is among the skipped records would stay in use.
@@ -183,7 +183,7 @@
         parse_records(data[:-1], 0)
 
 
-def test_newest_goes_through_all_pages(store, client):
+def test_newest_reads_all_pages(store, client):
     for number in range(5):
         store.standin.put("keyed.t", f"k{number}", b"v%d" % number)
     store.standin.put("keyed.t", "k1", b"")
@@ -200,7 +200,7 @@
     assert client.read("keyed.t", 2) == ()
 
 
-def test_history_that_is_gone_is_told(store, client):
+def test_a_read_of_trimmed_records_raises(store, client):
     client.append("keyed.t", "a", b"1")
     store.standin.forget("keyed.t")
     with pytest.raises(StoreTrimmed):
@@ -231,12 +231,12 @@
 
 
 @pytest.mark.parametrize("value", ["", "x", "-5", "nan", "inf", "1e400"])
-def test_a_wait_that_is_no_number_counts_as_not_sent(value):
+def test_an_invalid_deadline_counts_as_not_sent(value):
     facts = PlatformHeaders().read_call((("Godwitladder-Deadline-Ms", value),))
     assert facts.wait_s is None
 
 
-def test_what_is_the_systems_to_set_is_not_passed_on():
+def test_system_headers_of_a_caller_are_not_passed_on():
     """Guards against forged system headers of a caller, which a target would trust."""
     forged = (
         ("Godwitladder-Hold", "h"),
--- a/tests/platform/test_hosts.py
+++ b/tests/platform/test_hosts.py
@@ -85,22 +85,24 @@
     """A store, two engines and two hosts."""
 
     def __init__(self, stack, folder):
-        self.store = self.own(stack, start_store())
-        self.engines = {f"e{n}": self.own(stack, start_engine()) for n in range(2)}
+        self.store = self.register_cleanup(stack, start_store())
+        self.engines = {
+            f"e{n}": self.register_cleanup(stack, start_engine()) for n in range(2)
+        }
         self.store.standin.put_config(make_config(1))
         for name in self.engines:
-            self.enter(name)
+            self.register_engine(name)
         first = Host(stack, folder, "h1", self.store, [])
         self.hosts = [first, Host(stack, folder, "h2", self.store, [first.peer])]
         wait_until(lambda: all(host.ready() for host in self.hosts), "hosts")
         wait_until(self.joined, "one mesh")
 
-    def own(self, stack, server):
+    def register_cleanup(self, stack, server):
         stack.callback(server.server_close)
         stack.callback(server.shutdown)
         return server
 
-    def enter(self, name, **more):
+    def register_engine(self, name, **more):
         address = self.engines[name].address
         entry = ENTRY | {"service": "core", "address": address, "slots": 2} | more
         self.store.standin.put("keyed.servers", name, json.dumps(entry).encode())
@@ -137,7 +139,7 @@
     wait_until(lambda: two.call("/charge/x")[0] == 401, "the key to go")
     wait_until(lambda: one.call("/charge/x", key="k2")[0] == 200, "the new key")
 
-    fleet.enter("e0", state="draining")
+    fleet.register_engine("e0", state="draining")
     wait_until(lambda: all("leaving" in h.status()["targets"].values()
                            for h in fleet.hosts), "the engine to leave")  # fmt: skip
     before = len(fleet.engines["e0"].standin.runs)
@@ -153,7 +155,7 @@
     wait_until(lambda: one.call("/charge/x", key="k2")[0] == 200, "the return")
 
 
-def test_a_planned_stop_cuts_no_call(fleet):
+def test_a_drain_finishes_open_calls(fleet):
     """Guards against calls that are cut off when SIGTERM stops their host.
 
     The signal arrives while an engine works on a call. The host must report that it
@@ -175,7 +177,7 @@
     assert two.call("/charge/x")[0] == 200
 
 
-def test_a_planned_stop_waits_for_a_call_that_outlasts_its_notice(fleet):
+def test_a_drain_waits_for_a_call_longer_than_its_notice(fleet):
     """Guards against a drain that ends before the last open call.
 
     When SIGTERM arrives, an engine still needs four seconds for a call, longer than
@@ -207,10 +209,10 @@
     wait_until(lambda: two.call("/charge/x")[0] == 200, "calls to go on")
 
 
-THREADS_AT_REST = 24
+MAX_IDLE_THREADS = 24
 
 
-def test_a_host_holds_few_threads_before_and_after_a_burst(fleet):
+def test_a_host_has_few_threads_before_and_after_a_burst(fleet):
     """Guards against threads that stay after a burst of calls.
 
     Forty callers arrive at an idle host at once. All must be answered, and the
@@ -218,7 +220,7 @@
     can't keep a thread for every call that it might have to serve.
     """
     one, _ = fleet.hosts
-    wait_until(lambda: threads_of(one) <= THREADS_AT_REST, "a host at rest")
+    wait_until(lambda: count_threads(one) <= MAX_IDLE_THREADS, "a host at rest")
     for engine in fleet.engines.values():
         engine.standin.knobs.pause_s = 0.3
     answers = []
@@ -233,9 +235,9 @@
     for caller in callers:
         caller.join(30)
     assert len(answers) == 40
-    wait_until(lambda: threads_of(one) <= THREADS_AT_REST, "the threads to end")
+    wait_until(lambda: count_threads(one) <= MAX_IDLE_THREADS, "the threads to end")
 
 
-def threads_of(host):
+def count_threads(host):
     """Return the number of threads of a host's process."""
     return len(os.listdir(f"/proc/{host.process.pid}/task"))
--- a/tests/platform/test_starting.py
+++ b/tests/platform/test_starting.py
@@ -20,7 +20,7 @@
 """
 
 
-def load(number):
+def signal_while_loading(number):
     """Return the exit status and errors of a host that gets a signal while loading."""
     code = SEND_WHILE_LOADING.format(number=int(number))
     environ = {key: text for key, text in os.environ.items() if "NODE_FILE" not in key}
@@ -30,19 +30,19 @@
     return done.returncode, done.stderr.decode()
 
 
-def test_a_host_that_is_told_of_settings_while_it_loads_goes_on():
+def test_sighup_while_loading_is_ignored():
     """Guards against a SIGHUP that kills a host which does not listen yet.
 
     The signal may arrive within the first half second. Its default action ends the
     process, and the platform starts it again. Here the host must continue until it
     fails with a KeyError, since no settings file is named.
     """
-    status, errors = load(signal.SIGHUP)
+    status, errors = signal_while_loading(signal.SIGHUP)
     assert status == 1
     assert "KeyError" in errors
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM])
-def test_a_host_that_is_stopped_while_it_loads_ends_as_planned(number):
+def test_sigterm_while_loading_exits_with_success(number):
     """Guards against a SIGTERM during loading that looks like a crash."""
-    assert load(number)[0] == 0
+    assert signal_while_loading(number)[0] == 0
--- a/tests/routing/test_full.py
+++ b/tests/routing/test_full.py
@@ -9,7 +9,7 @@
 from godwitladder.routing.freshness import DocumentFreshness
 
 
-def test_a_call_beyond_the_threads_is_refused_at_once_and_truly():
+def test_a_call_beyond_the_limit_is_refused_at_once_as_not_run():
     """Guards against a call that waits without an answer while all threads are busy.
 
     The call must be refused at once, with an outcome that says that it did not run
@@ -37,10 +37,10 @@
 
 def ask(app):
     """Return the status, headers and body of the answer to one call."""
-    heads = []
+    responses = []
     environ = {"REQUEST_METHOD": "POST", "PATH_INFO": "/a/x", "HTTP_HOST": "h"}
-    answer = app(environ, lambda status, headers: heads.append((status, headers)))
+    answer = app(environ, lambda status, headers: responses.append((status, headers)))
     body = json.loads(b"".join(answer))
     answer.close()
-    status, headers = heads[0]
+    status, headers = responses[0]
     return status, dict(headers), body
--- a/tests/routing/test_reload.py
+++ b/tests/routing/test_reload.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from godwitladder.routing.daemon import RoutingHost, read_text
+from godwitladder.routing.daemon import RoutingHost, read_settings_text
 
 TEXT = """
 host = "h1"
@@ -32,7 +32,7 @@
     path.write_text(TEXT.format(revoke_s=5))
     host = SimpleNamespace(
         path=path,
-        file_text=read_text(path),
+        file_text=read_settings_text(path),
         mesh=SimpleNamespace(seeds=frozenset(), address="127.0.0.1:4"),
         freshness=SimpleNamespace(max_age_s=5.0),
     )
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "host = 1", "no toml ["])
-def test_a_file_that_is_half_written_changes_nothing(host, text):
+def test_a_partly_written_file_changes_nothing(host, text):
     """Guards against applying a file that is read while it is being written."""
     host.path.write_text(text)
     RoutingHost.reload_if_changed(host)
@@ -65,7 +65,7 @@
     assert host.freshness.max_age_s == 2.0
 
 
-def test_a_file_that_is_away_changes_nothing(host):
+def test_a_missing_file_changes_nothing(host):
     """Guards against a failure while the file is missing, as during a replacement."""
     host.path.unlink()
     RoutingHost.reload_if_changed(host)
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -27,7 +27,7 @@
     assert (found.prefix if found else None) == max(fitting, key=len, default=None)
 
 
-def test_a_route_of_another_host_is_none():
+def test_a_route_of_another_host_is_not_found():
     assert RouteTable([make_route("/a/")]).find("other", "/a/x") is None
 
 
@@ -43,7 +43,7 @@
     assert choose_split((Split("a", 0), Split("b", 0)), 0.5).service == "b"
 
 
-def test_keys_are_believed_within_the_bound_only():
+def test_keys_are_accepted_only_while_the_document_is_fresh():
     """Guards against accepting a key that was revoked while the store was unreachable.
 
     The host last confirmed its document at time 100. Once the limit less a margin
@@ -56,14 +56,14 @@
     assert not freshness.is_fresh(100.0 + 5.0 - MARGIN_S + 0.01)
 
 
-def test_a_late_older_proof_takes_nothing_back():
+def test_an_older_confirmation_has_no_effect():
     freshness = DocumentFreshness(5.0)
     freshness.confirm(100.0)
     freshness.confirm(90.0)
     assert freshness.age_s(101.0) == 1.0
 
 
-def test_prompts_with_a_common_start_are_known_by_its_last_part():
+def test_prompts_with_a_common_prefix_share_the_name_of_its_last_part():
     """Guards against a new prefill of a prefix that a target already has cached."""
     guide, garment = PromptPart("guide", 528), PromptPart("garment", 2454)
     first = (guide, garment, PromptPart("one", 900))
