--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -21,10 +21,10 @@
 from godwitladder.ids import Incarnation
 from godwitladder.logs import component_logger
 from godwitladder.membership.actor import (
-    ConfigMoved,
+    ConfigChanged,
+    HostListRead,
     Leave,
     LinkUp,
-    Listed,
     Membership,
 )
 from godwitladder.membership.members import Members
@@ -174,7 +174,7 @@
             self.fail,
         )
         self.stack.callback(keys.stop)
-        self.router.takers |= keys.message_handlers()
+        self.router.message_handlers |= keys.message_handlers()
         self.operators.watch = keys.watch
         return keys
 
@@ -285,7 +285,7 @@
         self.scheduler.tell(NewConfig(state))
         self.allocator.tell(NewConfig(state))
         targets = frozenset(target.address for target in state.targets.values())
-        self.membership.tell(ConfigMoved(state.offset, targets))
+        self.membership.tell(ConfigChanged(state.offset, targets))
         self.metrics.config_offset.set({}, state.offset)
 
     def publish_members(self, message: HostsChanged | TargetsLeaving) -> None:
@@ -300,7 +300,7 @@
         client = HostListClient(self.settings.platform.hosts, self.settings.zone)
         while not self.stopping.is_set():
             try:
-                self.membership.tell(Listed(client.read()))
+                self.membership.tell(HostListRead(client.read()))
             except HostListUnavailable as error:
                 log.info("No host list", extra={"error": str(error)})
             self.count_traffic()
--- a/godwitladder/membership/actor.py
+++ b/godwitladder/membership/actor.py
@@ -33,14 +33,14 @@
 
 
 @dataclass(frozen=True)
-class Listed:
+class HostListRead:
     """The platform's host list, as last read."""
 
     hosts: tuple[ListedHost, ...]
 
 
 @dataclass(frozen=True)
-class ConfigMoved:
+class ConfigChanged:
     """The configuration offset in force on this host, and its targets."""
 
     offset: int
@@ -189,11 +189,11 @@
         now = self.clock.monotonic()
         rows = zip(message.hosts, message.incarnations, message.counts, strict=False)
         for host, incarnation, count in rows:
-            self.members.hear_of(host, incarnation, count, now)
+            self.members.record_gossip(host, incarnation, count, now)
 
     @take.register
     def _(self, message: Heartbeat) -> None:
-        self.members.hear(as_member(message, self.clock.monotonic()))
+        self.members.record_heartbeat(as_member(message, self.clock.monotonic()))
 
     @take.register
     def _(self, message: Roster) -> None:
@@ -203,7 +203,7 @@
         now = self.clock.monotonic()
         for row in message.members:
             if self.is_new(row):
-                self.members.hear(as_member(row, now))
+                self.members.record_heartbeat(as_member(row, now))
         self.mesh.meet(self.contacts(self.topology.dial_named(message.members)))
 
     @take.register
@@ -211,7 +211,7 @@
         self.gossip.take_directory(message)
 
     @take.register
-    def _(self, message: Listed) -> None:
+    def _(self, message: HostListRead) -> None:
         if len(message.hosts) > self.topology.mesh_hosts:
             self.topology.dial_strangers(message.hosts, self.targets)
         else:
@@ -223,7 +223,7 @@
             self.publish(TargetsLeaving(leaving))
 
     @take.register
-    def _(self, message: ConfigMoved) -> None:
+    def _(self, message: ConfigChanged) -> None:
         self.targets = message.targets
         self._announce(config_offset=message.offset)
 
--- a/godwitladder/membership/codec.py
+++ b/godwitladder/membership/codec.py
@@ -42,7 +42,7 @@
 SCALARS = frozenset({int, float, str, bool, bytes})
 
 
-class BadMessage(GodwitladderError):
+class InvalidMessage(GodwitladderError):
     """Bytes from a peer that are no message."""
 
 
@@ -66,7 +66,7 @@
 
     Raises
     ------
-    BadMessage
+    InvalidMessage
         The bytes are no message, or a field is missing or of a wrong type.
     """
     try:
@@ -76,7 +76,7 @@
         kind = KINDS.get(name)
         return make_reader(kind)(fields) if kind else None
     except (cbor2.CBORDecodeError, ValueError, TypeError, zlib.error) as error:
-        raise BadMessage(f"not a message: {error}") from error
+        raise InvalidMessage(f"not a message: {error}") from error
 
 
 def _expand(data: bytes) -> bytes:
--- a/godwitladder/membership/gossip.py
+++ b/godwitladder/membership/gossip.py
@@ -7,7 +7,7 @@
 from godwitladder.ids import HostId
 from godwitladder.membership.codec import encode
 from godwitladder.membership.directory import DirectoryPublisher
-from godwitladder.membership.hubs import publisher_of
+from godwitladder.membership.hubs import choose_publisher
 from godwitladder.membership.links import Link
 from godwitladder.membership.members import (
     Member,
@@ -88,7 +88,7 @@
         links = self.mesh.current()
         if topology.is_hub():
             links = [link for link in links if link.peer not in topology.hubs]
-        self.mesh.spread(links, encode(self.news_of(())))
+        self.mesh.multicast(links, encode(self.news_of(())))
 
     def send_news(self) -> None:
         """Send which hubs are live to the next few hubs, each link in its turn.
@@ -141,7 +141,7 @@
             link
             for link in self.mesh.current()
             if link.peer in self.members.seldom
-            and publisher_of(link.peer, hubs) == topology.me.host
+            and choose_publisher(link.peer, hubs) == topology.me.host
         ]
         mine = as_member(topology.me, self.clock.monotonic())
         self.directory.publish([as_heartbeat(row) for row in (*live, mine)], links)
@@ -163,7 +163,7 @@
             return
         self.reported = now
         for row in rows:
-            self.members.hear(as_member(row, now))
+            self.members.record_heartbeat(as_member(row, now))
 
     def expire_directory(self) -> None:
         """Forget the reports of a hub that can report no more, or need not.
--- a/godwitladder/membership/hubs.py
+++ b/godwitladder/membership/hubs.py
@@ -5,7 +5,7 @@
 20,000 connections, and a restart of all of them makes as many again at once;
 news of all hosts to all others grows with the square of their number too.
 
-Up to `MESH_HOSTS` every host is a hub, and all are linked to all. Beyond that
+Up to `MAX_MESH_HOSTS` every host is a hub, and all are linked to all. Beyond that
 a few hosts of each availability zone are, and every host is linked to all
 hubs. A hub sees by its own links who is live, and tells the others. Each host
 works the hubs out for itself from the live hosts it knows. Two that know
@@ -19,7 +19,7 @@
 from godwitladder.ids import HostId, Zone
 from godwitladder.membership.members import Member
 
-MESH_HOSTS = 24
+MAX_MESH_HOSTS = 24
 LEAST_HUBS = 6
 """Hubs in all. Some may fail at once, and a zone that is cut off keeps its own."""
 ABLE_SHARE = 0.75
@@ -34,7 +34,7 @@
         return frozenset(row.host for row in rows)
     places: dict[Zone, list[Member]] = {}
     for row in rows:
-        places.setdefault(row.place, []).append(row)
+        places.setdefault(row.availability_zone, []).append(row)
     each = math.ceil(LEAST_HUBS / len(places))
     return frozenset(
         row.host for group in places.values() for row in _best(group)[:each]
@@ -48,7 +48,7 @@
     return frozenset(row.host for row in rows if row.cores >= ABLE_SHARE * most)
 
 
-def publisher_of(host: HostId, hubs: Iterable[HostId]) -> HostId | None:
+def choose_publisher(host: HostId, hubs: Iterable[HostId]) -> HostId | None:
     """Return the hub that reports all live hosts to ``host``."""
     return choose_host(hubs, host)
 
--- a/godwitladder/membership/links.py
+++ b/godwitladder/membership/links.py
@@ -20,7 +20,7 @@
 from godwitladder.findings import GodwitladderError
 from godwitladder.ids import HostId
 from godwitladder.logs import component_logger
-from godwitladder.membership.codec import BadMessage, decode, encode
+from godwitladder.membership.codec import InvalidMessage, decode, encode
 from godwitladder.membership.messages import Hello, Proof
 
 log = component_logger("peers")
@@ -75,7 +75,7 @@
         self.connection = connection
         self.clock = clock
         self.post = post
-        self.heard = clock.monotonic()
+        self.last_heard = clock.monotonic()
         self.sent = 0
         self.received = 0
         self.outgoing: collections.deque[bytes] = collections.deque()
@@ -119,14 +119,14 @@
         writer = asyncio.ensure_future(self.write())
         try:
             async for data in self.connection:
-                self.heard = self.clock.monotonic()
+                self.last_heard = self.clock.monotonic()
                 self.received += len(data)
                 message = decode(data)
                 if message is not None:
                     deliver(self, message)
         except (WebSocketException, OSError) as error:
             log.info("A link broke", extra={"peer": self.peer, "error": str(error)})
-        except BadMessage as error:
+        except InvalidMessage as error:
             log.warning("A bad message", extra={"peer": self.peer, "error": str(error)})
         finally:
             writer.cancel()
@@ -175,7 +175,7 @@
     try:
         async with asyncio.timeout(GREETING_TIMEOUT_S):
             message = decode(await connection.recv())
-    except (TimeoutError, WebSocketException, BadMessage, OSError) as error:
+    except (TimeoutError, WebSocketException, InvalidMessage, OSError) as error:
         raise GreetingFailed(f"no greeting: {error!r}") from error
     if not isinstance(message, kind):
         raise GreetingFailed(f"expected {kind.__name__}, found {message!r}")
--- a/godwitladder/membership/members.py
+++ b/godwitladder/membership/members.py
@@ -34,11 +34,11 @@
     zone: Zone
     address: str
     incarnation: Incarnation
-    heard: float
+    last_heard: float
     leaving: bool = False
     config_offset: int = 0
     count: int = 0
-    place: Zone = Zone("")
+    availability_zone: Zone = Zone("")
     cores: float = 0.0
 
 
@@ -53,7 +53,7 @@
         row.leaving,
         row.config_offset,
         row.count,
-        row.place,
+        row.availability_zone,
         row.cores,
     )
 
@@ -68,7 +68,7 @@
         row.leaving,
         row.config_offset,
         row.count,
-        row.place,
+        row.availability_zone,
         row.cores,
     )
 
@@ -95,7 +95,7 @@
     seldom: frozenset[HostId] = frozenset()
     reported: set[HostId] = field(default_factory=set)
 
-    def hear(self, member: Member) -> bool:
+    def record_heartbeat(self, member: Member) -> bool:
         """Take in a heartbeat; return False if it is of an older incarnation.
 
         A delayed heartbeat of a process that is gone must not make it look
@@ -105,12 +105,12 @@
         """
         held = self.rows.get(member.host)
         if held and held.incarnation > member.incarnation:
-            if member.heard - held.heard < self.timeout_s:
+            if member.last_heard - held.last_heard < self.timeout_s:
                 return False
         self.rows[member.host] = member
         return True
 
-    def hear_of(
+    def record_gossip(
         self, host: HostId, incarnation: Incarnation, count: int, now: float
     ) -> None:
         """Take in another peer's news of ``host``.
@@ -122,7 +122,7 @@
         held = self.rows.get(host)
         if held and held.incarnation == incarnation and held.count < count:
             held.count = count
-            held.heard = now
+            held.last_heard = now
 
     def suspect(self, host: HostId, now: float) -> None:
         """Take a host whose link has closed for gone until it is heard of again.
@@ -133,7 +133,7 @@
         self.reported.discard(host)
         held = self.rows.get(host)
         if held:
-            held.heard = min(held.heard, now - self.patience_s(host))
+            held.last_heard = min(held.last_heard, now - self.patience_s(host))
 
     def live(self, now: float) -> list[Member]:
         """Return the members heard within their time or reported, by host id."""
@@ -142,7 +142,10 @@
 
     def is_live(self, row: Member, now: float) -> bool:
         """Return whether a member counts as live."""
-        return now - row.heard < self.patience_s(row.host) or row.host in self.reported
+        return (
+            now - row.last_heard < self.patience_s(row.host)
+            or row.host in self.reported
+        )
 
     def patience_s(self, host: HostId) -> float:
         """Return after which silence a peer no longer counts as live, in seconds."""
@@ -156,10 +159,10 @@
         until it has read them.
         """
         for row in self.rows.values():
-            row.heard += pause_s
+            row.last_heard += pause_s
 
     def forget(self, now: float, after_s: float) -> None:
         """Drop rows not heard of for ``after_s``, which bounds the table."""
         for host, row in list(self.rows.items()):
-            if now - row.heard > after_s and host not in self.reported:
+            if now - row.last_heard > after_s and host not in self.reported:
                 del self.rows[host]
--- a/godwitladder/membership/mesh.py
+++ b/godwitladder/membership/mesh.py
@@ -90,18 +90,18 @@
         clock: Clock,
         deliver: Callable[[Link, Any], None],
         seeds: Iterable[str] = (),
-        greeted: Callable[[Link], None] = lambda link: None,
+        on_link_up: Callable[[Link], None] = lambda link: None,
         tls: TlsSettings | None = None,
-        closed: Callable[[HostId], None] = lambda peer: None,
+        on_link_down: Callable[[HostId], None] = lambda peer: None,
     ) -> None:
-        self.closed = closed
+        self.on_link_down = on_link_down
         self.tls = tls
         self.host = host
         self.address = address
         self.secret = secret
         self.clock = clock
         self.deliver = deliver
-        self.greeted = greeted
+        self.on_link_up = on_link_up
         self.seeds = frozenset(seeds) - {address}
         self.links: dict[HostId, Link] = {}
         self.dialled: set[str] = set()
@@ -197,9 +197,9 @@
 
     def broadcast(self, message: Any) -> None:
         """Send ``message`` over every link."""
-        self.spread(self.current(), encode(message))
+        self.multicast(self.current(), encode(message))
 
-    def spread(self, links: Iterable[Link], data: bytes) -> None:
+    def multicast(self, links: Iterable[Link], data: bytes) -> None:
         """Send an encoded message over ``links``."""
         queued = [link for link in links if link.queue(data)]
         # One wake of the loop for all links: each costs a system call.
@@ -249,7 +249,7 @@
         """
         now = self.clock.monotonic()
         for link in self.current():
-            if now - link.heard > timeout_s:
+            if now - link.last_heard > timeout_s:
                 log.info("A link went silent", extra={"peer": link.peer})
                 self._remove(link)
                 link.close()
@@ -257,7 +257,7 @@
     def excuse(self, pause_s: float) -> None:
         """Don't count a pause of this process as silence of its links."""
         for link in self.current():
-            link.heard += pause_s
+            link.last_heard += pause_s
 
     def traffic(self) -> tuple[int, int]:
         """Return the bytes of messages sent and received so far."""
@@ -359,7 +359,7 @@
     async def _serve(self, link: Link) -> bool:
         """Deliver what comes over ``link`` until it breaks; return True."""
         try:
-            self.greeted(link)
+            self.on_link_up(link)
             await link.read(self.deliver)
         except Exception:
             # Whoever dials goes on: the error may be of this one message.
@@ -384,7 +384,7 @@
         self._count_closed(link)
         # On a host that stops, whoever would be told has stopped already.
         if not self.stopping.is_set():
-            self.closed(link.peer)
+            self.on_link_down(link.peer)
 
     def _count_closed(self, link: Link) -> None:
         self.closed_sent += link.sent
--- a/godwitladder/platform/source.py
+++ b/godwitladder/platform/source.py
@@ -62,7 +62,7 @@
                 log.info("A host record is invalid", extra={"error": str(error)})
         return tuple(rows)
 
-    def list_host(self, host: ListedHost) -> None:
+    def register_host(self, host: ListedHost) -> None:
         """Register ``host`` in the store under its address."""
         value = json.dumps([host.zone, host.leaving]).encode()
         self.store.append(names.HOSTS_TOPIC, host.address, value)
@@ -88,7 +88,7 @@
             return None
         return result.unwrap()
 
-    def tell_rollout(
+    def write_rollout_state(
         self, record: Record, order: RolloutOrder, state: RolloutState
     ) -> None:
         """Append the status of the rollout that ``record`` orders."""
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -13,7 +13,7 @@
 from godwitladder.clock import Clock
 from godwitladder.decisions.retry_budget import RetryBudget, RetryLimits
 from godwitladder.discovery.feed import Feed, StoreView
-from godwitladder.discovery.hostlist import HostList
+from godwitladder.discovery.host_list import HostList
 from godwitladder.discovery.messages import FeedNews, FeedWanted
 from godwitladder.discovery.source import Source
 from godwitladder.drain import count_unfinished, stop_accepting
@@ -21,15 +21,15 @@
 from godwitladder.ids import HostId, Incarnation, Zone
 from godwitladder.logs import component_logger
 from godwitladder.membership.actor import (
+    HostListRead,
     Leave,
     LinkDown,
     LinkUp,
-    Listed,
     Membership,
 )
 from godwitladder.membership.codec import encode
 from godwitladder.membership.contacts import ListedHost
-from godwitladder.membership.hubs import MESH_HOSTS, publisher_of
+from godwitladder.membership.hubs import MAX_MESH_HOSTS, choose_publisher
 from godwitladder.membership.links import Link
 from godwitladder.membership.members import Members
 from godwitladder.membership.mesh import Mesh
@@ -146,7 +146,7 @@
             clock,
             self.freshness,
             self.publish_view,
-            reads_first=not settings.first_start or settings.listen.peers in seeds,
+            reads_at_start=not settings.first_start or settings.listen.peers in seeds,
         )
         self.mesh = Mesh(
             settings.host,
@@ -156,7 +156,7 @@
             self.router.deliver,
             settings.peers.seeds,
             self.link_up,
-            closed=lambda peer: self.membership.tell(LinkDown(peer)),
+            on_link_down=lambda peer: self.membership.tell(LinkDown(peer)),
         )
         self.membership = self.start_actor(
             Membership,
@@ -165,21 +165,23 @@
             self.mesh,
             clock,
             self.publish_members,
-            MESH_HOSTS,
+            MAX_MESH_HOSTS,
         )
         self.host_list = HostList(
             settings.host,
             source,
             ListedHost(settings.listen.peers, self.span, leaving=False),
-            lambda rows: self.membership.tell(Listed(rows)),
+            lambda rows: self.membership.tell(HostListRead(rows)),
         )
         self.router.connect(self.mesh, self.membership, self.scheduler, self.allocator)
-        self.feed.spread = self.mesh.broadcast
-        self.feed.ask = self.ask_peer
-        self.router.takers[FeedNews] = lambda link, news: self.feed.take_news(news)
-        self.router.takers[FeedWanted] = self.answer_feed_request
+        self.feed.broadcast = self.mesh.broadcast
+        self.feed.send_request = self.ask_peer
+        self.router.message_handlers[FeedNews] = lambda link, news: (
+            self.feed.apply_news(news)
+        )
+        self.router.message_handlers[FeedWanted] = self.answer_feed_request
         self.losses = LossRegistry(clock, self.mesh.broadcast)
-        self.router.takers[AnswerLost] = self.receive_loss
+        self.router.message_handlers[AnswerLost] = self.receive_loss
         self.watch = CallWatcher(clock)
         self.app = RoutedApp(
             codec,
@@ -199,12 +201,12 @@
 
     def answer_feed_request(self, link: Link, wanted: FeedWanted) -> None:
         """Send this host's copy of the store's data to a host that has just started."""
-        self.feed.answer(lambda news: link.send(encode(news)))
+        self.feed.answer_request(lambda news: link.send(encode(news)))
 
     def link_up(self, link: Link) -> None:
         """Report a new link to the membership, and ask the peer for missing data."""
         self.membership.tell(LinkUp(link))
-        self.feed.ask_peer(lambda wanted: link.send(encode(wanted)))
+        self.feed.request_state(lambda wanted: link.send(encode(wanted)))
 
     def receive_loss(self, link: Link, news: AnswerLost) -> None:
         """Record a lost answer, and forward it to hosts that have not received it.
@@ -214,10 +216,10 @@
         """
         self.losses.record_loss(news)
         hubs = self.hubs
-        if link.peer in hubs or publisher_of(link.peer, hubs) != self.host:
+        if link.peer in hubs or choose_publisher(link.peer, hubs) != self.host:
             return
         rest = [row for row in self.mesh.current() if row.peer not in hubs]
-        self.mesh.spread([row for row in rest if row is not link], encode(news))
+        self.mesh.multicast([row for row in rest if row is not link], encode(news))
 
     def make_heartbeat(self) -> Heartbeat:
         """Return this host's first heartbeat."""
@@ -229,7 +231,7 @@
             self.incarnation,
             False,
             0,
-            place=self.settings.zone,
+            availability_zone=self.settings.zone,
             cores=self.settings.processor.cores,
         )
 
@@ -376,7 +378,7 @@
         period_s = FIRST_POLL_S
         while not self.clock.wait(self.stopping, period_s):
             linked = bool(self.mesh.current())
-            period_s = self.host_list.look(linked, self.feed.hosts)
+            period_s = self.host_list.update(linked, self.feed.hosts)
             self.reload_if_changed()
 
 
--- a/godwitladder/routing/state.py
+++ b/godwitladder/routing/state.py
@@ -68,7 +68,7 @@
         memory_tokens=service.memory_tokens,
         prefill_tps=PREFILL_TPS,
         decode_tps=DECODE_TPS,
-        generation=str(entry.born_ms),
+        generation=str(entry.started_ms),
         state=target_state(entry, unproved),
     )
 
--- a/godwitladder/serving/forwarding.py
+++ b/godwitladder/serving/forwarding.py
@@ -109,7 +109,7 @@
         self.mesh = mesh
         self.app = app
         self.clock = clock
-        self.waiting: dict[str, queue.SimpleQueue[ForwardedAnswer]] = {}
+        self.pending_replies: dict[str, queue.SimpleQueue[ForwardedAnswer]] = {}
         self.slots = threading.BoundedSemaphore(CALLS)
 
     def forward(
@@ -126,12 +126,12 @@
         call may have been served there.
         """
         call = self._make_call(host, incarnation, environ, body, deadline)
-        replies = self.waiting[call.query] = queue.SimpleQueue()
+        replies = self.pending_replies[call.query] = queue.SimpleQueue()
         try:
             links = self._send(call)
             return self._await_reply(replies, links, deadline) if links else None
         finally:
-            del self.waiting[call.query]
+            del self.pending_replies[call.query]
 
     def handle_message(
         self, link: Link, message: ForwardedCall | ForwardedAnswer
@@ -204,7 +204,7 @@
         if message.origin != self.host:
             self.mesh.send(message.origin, message)
             return
-        replies = self.waiting.get(message.query)
+        replies = self.pending_replies.get(message.query)
         if replies:
             replies.put(message)
 
--- a/tests/claims/test_forwarding.py
+++ b/tests/claims/test_forwarding.py
@@ -86,7 +86,7 @@
     [environ] = hosts["c"].app.calls
     assert environ["HTTP_IDEMPOTENCY_KEY"] == "order-7"
     assert environ["wsgi.input"].read() == b"one euro"
-    assert not hosts["a"].waiting
+    assert not hosts["a"].pending_replies
 
 
 def test_call_for_a_process_that_is_gone_has_no_answer():
--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -22,7 +22,7 @@
         self.net, self.owner, self.node = net, owner, peer
         self.peer, self.address = peer.name, peer.address
         self.dialled = dialled
-        self.heard = net.clock.monotonic()
+        self.last_heard = net.clock.monotonic()
         self.far = None
 
     def send(self, data):
@@ -46,9 +46,9 @@
         return list(self.links.values())
 
     def broadcast(self, message):
-        self.spread(self.current(), encode(message))
+        self.multicast(self.current(), encode(message))
 
-    def spread(self, links, data):
+    def multicast(self, links, data):
         for link in links:
             link.send(data)
 
@@ -67,12 +67,12 @@
 
     def drop_silent(self, timeout_s):
         for link in self.current():
-            if self.net.clock.monotonic() - link.heard > timeout_s:
+            if self.net.clock.monotonic() - link.last_heard > timeout_s:
                 self.net.forget(link)
 
     def excuse(self, pause_s):
         for link in self.current():
-            link.heard += pause_s
+            link.last_heard += pause_s
 
 
 class Node:
@@ -97,7 +97,7 @@
             incarnation,
             False,
             0,
-            place=self.place,
+            availability_zone=self.place,
             cores=self.cores,
         )
         self.actor = Membership(
@@ -204,5 +204,5 @@
             up = far.owner.mesh.links.get(far.peer) is far
             if not up or not far.owner.alive or self.is_cut(link.owner, far.owner):
                 continue
-            far.heard = self.clock.monotonic()
+            far.last_heard = self.clock.monotonic()
             far.owner.actor.on_receive(decode(data))
