--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -185,7 +185,7 @@
         self.watch = CallWatcher(clock)
         self.app = RoutedApp(
             codec,
-            self.make_passer(codec),
+            self.make_proxy(codec),
             self.freshness,
             clock,
             self.metrics,
@@ -235,8 +235,8 @@
             cores=self.settings.processor.cores,
         )
 
-    def make_passer(self, codec: HeaderCodec) -> RoutedProxy:
-        """Return the dispatcher of calls."""
+    def make_proxy(self, codec: HeaderCodec) -> RoutedProxy:
+        """Return the proxy that dispatches calls to targets."""
         bounds = self.settings.bounds
         budget = RetryBudget(
             RetryLimits(
--- a/godwitladder/routing/model.py
+++ b/godwitladder/routing/model.py
@@ -41,7 +41,7 @@
         Services that share the requests; at least one.
     timeout_s : float
         Maximum time in seconds that a caller is kept waiting.
-    aim_s : float
+    ttft_budget_s : float
         Latency objective: seconds to the answer, or to the first event of a
         stream; 0 for none.
     gap_s : float
