--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -113,7 +113,7 @@
     def __init__(
         self,
         codec: HeaderCodec,
-        passer: RoutedProxy,
+        proxy: RoutedProxy,
         freshness: DocumentFreshness,
         clock: Clock,
         metrics: Metrics,
@@ -124,7 +124,7 @@
         self.max_open_calls = max_open_calls
         self.gate = gate or AdmissionGate()
         self.codec = codec
-        self.passer = passer
+        self.proxy = proxy
         self.freshness = freshness
         self.clock = clock
         self.metrics = metrics
@@ -145,7 +145,7 @@
             )
             return answer_problem(start_response, internal_fault())
         gone = environ.get("waitress.client_disconnected", lambda: False)
-        return self.passer.serve(call, gone, start_response)
+        return self.proxy.serve(call, gone, start_response)
 
     def refuse_call(
         self, error: CallRefused, metadata: CallMetadata, start_response
@@ -200,7 +200,7 @@
         self.check_admission((service, workspace.name), metadata)
         body = read_body(environ, document.limits.body_bytes)
         digest = digest_call(workspace.name, path, body)
-        held_s = self.passer.losses.held_s(digest)
+        held_s = self.proxy.losses.held_s(digest)
         if held_s > 0:
             text = "Several targets lost the answer to this call."
             raise _refused(Reason.LOST_BEFORE, text, held_s)
