--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -89,7 +89,7 @@
     ----------
     codec : HeaderCodec
         Reads and writes the headers of this platform.
-    passer : RoutedProxy
+    proxy : RoutedProxy
         Dispatches calls to targets.
     freshness : DocumentFreshness
         Tells whether the document may still be used.
