--- a/godwitladder/routing/matching.py
+++ b/godwitladder/routing/matching.py
@@ -1,7 +1,8 @@
 """Finds the route of a request by its host and the longest prefix of its path.
 
 The index is built once per document: with hundreds of routes, a linear scan for
-each request would cost more than all other work of a host for the request.
+each request would cost more than all other work of a host for the request. The
+functions have no side effects.
 """
 
 from collections.abc import Iterable
--- a/godwitladder/routing/state.py
+++ b/godwitladder/routing/state.py
@@ -1,4 +1,7 @@
-"""Converts the routing document and the targets to the scheduler's configuration."""
+"""Converts the routing document and the targets to the scheduler's configuration.
+
+The functions have no side effects.
+"""
 
 from godwitladder.configuration.model import (
     Service,
