--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -21,7 +21,7 @@
 from godwitladder.serving.losses import AnswerLost, LossRegistry, digest_call
 from godwitladder.serving.proxying import RoutedProxy
 from godwitladder.serving.upstream import StreamTruncated
-from godwitladder.standins.ingress import start_engine
+from godwitladder.standins.routed import start_engine
 from tests.fleet import wait_until
 from tests.platform.test_adapter import CONFIG
 
@@ -352,7 +352,7 @@
     threading.Timer(0.4, left.set).start()
     answer = bench.call("/stream/x", gone=left.is_set)
     assert answer.cut
-    wait_until(lambda: engine.broken == 1, "the stream to break")
+    wait_until(lambda: engine.broken_connections == 1, "the stream to break")
     assert not bench.watch.calls
 
 
