--- a/godwitladder/engines/engine.py
+++ b/godwitladder/engines/engine.py
@@ -1,8 +1,8 @@
-"""Client of a language engine: open, resume and cancel streams; load reports.
+"""Client of a model engine: opens, resumes and cancels streams, and reads load.
 
-The only module to change when an engine's own form differs: the chat
-completion form with server-sent events, whose ``id`` lines carry
-``stream:sequence``.
+Engines serve the chat completions API with server-sent events, whose ``id`` lines
+hold ``stream:sequence``. For an engine with another API, only this module has to
+change.
 """
 
 import json
@@ -15,13 +15,13 @@
 from godwitladder.engines.wire import MayHaveRun, TargetRefused, connect, send
 from godwitladder.ids import StreamId
 
-# Statuses with which an engine says that it did not take a request. Any other
-# error (500, 502, 504) may come after the work has begun.
+# Statuses that mean that an engine has not started the request. Any other error
+# (500, 502, 504) may occur after the work has begun.
 NOT_STARTED_STATUSES = frozenset(
     {400, 401, 403, 404, 405, 409, 410, 411, 413, 415, 422, 429, 503}
 )
 DONE = b"[DONE]"
-READ_BYTES = 65_536
+MAX_READ_BYTES = 65_536
 MAX_EVENT_BYTES = 1_048_576
 STREAM_HEADER = "X-Stream-Id"
 
@@ -37,7 +37,15 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """What an engine last said of its load; tokens and requests."""
+    """Load that an engine last reported.
+
+    Attributes
+    ----------
+    running, queued : int
+        Number of requests.
+    memory_tokens : int
+        Tokens in the engine's memory.
+    """
 
     running: int
     queued: int
@@ -45,7 +53,7 @@
 
 
 class EngineStream:
-    """The events of one stream as they arrive on one connection."""
+    """Iterator over the events of one stream on one connection."""
 
     def __init__(
         self, connection: HTTPConnection, response: urllib3.BaseHTTPResponse
@@ -54,26 +62,26 @@
         self.response = response
 
     def close(self) -> None:
-        """Close the connection; the stream itself goes on at the engine."""
+        """Close the connection; the engine continues the stream itself."""
         self.response.close()
         self.connection.close()
 
     def __iter__(self) -> Iterator[list[Chunk]]:
         """Yield the chunks of each read, in the order of arrival.
 
-        A heartbeat is an empty list, so that whoever iterates can look at the
-        time while nothing is produced.
+        A heartbeat yields an empty list, so that the caller can check deadlines
+        while the engine produces nothing.
 
         Raises
         ------
         MayHaveRun
-            The connection broke or went silent, or sent what is no event.
+            The connection broke or timed out, or sent an event that is too long.
         """
-        rest = b""
+        remainder = b""
         try:
             while block := self._read():
-                *events, rest = (rest + block).split(b"\n\n")
-                if len(rest) > MAX_EVENT_BYTES:
+                *events, remainder = (remainder + block).split(b"\n\n")
+                if len(remainder) > MAX_EVENT_BYTES:
                     raise MayHaveRun(f"an event of more than {MAX_EVENT_BYTES} bytes")
                 parsed = map(parse_event, events)
                 yield [chunk for chunk in parsed if chunk]
@@ -81,21 +89,21 @@
             raise MayHaveRun(f"stream broke: {error}") from error
 
     def _read(self) -> bytes:
-        """Return what has arrived; wait for it only if nothing has."""
-        return self.response.read1(READ_BYTES)
+        """Return the bytes that have arrived; block only if there are none."""
+        return self.response.read1(MAX_READ_BYTES)
 
 
 def parse_event(event: bytes) -> Chunk | None:
-    """Return the chunk in one server-sent event; None for a comment."""
-    identity = data = None
+    """Return the chunk in one server-sent event; None if it holds none."""
+    event_id = data = None
     for line in event.split(b"\n"):
         if line.startswith(b"id: "):
-            identity = line[4:]
+            event_id = line[4:]
         elif line.startswith(b"data: "):
             data = line[6:]
-    if identity is None or data is None:
+    if event_id is None or data is None:
         return None
-    stream, _, sequence = identity.rpartition(b":")
+    stream, _, sequence = event_id.rpartition(b":")
     if not sequence.isdigit():
         return None
     return Chunk(StreamId(stream.decode(errors="replace")), int(sequence), data)
@@ -104,7 +112,7 @@
 def open_stream(
     address: str, stream: StreamId, body: bytes, idle_s: float
 ) -> EngineStream:
-    """Dispatch ``body`` as ``stream``; this is the one write to the engine.
+    """Dispatch ``body`` as ``stream``; only this call starts work at the engine.
 
     Raises
     ------
@@ -114,20 +122,26 @@
     connection = connect(address, idle_s)
     headers = {"Content-Type": "application/json", STREAM_HEADER: stream}
     response = send(connection, "POST", "/v1/chat/completions", body, headers)
-    return _accepted(connection, response)
+    return _open_or_raise(connection, response)
 
 
 def resume_stream(
     address: str, stream: StreamId, sequence: int, idle_s: float
 ) -> EngineStream:
-    """Read ``stream`` from ``sequence`` on; resuming dispatches nothing."""
+    """Read ``stream`` from event ``sequence`` on, without a new dispatch.
+
+    Raises
+    ------
+    NotSent, MayHaveRun, TargetRefused
+        See `godwitladder.engines.wire`.
+    """
     connection = connect(address, idle_s)
     path = f"/v1/streams/{stream}?from={sequence}"
-    return _accepted(connection, send(connection, "GET", path, None, {}))
+    return _open_or_raise(connection, send(connection, "GET", path, None, {}))
 
 
 def cancel_stream(address: str, stream: StreamId) -> None:
-    """Tell the engine to drop ``stream``."""
+    """Cancel ``stream`` at the engine."""
     connection = connect(address, 2.0)
     try:
         send(connection, "DELETE", f"/v1/streams/{stream}", None, {})
@@ -136,7 +150,7 @@
 
 
 def read_load(address: str) -> LoadReport:
-    """Return the engine's own, lagging report of its load."""
+    """Return the load that the engine reports, which lags behind its real load."""
     connection = connect(address, 2.0)
     try:
         answer = json.loads(send(connection, "GET", "/load", None, {}).data)
@@ -145,7 +159,7 @@
     return LoadReport(answer["running"], answer["queued"], answer["memory_tokens"])
 
 
-def _accepted(
+def _open_or_raise(
     connection: HTTPConnection, response: urllib3.BaseHTTPResponse
 ) -> EngineStream:
     if response.status == 200:
--- a/godwitladder/platform/documents.py
+++ b/godwitladder/platform/documents.py
@@ -1,7 +1,8 @@
 """Decodes the operator's configuration into a `Document`.
 
-The store takes only valid configurations; fields of later versions are passed
-over, and what is missing has the default that the platform's pages give.
+The store accepts only valid configurations. Unknown fields, which later versions
+may add, are ignored, and missing fields get the defaults in the platform's
+documentation.
 """
 
 import json
@@ -20,16 +21,16 @@
 )
 from godwitladder.serving.auth import key_digest
 
-REPEATS = {
+ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "streaming": RouteKind.STREAM,
 }
-NO_TIMEOUT_S = 3_600.0
+DEFAULT_TIMEOUT_S = 3_600.0
 
 
 class InvalidDocument(ValueError):
-    """The bytes are no configuration."""
+    """The bytes are not a valid configuration."""
 
 
 def decode_document(data: bytes) -> RoutingDocument:
@@ -38,7 +39,7 @@
     Raises
     ------
     InvalidDocument
-        It can't be read as one.
+        ``data`` is not a valid configuration.
     """
     try:
         raw = json.loads(data)
@@ -49,10 +50,10 @@
             routes=tuple(map(_route, raw.get("routes") or ())),
             services={row.name: row for row in services},
             workspaces={row.name: row for row in workspaces},
-            limits=_bounds(raw.get("limits") or {}),
+            limits=_limits(raw.get("limits") or {}),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise InvalidDocument(f"no configuration: {error!r}") from error
+        raise InvalidDocument(f"invalid configuration: {error!r}") from error
 
 
 def _route(raw: dict[str, Any]) -> Route:
@@ -61,12 +62,12 @@
         name=RouteName(str(raw["name"])),
         host=str(raw["host"]).lower(),
         prefix=str(raw["pathPrefix"]),
-        kind=REPEATS.get(raw["kind"], RouteKind.NON_IDEMPOTENT),
+        kind=ROUTE_KINDS.get(raw["kind"], RouteKind.NON_IDEMPOTENT),
         splits=tuple(
             Split(ServiceName(str(row["service"])), float(row["weight"]))
             for row in splits
         ),
-        timeout_s=_seconds(raw.get("timeoutMs")) or NO_TIMEOUT_S,
+        timeout_s=_seconds(raw.get("timeoutMs")) or DEFAULT_TIMEOUT_S,
         ttft_budget_s=_seconds(raw.get("targetLatencyMs")),
         max_attempts=max(1, int(raw.get("maxAttempts") or 1)),
         rank=int(raw.get("priority") or 0),
@@ -82,7 +83,7 @@
         name=ServiceName(str(raw["name"])),
         slots=int(engine.get("slots") or 0),
         memory_tokens=int(engine.get("kvCapacity") or 0),
-        # The page calls it the stride: tokens in one event of a stream.
+        # The platform's name for the output tokens in one event of a stream.
         event_tokens=int(engine.get("stride") or 1),
     )
 
@@ -103,7 +104,7 @@
     )
 
 
-def _bounds(raw: dict[str, Any]) -> CallerLimits:
+def _limits(raw: dict[str, Any]) -> CallerLimits:
     default = CallerLimits()
     return CallerLimits(
         header_bytes=int(raw.get("maxHeaderBytes") or default.header_bytes),
--- a/godwitladder/platform/headers.py
+++ b/godwitladder/platform/headers.py
@@ -1,4 +1,4 @@
-"""Reads and writes the headers of calls on the platform."""
+"""Reads and writes the platform's headers of requests and answers."""
 
 from collections.abc import Iterable, Mapping
 
@@ -30,13 +30,13 @@
 
 
 class PlatformHeaders:
-    """What the headers of a call say, in the platform's names."""
+    """Implements `HeaderCodec` with the names of the platform's headers."""
 
     def read_call(self, headers: Headers) -> CallMetadata:
-        """Return what a caller's headers say; what can't be read counts as absent."""
+        """Return the data in a caller's headers; invalid values count as not sent."""
         found = {name.lower(): value for name, value in headers}
-        prompt, output = _pair(found.get(names.TOKENS.lower(), ""))
-        deadline = _number(found.get(names.DEADLINE_MS.lower(), ""))
+        prompt, output = _parse_token_counts(found.get(names.TOKENS.lower(), ""))
+        deadline = _parse_positive_number(found.get(names.DEADLINE_MS.lower(), ""))
         authorization = found.get("authorization", "")
         bearer = authorization.lower().startswith(BEARER)
         return CallMetadata(
@@ -45,15 +45,17 @@
             key=authorization[len(BEARER) :].strip() if bearer else "",
             prompt_tokens=prompt,
             output_tokens=output,
-            output_hint=int(_number(found.get(names.LENGTH_HINT.lower(), "")) or 0),
-            parts=_parts(found.get(names.PREFIX.lower(), "")),
+            output_hint=int(
+                _parse_positive_number(found.get(names.LENGTH_HINT.lower(), "")) or 0
+            ),
+            parts=_parse_prompt_parts(found.get(names.PREFIX.lower(), "")),
             last_event=found.get(names.LAST_EVENT.lower(), ""),
         )
 
     def for_target(
         self, headers: Headers, send: DispatchMetadata
     ) -> list[tuple[str, str]]:
-        """Return the headers to send on: the caller's own and the system's."""
+        """Return the caller's end-to-end headers, with those that the system sets."""
         kept = [
             (name, value)
             for name, value in headers
@@ -70,7 +72,7 @@
         return kept
 
     def read_answer(self, headers: Mapping[str, str]) -> AnswerMetadata:
-        """Return what a target's headers say."""
+        """Return the data in a target's headers."""
         return AnswerMetadata(
             attempt=headers.get(names.ATTEMPT, ""),
             signature=headers.get(names.SIGNATURE, ""),
@@ -78,11 +80,11 @@
         )
 
     def for_caller(self, headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-        """Return the headers of a target's answer that go back to the caller."""
+        """Return the end-to-end headers of a target's answer."""
         return [row for row in headers if row[0].lower() not in HOP_BY_HOP]
 
 
-def _number(text: str) -> float | None:
+def _parse_positive_number(text: str) -> float | None:
     try:
         value = float(text)
     except ValueError:
@@ -90,14 +92,14 @@
     return value if 0 < value < 1e9 else None
 
 
-def _pair(text: str) -> tuple[int, int]:
+def _parse_token_counts(text: str) -> tuple[int, int]:
     first, _, second = text.partition(",")
     if not (first.strip().isdecimal() and second.strip().isdecimal()):
         return 0, 0
     return int(first), int(second)
 
 
-def _parts(text: str) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(text: str) -> tuple[PromptPart, ...]:
     parts = []
     for item in text.split(",") if text else ():
         name, _, tokens = item.strip().partition(":")
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -1,4 +1,4 @@
-"""The WSGI application for routed calls, and the one that tells readiness."""
+"""The WSGI applications for routed calls and for readiness probes."""
 
 import random
 import secrets
@@ -47,65 +47,72 @@
 log = component_logger("routing")
 
 ROUTE_RANK_WEIGHT = 2
-"""Ranks of workspaces that weigh as much as one rank of routes."""
-UNKNOWN_RETRY_S = 0.5
-"""A host without a document, or with one that is too old, asks again so soon:
-a read of the store is due within that time."""
-LEAST_SILENCE_S, AIMS, GAPS = 2.0, 4.0, 8.0
-"""Callers leave a stream after the longest of this silence and these multiples
-of the route's aim and of its longest pause: what the users say of theirs."""
+"""Factor of a route's rank in the combined rank; a workspace's rank counts once."""
+NO_CONFIG_RETRY_S = 0.5
+"""Retry-After, in seconds, while no current document is known; the next read
+of the store is due within this time."""
+MIN_SILENCE_S, TTFT_MULTIPLE, GAP_MULTIPLE = 2.0, 4.0, 8.0
+"""Callers abandon a stream after a silence of the longest of: this minimum in
+seconds, TTFT_MULTIPLE times the route's latency objective, and GAP_MULTIPLE times
+its longest pause between events. The values follow what users state about their
+callers."""
 UNBOUNDED = 1 << 30
 MAX_START_FRACTION = 0.7
-"""Part of a caller's patience in which its call has to start; the rest is for
-the prompt to be read, or for the work of a plain service."""
+"""Fraction of the caller's waiting time within which its call has to start. The
+rest is left for prefill, or for the work of a plain service."""
 FULL_RETRY_S = 0.5
-"""Another host is likely to have room at once; this one has when a call ends."""
+"""Retry-After of a host whose threads are all busy. Another host probably has a
+free thread at once; this one has when a call ends."""
 STOPPING_RETRY_S = 0.1
-"""Another host can take the call at once."""
+"""Retry-After of a host that is stopping; other hosts can take the call at once."""
 NO_WORKSPACE = RoutedWorkspace(WorkspaceName(""))
 NO_SERVICE = RoutedService(ServiceName(""))
 
 
 @dataclass(frozen=True)
 class IndexedDocument:
-    """A document with its routes sorted for look-ups."""
+    """A routing document with its routes indexed for look-up."""
 
     document: RoutingDocument
     routes: RouteTable
 
 
 def index_document(document: RoutingDocument) -> IndexedDocument:
-    """Return ``document`` ready for use."""
+    """Return ``document`` with its routes indexed for look-up."""
     return IndexedDocument(document, RouteTable(document.routes))
 
 
 class RoutedApp(CountedApp):
-    """Serves callers by the routes of the document in force.
+    """Serves callers by the routes of the active document.
 
     Parameters
     ----------
-    form : HeaderCodec
-        Names of headers on this platform.
-    passer : Passer
-        Sends calls on.
-    currency : Currency
-        How long the document may be used.
+    codec : HeaderCodec
+        Reads and writes the headers of this platform.
+    proxy : RoutedProxy
+        Dispatches calls to targets.
+    freshness : DocumentFreshness
+        Tells whether the document may still be used.
+    clock : Clock
+        Time source.
+    metrics : Metrics
+        Counts the refused calls.
     max_open_calls : int
-        Calls that may be open at once; some threads beyond them refuse the rest.
+        Limit on open calls. A few threads beyond it refuse the remaining calls.
     gate : AdmissionGate or None
-        Which calls are worth asking an allocator for; None for all.
+        Refuses calls before an allocator is asked; None admits all.
 
     Attributes
     ----------
     in_force : IndexedDocument
-        Replaced as a whole.
+        The active document, always replaced as a whole.
     refusing : bool
-        Whether new calls are turned away, since the host is about to stop.
+        Whether new calls are refused because the host is about to stop.
     """
 
     def __init__(
         self,
-        form: HeaderCodec,
+        codec: HeaderCodec,
         proxy: RoutedProxy,
         freshness: DocumentFreshness,
         clock: Clock,
@@ -116,7 +123,7 @@
         super().__init__()
         self.max_open_calls = max_open_calls
         self.gate = gate or AdmissionGate()
-        self.form = form
+        self.codec = codec
         self.proxy = proxy
         self.freshness = freshness
         self.clock = clock
@@ -125,27 +132,29 @@
         self.refusing = False
 
     def answer(self, environ: Mapping, start_response) -> Iterable[bytes]:
-        """Answer one request, or say why not."""
+        """Answer one request, or refuse it with the reason."""
         headers = read_headers(environ)
-        facts = self.form.read_call(headers)
+        metadata = self.codec.read_call(headers)
         try:
-            call = self.read(environ, headers, facts)
+            call = self.parse_call(environ, headers, metadata)
         except CallRefused as error:
-            return self.turn_away(error, facts, start_response)
+            return self.refuse_call(error, metadata, start_response)
         except Exception:
-            log.exception("A call can't be read", extra={"request": facts.attempt})
+            log.exception(
+                "A call could not be parsed", extra={"request": metadata.attempt}
+            )
             return answer_problem(start_response, internal_fault())
         gone = environ.get("waitress.client_disconnected", lambda: False)
         return self.proxy.serve(call, gone, start_response)
 
-    def turn_away(
-        self, error: CallRefused, facts: CallMetadata, start_response
+    def refuse_call(
+        self, error: CallRefused, metadata: CallMetadata, start_response
     ) -> Iterable[bytes]:
         """Refuse a call that has not reached the scheduler."""
         refusal = error.refusal
         self.metrics.count_refused_call(refusal.reason)
         extra = {
-            "request": facts.attempt,
+            "request": metadata.attempt,
             "reason": refusal.reason.value,
             "detail": refusal.detail,
             "version": self.in_force.document.version,
@@ -155,38 +164,40 @@
         log.info("A call was turned away", extra=extra)
         return answer_problem(start_response, refusal, exact=True)
 
-    def read(
-        self, environ: Mapping, headers: Headers, facts: CallMetadata
+    def parse_call(
+        self, environ: Mapping, headers: Headers, metadata: CallMetadata
     ) -> RoutedCall:
         """Return the call in a request.
 
         Raises
         ------
         CallRefused
-            No route, no key, or nothing known that could tell.
+            No route matches, the key is not valid, the body is too large, the
+            call is not admitted, its answers were lost before, the host is
+            stopping or at its limit, or the document is missing or too old.
         """
         in_force = self.in_force
         document = in_force.document
         if self.refusing:
             raise _refused(Reason.STOPPING, "This host is stopping.", STOPPING_RETRY_S)
-        # Without a thread left a call would wait unread, and its caller would
-        # be told nothing until its time is up.
+        # With all threads busy, a call would wait in the socket's queue, and its
+        # caller would get no answer until its deadline.
         if self.open_calls > self.max_open_calls:
             raise _refused(Reason.SHED, "This host is full.", FULL_RETRY_S)
         if document.version < 0:
-            raise _refused(Reason.NO_CONFIG, "No document is known.", UNKNOWN_RETRY_S)
+            raise _refused(Reason.NO_CONFIG, "No document is known.", NO_CONFIG_RETRY_S)
         path = environ.get("REQUEST_URI") or environ["PATH_INFO"]
         route = in_force.routes.find(
             parse_host_header(environ.get("HTTP_HOST", "")), path.partition("?")[0]
         )
         current = self.freshness.is_fresh(self.clock.boottime())
         if route is None:
-            # An older document may lack a route that is there by now.
-            self.need_current(current)
+            # An outdated document may lack a route that has been added since.
+            self.require_current(current)
             raise _refused(Reason.UNKNOWN_PATH, "No route leads there.")
-        workspace = self.find_workspace(document, route, facts, current)
+        workspace = self.find_workspace(document, route, metadata, current)
         service = choose_split(route.splits, random.random()).service
-        self.need_open((service, workspace.name), facts)
+        self.check_admission((service, workspace.name), metadata)
         body = read_body(environ, document.limits.body_bytes)
         digest = digest_call(workspace.name, path, body)
         held_s = self.proxy.losses.held_s(digest)
@@ -197,7 +208,7 @@
             environ["REQUEST_METHOD"],
             path,
             headers,
-            facts,
+            metadata,
             route,
             service,
             workspace,
@@ -205,37 +216,54 @@
             digest,
         )
 
-    def need_open(self, flow: Flow, facts: CallMetadata) -> None:
-        """Refuse a call that the allocator would hardly serve."""
+    def check_admission(self, flow: Flow, metadata: CallMetadata) -> None:
+        """Refuse a call that the allocator would probably not serve.
+
+        Raises
+        ------
+        CallRefused
+            The admission gate refuses the call.
+        """
         now = self.clock.monotonic()
-        name = RequestId(facts.attempt)
+        name = RequestId(metadata.attempt)
         refusal = self.gate.refusal(flow, name, random.random(), now)
         if refusal is not None:
             raise CallRefused(refusal)
 
-    def need_current(self, current: bool) -> None:
-        """Refuse what can't be told from a document that is too old."""
+    def require_current(self, current: bool) -> None:
+        """Refuse a call that can't be decided with an outdated document.
+
+        Raises
+        ------
+        CallRefused
+            The document is not known to be the newest.
+        """
         if not current:
             text = "The document in force is not known to be the newest."
-            raise _refused(Reason.NO_CONFIG, text, UNKNOWN_RETRY_S)
+            raise _refused(Reason.NO_CONFIG, text, NO_CONFIG_RETRY_S)
 
     def find_workspace(
         self,
         document: RoutingDocument,
         route: Route,
-        facts: CallMetadata,
+        metadata: CallMetadata,
         current: bool,
     ) -> RoutedWorkspace:
-        """Return whose key a call bears.
+        """Return the workspace that the call's bearer key belongs to.
 
-        A key may have been taken away since the document was last proved to
-        be the newest; beyond a bound it is believed no more.
+        A key may have been revoked since the document was last confirmed to be
+        the newest, so no key is accepted once that is too long ago.
+
+        Raises
+        ------
+        CallRefused
+            The key is missing or unknown, or the document is too old.
         """
         if route.public or not document.requires_keys:
             return NO_WORKSPACE
-        self.need_current(current)
-        workspace = document.workspace_of.get(key_digest(facts.key))
-        if not facts.key or workspace is None:
+        self.require_current(current)
+        workspace = document.workspace_of.get(key_digest(metadata.key))
+        if not metadata.key or workspace is None:
             raise _refused(Reason.UNAUTHENTICATED, "The bearer key is not known.")
         return workspace
 
@@ -244,88 +272,96 @@
         method: str,
         path: str,
         headers: Headers,
-        facts: CallMetadata,
+        metadata: CallMetadata,
         route: Route,
         service: ServiceName,
         workspace: RoutedWorkspace,
         body: bytes,
         digest: BodyDigest,
     ) -> RoutedCall:
-        """Return a call with its row."""
+        """Return the call with its row for the scheduler's table."""
         now = self.clock.monotonic()
-        wait_s = min(facts.wait_s or route.timeout_s, route.timeout_s)
-        known = self.in_force.document.services.get(service, NO_SERVICE)
+        wait_s = min(metadata.wait_s or route.timeout_s, route.timeout_s)
+        routed_service = self.in_force.document.services.get(service, NO_SERVICE)
         identity = secrets.token_hex(8)
         row = RequestRow(
             request=RequestId(identity),
             stream=StreamId(identity),
             workspace=workspace.name,
             service=service,
-            tier_rank=rank_of(workspace, route),
-            prompt_tokens=facts.prompt_tokens,
-            declared_tokens=facts.output_tokens,
+            tier_rank=combine_ranks(workspace, route),
+            prompt_tokens=metadata.prompt_tokens,
+            declared_tokens=metadata.output_tokens,
             arrived=now,
             deadline=now + wait_s,
-            idempotent=may_repeat(route),
+            idempotent=may_rerun(route),
             body=digest,
-            prefix=shared_prefix_name(facts.parts),
+            prefix=shared_prefix_name(metadata.parts),
         )
         row.start_by = now + start_within_s(route, wait_s)
         if route.ttft_budget_s:
             row.ttft_deadline = now + route.ttft_budget_s
-        row.gap_s, row.event_tokens = route.gap_s, known.event_tokens
-        row.charge = charge_of(facts, workspace.quota)
+        row.gap_s, row.event_tokens = route.gap_s, routed_service.event_tokens
+        row.charge = quota_charge(metadata, workspace.quota)
         return RoutedCall(
             row=row,
             route=route,
-            metadata=facts,
+            metadata=metadata,
             method=method,
             path=path,
             headers=headers,
             body=body,
             workspace=workspace.name,
             deadline=row.deadline,
-            event_tokens=known.event_tokens,
+            event_tokens=routed_service.event_tokens,
         )
 
 
-def rank_of(workspace: RoutedWorkspace, route: Route) -> int:
-    """Return the rank: the route's, put back by the workspace's.
+def combine_ranks(workspace: RoutedWorkspace, route: Route) -> int:
+    """Return the rank of a call; lower ranks are served first.
 
-    On one route a workspace of a higher rank goes first. Ordered by workspace
-    alone, the longest letters of one wait behind the least of another's requests.
+    The route's rank counts most. Between calls with the same route rank, the
+    workspace with the lower rank goes first. If the workspace's rank alone counted,
+    the longest requests of one workspace would wait behind the least important
+    requests of another.
     """
     return ROUTE_RANK_WEIGHT * route.rank + (workspace.rank or 0)
 
 
 def start_within_s(route: Route, wait_s: float) -> float:
-    """Return the seconds in which a call has to start to be of use.
+    """Return the seconds within which a call has to start to be useful.
 
-    A caller leaves a stream after a silence, before its first event too.
+    The caller of a stream disconnects after a long silence, which also applies
+    before the first event.
     """
     if route.kind is RouteKind.STREAM:
-        silence_s = max(LEAST_SILENCE_S, AIMS * route.ttft_budget_s, GAPS * route.gap_s)
+        silence_s = max(
+            MIN_SILENCE_S,
+            TTFT_MULTIPLE * route.ttft_budget_s,
+            GAP_MULTIPLE * route.gap_s,
+        )
         wait_s = min(wait_s, silence_s)
     return wait_s * MAX_START_FRACTION
 
 
-def may_repeat(route: Route) -> bool:
-    """Return whether a request may run more than once."""
+def may_rerun(route: Route) -> bool:
+    """Return whether a request of this route may run more than once."""
     return route.kind is RouteKind.IDEMPOTENT or route.resumable
 
 
 def shared_prefix_name(parts: Sequence[PromptPart]) -> str:
-    """Return by what the start of a prompt is known that others have too.
+    """Return the name of the last prompt part that other requests may share.
 
-    The last part belongs to the request alone. A target that keeps the part before
-    it keeps all before that one as well.
+    The last part is unique to the request, so this is the one before it; empty if
+    there is none. A target that has this part in its prefix cache also has all
+    parts before it.
     """
     return parts[-2].name if len(parts) > 1 else ""
 
 
-def charge_of(facts: CallMetadata, quota: TokenQuota) -> int:
-    """Return the tokens that a request counts for in its workspace's quota."""
-    return facts.prompt_tokens + facts.output_tokens or quota.default_tokens
+def quota_charge(metadata: CallMetadata, quota: TokenQuota) -> int:
+    """Return the tokens that a request is charged to its workspace's quota."""
+    return metadata.prompt_tokens + metadata.output_tokens or quota.default_tokens
 
 
 def read_headers(environ: Mapping) -> Headers:
@@ -340,16 +376,16 @@
     return tuple(rows)
 
 
-def read_body(environ: Mapping, most: int) -> bytes:
+def read_body(environ: Mapping, max_bytes: int) -> bytes:
     """Return the body of a request.
 
     Raises
     ------
     CallRefused
-        It has more than ``most`` bytes.
+        The body has more than ``max_bytes`` bytes.
     """
     length = int(environ.get("CONTENT_LENGTH") or 0)
-    if length > most:
+    if length > max_bytes:
         raise _refused(Reason.TOO_LARGE, f"A body of {length} bytes is too large.")
     return environ["wsgi.input"].read(length) if length else b""
 
@@ -361,19 +397,19 @@
 
 
 class ReadinessApp:
-    """Tells the balancer whether to send callers here.
+    """Answers the readiness probes of the load balancer.
 
     Parameters
     ----------
     ready : callable
-        Asked at each look.
+        Returns whether the host is ready; called at each probe.
     """
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self.ready = ready
 
     def __call__(self, environ: Mapping, start_response) -> list[bytes]:
-        """Answer one look (WSGI)."""
+        """Answer one probe (WSGI)."""
         status = "200 OK" if self.ready() else "503 Service Unavailable"
         start_response(status, [("Content-Length", "0")])
         return []
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -1,4 +1,4 @@
-"""One host that serves routed calls: wires the parts together and runs."""
+"""A host that serves routed calls: connects its components and runs them."""
 
 import os
 import random
@@ -55,35 +55,36 @@
 log = component_logger("daemon")
 
 IDLE_TICK_S = 0.25
-FIRST_LOOK_S = 1.0
+FIRST_POLL_S = 1.0
 PEER_DISCOVERY_TIMEOUT_S = 3.0
-"""A host that found no other in this time serves alone."""
-NOTICE_S = 2.5
-"""The balancer takes a host out after two looks, one a second."""
-LAST_S = 0.5
-"""Left of the grace period for the end of the process."""
-SMALL_THREADS = 2
-SHOWN_HOSTS = 12
-"""Allocators that a log line names."""
+"""A host that has found no peer after this time serves alone."""
+DRAIN_NOTICE_S = 2.5
+"""Seconds for the load balancer to notice that this host is leaving: it probes
+once a second and removes a host after two failed probes."""
+EXIT_RESERVE_S = 0.5
+"""Seconds of the grace period that are reserved for the exit of the process."""
+ADMIN_THREADS = 2
+MAX_LOGGED_HOSTS = 12
+"""Limit on the allocators listed in a log line."""
 CRITICAL_THREADS = frozenset({"feed", "ticker", "http", "watch", "peers"})
 FAILURE_EXIT_CODE = 70
 
 
 class RoutingHost(BaseHost):
-    """All parts of one host, owned by one exit stack.
+    """All components of one host, owned by one exit stack.
 
     Parameters
     ----------
     path : Path
-        The settings file, read again on SIGHUP.
+        The settings file, reloaded on SIGHUP.
     settings : RoutedSettings
-        What it holds now.
+        The settings read from it.
     source : Source
         The platform's store.
-    form : HeaderCodec
-        The platform's names of headers.
+    codec : HeaderCodec
+        Reads and writes the headers of the platform.
     clock : Clock
-        Handed to every part that needs the time.
+        Time source of all components.
     """
 
     def __init__(
@@ -91,19 +92,19 @@
         path: Path,
         settings: RoutedSettings,
         source: Source,
-        form: HeaderCodec,
+        codec: HeaderCodec,
         clock: Clock,
     ) -> None:
         super().__init__(settings.host, clock, settings.limits)
         self.path = path
         self.settings = settings
-        self.file_text = read_text(path)
+        self.file_text = read_settings_text(path)
         self.source = source
         self.metrics = Metrics()
         self.started = clock.monotonic()
         self.incarnation = Incarnation(int(clock.wall() * 1000))
-        # One queue for the whole region: targets of several zones in one pool
-        # keep a letter from waiting in one zone beside idle ones in the next.
+        # One queue and one pool for the whole region: with a pool per availability
+        # zone, requests would wait in one zone while another has idle targets.
         self.span = Zone(settings.region)
         self.hosts: tuple[HostId, ...] = (settings.host,)
         self.hubs: frozenset[HostId] = frozenset()
@@ -178,13 +179,13 @@
         self.router.message_handlers[FeedNews] = lambda link, news: (
             self.feed.apply_news(news)
         )
-        self.router.message_handlers[FeedWanted] = self.tell_newcomer
+        self.router.message_handlers[FeedWanted] = self.answer_feed_request
         self.losses = LossRegistry(clock, self.mesh.broadcast)
-        self.router.message_handlers[AnswerLost] = self.take_loss
+        self.router.message_handlers[AnswerLost] = self.receive_loss
         self.watch = CallWatcher(clock)
         self.app = RoutedApp(
-            form,
-            self.make_passer(form),
+            codec,
+            self.make_proxy(codec),
             self.freshness,
             clock,
             self.metrics,
@@ -194,23 +195,24 @@
         self.caller_server: TcpWSGIServer | None = None
 
     def ask_peer(self, wanted: FeedWanted) -> bool:
-        """Ask one of the peers; return False if there is none."""
+        """Send ``wanted`` to a random peer; return False if there is no peer."""
         links = self.mesh.current()
         return bool(links) and random.choice(links).send(encode(wanted))
 
-    def tell_newcomer(self, link: Link, wanted: FeedWanted) -> None:
-        """Tell a host that has just started what this one knows of the store."""
+    def answer_feed_request(self, link: Link, wanted: FeedWanted) -> None:
+        """Send this host's copy of the store's data to a host that has just started."""
         self.feed.answer_request(lambda news: link.send(encode(news)))
 
     def link_up(self, link: Link) -> None:
-        """Tell the membership of a new link; ask at once what this host lacks."""
+        """Report a new link to the membership, and ask the peer for missing data."""
         self.membership.tell(LinkUp(link))
         self.feed.request_state(lambda wanted: link.send(encode(wanted)))
 
-    def take_loss(self, link: Link, news: AnswerLost) -> None:
-        """Take in a lost answer, and pass it on to hosts that can't have it yet.
+    def receive_loss(self, link: Link, news: AnswerLost) -> None:
+        """Record a lost answer, and forward it to hosts that have not received it.
 
-        The host that lost it has links to hubs alone; one of them tells the rest.
+        The host that lost the answer is linked to the hubs only. The hub that is
+        that host's publisher forwards the message to the hosts that are no hubs.
         """
         self.losses.record_loss(news)
         hubs = self.hubs
@@ -233,8 +235,8 @@
             cores=self.settings.processor.cores,
         )
 
-    def make_passer(self, form: HeaderCodec) -> RoutedProxy:
-        """Return what sends calls on."""
+    def make_proxy(self, codec: HeaderCodec) -> RoutedProxy:
+        """Return the proxy that dispatches calls to targets."""
         bounds = self.settings.bounds
         budget = RetryBudget(
             RetryLimits(
@@ -242,7 +244,7 @@
             )
         )
         return RoutedProxy(
-            form,
+            codec,
             self.scheduler,
             self.clock,
             self.metrics,
@@ -253,7 +255,7 @@
         )
 
     def start(self) -> None:
-        """Start every part."""
+        """Start all components."""
         settings = self.settings
         self.mesh.start()
         self.stack.callback(self.mesh.close)
@@ -266,15 +268,15 @@
         threading.Thread(target=self.poll_host_list, name="hosts", daemon=True).start()
         listen, threads = settings.listen, settings.limits.threads
         self.caller_server = self.serve(self.app, listen.callers, threads)
-        self.serve(ReadinessApp(self.ready), listen.readiness, SMALL_THREADS)
-        self.serve(StatusApp(self), listen.operators, SMALL_THREADS)
+        self.serve(ReadinessApp(self.ready), listen.readiness, ADMIN_THREADS)
+        self.serve(StatusApp(self), listen.operators, ADMIN_THREADS)
         log.info(
             "The host serves",
             extra={"host": settings.host, "incarnation": self.incarnation},
         )
 
     def ready(self) -> bool:
-        """Return whether callers should be sent here."""
+        """Return whether the load balancer should send callers to this host."""
         known = self.app.in_force.document.version >= 0
         current = self.freshness.is_fresh(self.clock.boottime())
         return (
@@ -285,30 +287,30 @@
         )
 
     def peer_discovery_done(self) -> bool:
-        """Return whether a peer was found, or none can be.
+        """Return whether a peer was found or the search has timed out.
 
-        A host that knows no peer takes itself for the allocator of its region;
-        with callers sent to it, targets would get twice their slots.
+        A host that knows no peer acts as the allocator of its region. If callers
+        reached it beside the real allocator, targets would be given twice as many
+        calls as they have slots.
         """
         waited_s = self.clock.monotonic() - self.started
         return bool(self.mesh.current()) or waited_s > PEER_DISCOVERY_TIMEOUT_S
 
     def drain(self) -> None:
-        """Let the balancer see that this host goes, and finish what is in flight.
+        """Report this host as not ready to the load balancer, and finish open calls.
 
-        The balancer looks once a second and needs two misses. Until then new
-        connections come, and calls on them are served; those that come later
-        are turned away, which leaves the rest of the grace period to the ones
-        in flight.
+        The load balancer probes once a second and removes a host after two failed
+        probes. Until then, calls on new connections are still served. Later calls
+        are refused, which leaves the rest of the grace period to the open calls.
         """
         began = self.clock.monotonic()
-        log.info("The host is leaving", extra={"open_calls": self.app.open_calls})
+        log.info("The host is draining", extra={"open_calls": self.app.open_calls})
         self.membership.ask(Leave())
         self.host_list.leave()
         self.caller_server.closing = True
-        self.clock.sleep(NOTICE_S)
+        self.clock.sleep(DRAIN_NOTICE_S)
         self.app.refusing = True
-        until = began + self.settings.bounds.grace_s - LAST_S
+        until = began + self.settings.bounds.grace_s - EXIT_RESERVE_S
         self.wait_until_idle(self.has_open_calls, until)
         stop_accepting(self.caller_server)
         self.wait_until_idle(self.has_open_calls, until)
@@ -318,31 +320,34 @@
         return self.app.open_calls > 0 or count_unfinished(self.caller_server) > 0
 
     def reload(self) -> None:
-        """Read the settings file again; what can change without a start does."""
-        self.file_text = read_text(self.path)
+        """Reload the settings file, and apply what can change without a restart."""
+        self.file_text = read_settings_text(self.path)
         try:
             settings = read_routed_settings(self.path)
         except InvalidInput as error:
-            log.warning("New settings are refused", extra={"error": str(error)})
+            log.warning(
+                "The settings file is invalid; the previous settings stay",
+                extra={"error": str(error)},
+            )
             return
         self.mesh.seeds = frozenset(settings.peers.seeds) - {self.mesh.address}
         self.freshness.max_age_s = settings.bounds.revoke_s
         self.settings = settings
-        log.info("Settings were read again", extra={"host": settings.host})
+        log.info("The settings were reloaded", extra={"host": settings.host})
 
     def reload_if_changed(self) -> None:
-        """Read the settings again if the file holds something else than before.
+        """Reload the settings if the content of the file has changed.
 
-        Whoever writes the file may leave out the signal.
+        The file may be changed without a SIGHUP.
         """
-        text = read_text(self.path)
+        text = read_settings_text(self.path)
         if text and text != self.file_text:
             self.reload()
 
     def publish_view(self, view: StoreView) -> None:
-        """Put what the store says now in force on this host."""
+        """Apply the current state of the store on this host."""
         state = make_config_state(view, self.span)
-        # Targets first: a call on a new route may come as soon as it is there.
+        # Targets first: calls on a new route may arrive as soon as it is active.
         self.scheduler.tell(NewConfig(state))
         self.allocator.tell(NewConfig(state))
         if view.document is not self.app.in_force.document:
@@ -350,7 +355,7 @@
         self.metrics.config_offset.set({}, view.document.version)
 
     def publish_members(self, message: HostsChanged | TargetsLeaving) -> None:
-        """Tell those that hand out and use targets about hosts that changed."""
+        """Report a membership change to the scheduler and the allocator."""
         self.scheduler.tell(message)
         self.allocator.tell(message)
         if isinstance(message, HostsChanged):
@@ -363,26 +368,26 @@
                 "hosts": len(message.hosts),
                 "new": sorted(new),
                 "gone": sorted(gone),
-                "allocators": list(message.allocators[:SHOWN_HOSTS]),
+                "allocators": list(message.allocators[:MAX_LOGGED_HOSTS]),
             }
-            log.info("Live hosts have changed", extra=extra)
+            log.info("The set of live hosts has changed", extra=extra)
 
     def poll_host_list(self) -> None:
-        """Do this host's part in the list of hosts, and see if settings changed."""
-        # Peers are mostly found by the seeds in this time.
-        period_s = FIRST_LOOK_S
+        """Maintain this host's entry in the host list, and reload changed settings."""
+        # Most peers are found through the seeds within this time.
+        period_s = FIRST_POLL_S
         while not self.clock.wait(self.stopping, period_s):
             linked = bool(self.mesh.current())
             period_s = self.host_list.update(linked, self.feed.hosts)
             self.reload_if_changed()
 
 
-def read_text(path: Path) -> str:
-    """Return what ``path`` holds; nothing while it can't be read."""
+def read_settings_text(path: Path) -> str:
+    """Return the content of ``path``; empty if it can't be read."""
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        log.warning("The settings can't be read", extra={"error": str(error)})
+        log.warning("The settings file could not be read", extra={"error": str(error)})
         return ""
 
 
@@ -390,14 +395,14 @@
     path: Path,
     settings: RoutedSettings,
     make_source: Callable[[RoutedSettings], Source],
-    form: HeaderCodec,
+    codec: HeaderCodec,
 ) -> None:
-    """Run one host until SIGTERM or SIGINT, then stop as planned."""
-    host = RoutingHost(path, settings, make_source(settings), form, Clock())
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: host.stop())
+    """Run one host until SIGTERM or SIGINT, then drain and exit."""
+    host = RoutingHost(path, settings, make_source(settings), codec, Clock())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: host.stop())
     signal.signal(signal.SIGHUP, lambda *_: host.reload())
     watch_threads(CRITICAL_THREADS, host.fail)
     host.run()
-    # Threads of calls may still run; nothing that they could do counts now.
+    # Threads of calls may still run; their results are no longer needed.
     os._exit(FAILURE_EXIT_CODE if host.failed else 0)
--- a/godwitladder/routing/state.py
+++ b/godwitladder/routing/state.py
@@ -1,6 +1,6 @@
-"""The scheduler's view of a document and the targets.
+"""Converts the routing document and the targets to the scheduler's configuration.
 
-Pure: what the store says goes in, the objects that the scheduler knows come out.
+The functions have no side effects.
 """
 
 from godwitladder.configuration.model import (
@@ -20,13 +20,14 @@
 TIER = TierName("all")
 PREFILL_TPS = 60_000.0
 DECODE_TPS = 250.0
-"""Speeds expected of a model engine that nobody has seen at work yet: of the
-order that engines of the users' generation show. Learned ones replace them."""
+"""Initial prefill and decode speeds of a model engine, in tokens per second.
+They have the order of magnitude of current engines, and learned speeds replace
+them."""
 NO_SERVICE = RoutedService("")
 
 
 def make_config_state(view: StoreView, span: Zone) -> ConfigState:
-    """Return the scheduler's configuration; all targets are in ``span``."""
+    """Return the scheduler's configuration, with all targets in ``span``."""
     document = view.document
     return ConfigState(
         offset=Offset(view.version),
@@ -58,7 +59,7 @@
     Parameters
     ----------
     unproved : bool
-        Whether it takes no calls, since its version is not proved.
+        Whether the target gets no calls because its version is not proved yet.
     """
     service = document.services.get(entry.service, NO_SERVICE)
     return Target(
@@ -71,12 +72,12 @@
         prefill_tps=PREFILL_TPS,
         decode_tps=DECODE_TPS,
         generation=str(entry.started_ms),
-        state=state_of_target(entry, unproved),
+        state=target_state(entry, unproved),
     )
 
 
-def state_of_target(entry: TargetEntry, unproved: bool) -> TargetState:
-    """Return whether a target takes new work."""
+def target_state(entry: TargetEntry, unproved: bool) -> TargetState:
+    """Return the state of a target, which decides whether it gets new calls."""
     if entry.leaving:
         return TargetState.LEAVING
     return TargetState.UNPROVED if unproved else TargetState.ACTIVE
--- a/tests/platform/test_hosts.py
+++ b/tests/platform/test_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts as real processes, with stand-ins of the platform's store and engines."""
+"""Hosts as real processes, with stand-ins for the platform's store and engines."""
 
 import contextlib
 import http.client
@@ -29,7 +29,7 @@
 
 
 class Host:
-    """One host's process."""
+    """The process of one host."""
 
     def __init__(self, stack, folder, name, store, seeds):
         self.ports = free_ports(4)
@@ -85,22 +85,24 @@
     """A store, two engines and two hosts."""
 
     def __init__(self, stack, folder):
-        self.store = self.own(stack, start_store())
-        self.engines = {f"e{n}": self.own(stack, start_engine()) for n in range(2)}
+        self.store = self.register_cleanup(stack, start_store())
+        self.engines = {
+            f"e{n}": self.register_cleanup(stack, start_engine()) for n in range(2)
+        }
         self.store.standin.put_config(make_config(1))
         for name in self.engines:
-            self.enter(name)
+            self.register_engine(name)
         first = Host(stack, folder, "h1", self.store, [])
         self.hosts = [first, Host(stack, folder, "h2", self.store, [first.peer])]
         wait_until(lambda: all(host.ready() for host in self.hosts), "hosts")
         wait_until(self.joined, "one mesh")
 
-    def own(self, stack, server):
+    def register_cleanup(self, stack, server):
         stack.callback(server.server_close)
         stack.callback(server.shutdown)
         return server
 
-    def enter(self, name, **more):
+    def register_engine(self, name, **more):
         address = self.engines[name].address
         entry = ENTRY | {"service": "core", "address": address, "slots": 2} | more
         self.store.standin.put("keyed.servers", name, json.dumps(entry).encode())
@@ -119,10 +121,12 @@
 
 
 def test_hosts_serve_routed_calls_and_follow_the_store(fleet):
-    """A caller's key is taken away, an engine leaves, the store goes away.
+    """Guards against hosts that do not follow changes in the store.
 
-    Calls are served by both hosts; the key is refused on both; the engine gets
-    nothing more; without the store, calls are served until keys are too old.
+    Both hosts must serve calls. After a change of keys, the old key must be refused
+    and the new one accepted. A draining engine must get no new calls. Without the
+    store, calls must be served until the document is too old for accepting keys,
+    and again after the store is back.
     """
     one, two = fleet.hosts
     for number, host in enumerate([one, two, one, two]):
@@ -135,7 +139,7 @@
     wait_until(lambda: two.call("/charge/x")[0] == 401, "the key to go")
     wait_until(lambda: one.call("/charge/x", key="k2")[0] == 200, "the new key")
 
-    fleet.enter("e0", state="draining")
+    fleet.register_engine("e0", state="draining")
     wait_until(lambda: all("leaving" in h.status()["targets"].values()
                            for h in fleet.hosts), "the engine to leave")  # fmt: skip
     before = len(fleet.engines["e0"].standin.runs)
@@ -151,11 +155,12 @@
     wait_until(lambda: one.call("/charge/x", key="k2")[0] == 200, "the return")
 
 
-def test_a_planned_stop_cuts_no_call(fleet):
-    """SIGTERM comes while an engine works on a call.
+def test_a_drain_finishes_open_calls(fleet):
+    """Guards against calls that are cut off when SIGTERM stops their host.
 
-    The host isn't ready any more, the call is answered whole, the process ends
-    by itself with 0, and the other host goes on.
+    The signal arrives while an engine works on a call. The host must report that it
+    is not ready, answer the call completely and exit with status 0, and the other
+    host must continue to serve.
     """
     one, two = fleet.hosts
     for engine in fleet.engines.values():
@@ -172,11 +177,12 @@
     assert two.call("/charge/x")[0] == 200
 
 
-def test_a_planned_stop_waits_for_a_call_that_outlasts_its_notice(fleet):
-    """SIGTERM comes, and an engine works on a call for four more seconds.
+def test_a_drain_waits_for_a_call_longer_than_its_notice(fleet):
+    """Guards against a drain that ends before the last open call.
 
-    The balancer has seen the host go by then, and nothing new comes. The call
-    is still answered whole before the process ends.
+    When SIGTERM arrives, an engine still needs four seconds for a call, longer than
+    the load balancer needs to remove the host. The call must still be answered
+    completely before the process exits.
     """
     one, _ = fleet.hosts
     for engine in fleet.engines.values():
@@ -192,9 +198,10 @@
 
 
 def test_calls_go_on_when_the_allocators_host_is_killed(fleet):
-    """One of the two hosts is killed; it may have been the allocator.
+    """Guards against calls that stop when the allocator's host is killed.
 
-    The other one's links break at once, it takes the role, and serves.
+    One of two hosts is killed, which may be the allocator. The links of the other
+    break at once, so it must take over the role and continue to serve.
     """
     one, two = fleet.hosts
     one.process.kill()
@@ -202,18 +209,18 @@
     wait_until(lambda: two.call("/charge/x")[0] == 200, "calls to go on")
 
 
-THREADS_AT_REST = 24
+MAX_IDLE_THREADS = 24
 
 
-def test_a_host_holds_few_threads_before_and_after_a_burst(fleet):
-    """Forty callers come at once to a host at rest, and leave again.
+def test_a_host_has_few_threads_before_and_after_a_burst(fleet):
+    """Guards against threads that stay after a burst of calls.
 
-    All are answered at the same time, and the threads that served them end:
-    hundreds of hosts on one machine could not each keep one for every call
-    that they might have to bear.
+    Forty callers arrive at an idle host at once. All must be answered, and the
+    threads that served them must end: with hundreds of hosts on one machine, each
+    can't keep a thread for every call that it might have to serve.
     """
     one, _ = fleet.hosts
-    wait_until(lambda: threads_of(one) <= THREADS_AT_REST, "a host at rest")
+    wait_until(lambda: count_threads(one) <= MAX_IDLE_THREADS, "a host at rest")
     for engine in fleet.engines.values():
         engine.standin.knobs.pause_s = 0.3
     answers = []
@@ -228,9 +235,9 @@
     for caller in callers:
         caller.join(30)
     assert len(answers) == 40
-    wait_until(lambda: threads_of(one) <= THREADS_AT_REST, "the threads to end")
+    wait_until(lambda: count_threads(one) <= MAX_IDLE_THREADS, "the threads to end")
 
 
-def threads_of(host):
-    """Return how many threads a host's process has."""
+def count_threads(host):
+    """Return the number of threads of a host's process."""
     return len(os.listdir(f"/proc/{host.process.pid}/task"))
--- a/tests/routing/test_full.py
+++ b/tests/routing/test_full.py
@@ -1,4 +1,4 @@
-"""A host whose threads all serve calls."""
+"""Calls to a host whose threads are all busy."""
 
 import json
 
@@ -9,11 +9,12 @@
 from godwitladder.routing.freshness import DocumentFreshness
 
 
-def test_a_call_beyond_the_threads_is_refused_at_once_and_truly():
-    """More callers are being served than the host may have threads for.
+def test_a_call_beyond_the_limit_is_refused_at_once_as_not_run():
+    """Guards against a call that waits without an answer while all threads are busy.
 
-    The next one is told at once that nothing ran and when to come back, and
-    doesn't count as served; one that comes when there is room again is read.
+    The call must be refused at once, with an outcome that says that it did not run
+    and with a Retry-After, and must not be counted as open. After another call has
+    ended, the next one must be parsed.
     """
     app = RoutedApp(
         PlatformHeaders(),
@@ -35,11 +36,11 @@
 
 
 def ask(app):
-    """Return status, headers and body of the answer to one call."""
-    heads = []
+    """Return the status, headers and body of the answer to one call."""
+    responses = []
     environ = {"REQUEST_METHOD": "POST", "PATH_INFO": "/a/x", "HTTP_HOST": "h"}
-    answer = app(environ, lambda status, headers: heads.append((status, headers)))
+    answer = app(environ, lambda status, headers: responses.append((status, headers)))
     body = json.loads(b"".join(answer))
     answer.close()
-    status, headers = heads[0]
+    status, headers = responses[0]
     return status, dict(headers), body
--- a/tests/routing/test_reload.py
+++ b/tests/routing/test_reload.py
@@ -1,11 +1,11 @@
-"""A settings file that changes while the host runs."""
+"""Changes of the settings file while the host runs."""
 
 from functools import partial
 from types import SimpleNamespace
 
 import pytest
 
-from godwitladder.routing.daemon import RoutingHost, read_text
+from godwitladder.routing.daemon import RoutingHost, read_settings_text
 
 TEXT = """
 host = "h1"
@@ -27,12 +27,12 @@
 
 @pytest.fixture
 def host(tmp_path):
-    """Return what a host has of its settings, without its other parts."""
+    """Return a stub of a host with only the attributes that hold settings."""
     path = tmp_path / "host.toml"
     path.write_text(TEXT.format(revoke_s=5))
     host = SimpleNamespace(
         path=path,
-        file_text=read_text(path),
+        file_text=read_settings_text(path),
         mesh=SimpleNamespace(seeds=frozenset(), address="127.0.0.1:4"),
         freshness=SimpleNamespace(max_age_s=5.0),
     )
@@ -41,10 +41,11 @@
 
 
 def test_a_changed_file_is_read_without_a_signal(host):
-    """An operator shortens the bound on revoked keys, and nobody sends SIGHUP.
+    """Guards against settings that take effect only after a SIGHUP or a restart.
 
-    The host looks at the file from time to time. Without that, keys that were
-    taken away would go on being used for the longer time until its next start.
+    An operator shortens the time for which a revoked key may be used, without
+    sending SIGHUP. If the host did not check the file periodically, it would accept
+    revoked keys for the longer time until its next start.
     """
     RoutingHost.reload_if_changed(host)
     assert host.freshness.max_age_s == 5.0
@@ -54,8 +55,8 @@
 
 
 @pytest.mark.parametrize("text", ["", "host = 1", "no toml ["])
-def test_a_file_that_is_half_written_changes_nothing(host, text):
-    """The file is written in two steps, and looked at in between."""
+def test_a_partly_written_file_changes_nothing(host, text):
+    """Guards against applying a file that is read while it is being written."""
     host.path.write_text(text)
     RoutingHost.reload_if_changed(host)
     assert host.freshness.max_age_s == 5.0
@@ -64,8 +65,8 @@
     assert host.freshness.max_age_s == 2.0
 
 
-def test_a_file_that_is_away_changes_nothing(host):
-    """The file is replaced, and missing for a moment."""
+def test_a_missing_file_changes_nothing(host):
+    """Guards against a failure while the file is missing, as during a replacement."""
     host.path.unlink()
     RoutingHost.reload_if_changed(host)
     assert host.freshness.max_age_s == 5.0
