--- a/examples/claims_in_memory.py
+++ b/examples/claims_in_memory.py
@@ -1,7 +1,7 @@
-"""Settle rival claims of one key from the order of a log, without hosts.
+"""Resolve competing claims of one key by the record order of a log, without hosts.
 
-The claim with the lowest offset holds its key until it is released; every
-reader of the same records comes to the same holder.
+The claim with the lowest offset holds the key until it is released. Every
+reader of the same records determines the same holder.
 """
 
 from godwitladder.claims.records import Claim, Release
--- a/godwitladder/claims/__init__.py
+++ b/godwitladder/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Claims of idempotency keys, settled by the order of the platform's log."""
+"""Claims of idempotency keys, resolved by record order in the platform's log."""
--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -1,9 +1,9 @@
-"""The actor that owns a host's claims, and its two threads that use the log.
+"""The actor that owns a host's claims, and the two threads that access the log.
 
-The writer appends what has gathered in one batch window and reads at once
-what that append settled; the reader follows the stream for what other hosts
-append. A read by the writer goes over a connection that has just worked, so a
-reader whose connection went silent holds no claim up.
+The writer appends the records queued during one batch window, then reads the
+stream immediately to resolve the claims among them. The reader follows the
+stream for records of other hosts. The writer reads over a connection that has
+just worked, so that claims are not delayed when the reader's connection hangs.
 """
 
 import functools
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Want:
-    """Claim a key and put the verdict into ``reply``."""
+    """Claim a key and put the result into ``reply``."""
 
     wanted: Wanted
     reply: "queue.SimpleQueue[Settled]"
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class GiveUp:
-    """Free the key of a claim that never will be dispatched."""
+    """Release a claim that will never be dispatched."""
 
     key: bytes
     nonce: bytes
@@ -56,72 +56,72 @@
 
 @dataclass(frozen=True)
 class Note:
-    """Append a note on a crash."""
+    """Append a crash event to the stream."""
 
     note: CrashNote
 
 
 @dataclass(frozen=True)
 class Follow:
-    """Call ``take`` with each note that is read and the log's time of it."""
+    """Call ``take`` with each crash event read from the stream and its log time."""
 
     take: Callable[[CrashNote, float], None]
 
 
 @dataclass(frozen=True)
 class TakeBatch:
-    """Ask for the records to append now."""
+    """Request the records to append now."""
 
 
 @dataclass(frozen=True)
 class BatchDone:
-    """The append under way was answered, or it failed."""
+    """Report that the append in progress succeeded or failed."""
 
     failed: bool
 
 
 @dataclass(frozen=True)
 class PageRead:
-    """A page of the stream."""
+    """Hand over a page that was read from the stream."""
 
     page: Page
 
 
 @dataclass(frozen=True)
 class ReadFailed:
-    """The log did not answer a read."""
+    """Report that the log did not respond to a read."""
 
 
 @dataclass(frozen=True)
 class NextOffset:
-    """Ask for the offset to read from."""
+    """Request the offset to read from."""
 
 
 @dataclass(frozen=True)
 class HasSettled:
-    """Ask whether nothing is left to append."""
+    """Ask whether no records are queued or being appended."""
 
 
 @dataclass(frozen=True)
 class HasCaughtUp:
-    """Ask whether the stream was read to its end."""
+    """Ask whether the last read reached the end of the stream."""
 
 
 class Claims(pykka.ThreadingActor):
-    """Owns the claims of one host.
+    """Actor that owns the claims of one host.
 
     Parameters
     ----------
     host, incarnation : HostId, Incarnation
-        Who claims.
+        Identity of the claiming process.
     settings : ClaimSettings
-        Window and batch.
+        Settings such as the claim window and the retention of the log.
     clock : Clock
         The host's clock.
     metrics : Metrics
-        Where to count.
+        Counts the verdicts.
     work : threading.Event
-        Set when there is something to append.
+        Set when there are records to append.
     """
 
     def __init__(
@@ -143,7 +143,7 @@
         self.replies: dict[bytes, queue.SimpleQueue[Settled]] = {}
 
     def on_receive(self, message):
-        """Take ``message`` in and wake the writer if there is work."""
+        """Handle ``message`` and wake the writer if there are records to append."""
         answer = self.take(message)
         if self.collector.outgoing:
             self.work.set()
@@ -151,7 +151,7 @@
 
     @functools.singledispatchmethod
     def take(self, message):
-        """Take one message in."""
+        """Handle one message."""
         raise TypeError(f"unknown message {message!r}")
 
     @take.register
@@ -188,10 +188,10 @@
     @take.register
     def _(self, message: PageRead) -> None:
         settled = self.collector.read(message.page)
-        # Notes before verdicts: a page may hold the note that a trial has
-        # crashed a target, and the claim of the next trial behind it. Told of
-        # the claim first, the waiting thread would dispatch a request that is
-        # quarantined, and a third target would go.
+        # Process crash events before results. A page may hold the event of a
+        # trial that crashed a target, followed by the claim of the next trial.
+        # If the waiting thread received the result first, it would dispatch a
+        # quarantined request and crash a third target.
         for note, time in self.collector.notes:
             self.take_note(note, time)
         self.collector.notes.clear()
@@ -227,20 +227,20 @@
 
 
 class ClaimLog:
-    """The threads between the actor and the log.
+    """Reader and writer threads between the actor and the log.
 
     Parameters
     ----------
     claims : pykka.ActorRef
-        The actor of `Claims`.
+        The actor of class `Claims`.
     client : LogClient
-        The log.
+        Client of the platform's log.
     clock : Clock
         The host's clock.
     work : threading.Event
-        Set by the actor when there is something to append.
+        Set by the actor when there are records to append.
     batch_s : float
-        How long to gather records for one append.
+        Batch window: how long records are queued before an append, in seconds.
     """
 
     def __init__(
@@ -264,24 +264,29 @@
             threading.Thread(target=run, name=name, daemon=True).start()
 
     def stop(self) -> None:
-        """Stop after the calls in progress."""
+        """Stop both threads after their current calls."""
         self.stopping.set()
         self.work.set()
 
     def read(self, wait_s: float) -> None:
-        """Read one page and hand it over."""
+        """Read one page and send it to the actor.
+
+        ``wait_s`` is how long the log waits for new records, in seconds.
+        """
         start = self.claims.ask(NextOffset())
         self.claims.tell(PageRead(self.client.read(CLAIM_STREAM, start, wait_s)))
 
     def append(self) -> None:
-        """Append what has gathered and read what it settled."""
+        """Append the queued records, then read the stream to resolve their claims."""
         batch = self.claims.ask(TakeBatch())
         if not batch:
             return
         try:
             self.client.append(CLAIM_STREAM, [encode_record(row) for row in batch])
         except LogUnavailable as error:
-            log.warning("An append was not answered", extra={"error": str(error)})
+            log.warning(
+                "Append to the claims stream failed", extra={"error": str(error)}
+            )
             self.claims.tell(BatchDone(True))
             self.clock.wait(self.stopping, RETRY_S)
             return
@@ -296,7 +301,7 @@
                 self.clock.wait(self.stopping, self.batch_s)
                 self.append()
         except pykka.ActorDeadError:
-            log.info("The writer ended with its actor")
+            log.info("Writer thread stopped because its actor has stopped")
 
     def _follow(self) -> None:
         wait_s = 0.0
@@ -307,13 +312,13 @@
                 if not answered:
                     self.clock.wait(self.stopping, RETRY_S)
         except pykka.ActorDeadError:
-            log.info("The reader ended with its actor")
+            log.info("Reader thread stopped because its actor has stopped")
 
     def _try_read(self, wait_s: float) -> bool:
         try:
             self.read(wait_s)
         except LogUnavailable as error:
             self.claims.tell(ReadFailed())
-            log.warning("A read was not answered", extra={"error": str(error)})
+            log.warning("Read of the claims stream failed", extra={"error": str(error)})
             return False
         return True
--- a/godwitladder/claims/collector.py
+++ b/godwitladder/claims/collector.py
@@ -1,12 +1,12 @@
-"""Claims of one host: what it appends, and how each is settled by reading.
+"""Tracks the claims of one host: the records it appends and their results.
 
-Pure: events and times come in, records to append and verdicts come out. The
-threads that talk to the log are in `godwitladder.claims.actor`.
+Pure: takes events and times, and returns records to append and verdicts. The
+threads that access the log are in `godwitladder.claims.actor`.
 
-A claim is settled when its own record is read, never by the answer to the
-append: by then every record below it was read too, so no lower claim can turn
-up later, and a lost answer changes nothing. The verdict stands for good; no
-clock, lease or timeout can take a key that was won.
+A claim is resolved when its own record is read back, never by the response to
+the append. By then every record at a lower offset has been read too, so no
+lower claim can appear later, and a lost response changes nothing. The verdict
+is final: no clock, lease or timeout can take away a key that was won.
 """
 
 import enum
@@ -28,14 +28,14 @@
 
 log = component_logger("claims")
 
-# Pause after a failed append, and so what a refused caller is told to wait.
+# Delay after a failed append, also the delay that a refused caller is given.
 RETRY_S = 0.5
-# Snapshots in one append, so that they don't hold up claims behind them.
+# Maximum number of snapshots per append, so that they don't delay later claims.
 SNAPSHOT_RECORDS = 200
 
 
 class Verdict(enum.Enum):
-    """What became of a claim."""
+    """Outcome of a claim."""
 
     WON = "won"
     HELD = "held"
@@ -46,12 +46,12 @@
 
 @dataclass(frozen=True)
 class Wanted:
-    """A claim that a request waits for.
+    """A claim whose result a request is waiting for.
 
     Attributes
     ----------
     due : float
-        Monotonic seconds at which the request stops waiting for it.
+        Monotonic time in seconds at which the request stops waiting.
     """
 
     key: bytes
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class Settled:
-    """The verdict on a claim; ``holder`` is the rival that has the key."""
+    """Verdict on a claim; ``holder`` is the competing claim that holds the key."""
 
     nonce: bytes
     verdict: Verdict
@@ -72,23 +72,31 @@
 
 @dataclass
 class Collector:
-    """The claims of one host.
+    """Claims of one host.
 
     Attributes
     ----------
     pending : dict
-        Claims not yet settled, by nonce.
+        Unresolved claims by nonce.
     outgoing : list
         Records to append, in order.
     in_flight : list
-        Records of the append under way; at most one is.
+        Records of the append in progress. There is at most one append.
     sent : set
-        Nonces of unsettled claims that may be in the log.
-    notes : list
-        Notes on crashes that were read, with the log's time of each.
+        Nonces of unresolved claims that may be in the log.
     given_up : set
-        Own nonces whose release was not read yet. The host itself knows that
-        they never run, so they don't hold a key against it.
+        Nonces of own claims whose release has not been read back yet. The
+        host knows that they never run, so it ignores them when it looks up
+        the holder of a key.
+    notes : list
+        Crash events that were read, each with its log time.
+    caught_up : bool
+        Whether the last read reached the end of the stream.
+    read_failing : bool
+        Whether the last read failed.
+    append_failed_until : float
+        Monotonic time in seconds until which a failed append counts as an
+        outage of the log.
     """
 
     host: HostId
@@ -105,7 +113,7 @@
     append_failed_until: float = 0.0
 
     def want(self, wanted: Wanted, now: float) -> Settled | None:
-        """Claim a key; return the verdict if it is known at once."""
+        """Claim a key, and return the result if it is already known."""
         holder = self.table.holder(wanted.key, self.given_up)
         if self.caught_up and holder:
             return _lost(wanted, holder)
@@ -125,14 +133,14 @@
         return None
 
     def is_failing(self, now: float) -> bool:
-        """Return whether the log did not answer when it was last asked."""
+        """Return whether the log did not respond to the last read or append."""
         return self.read_failing or now < self.append_failed_until
 
     def give_up(self, key: bytes, nonce: bytes) -> None:
-        """Free the key of a claim that was not dispatched and never will be.
+        """Release a claim that was not dispatched and never will be.
 
-        The caller of this must have put the request into a final state
-        before, since another host may run it from here on.
+        The request must already be in a final state, since another host may
+        run it from now on.
         """
         unsettled = self.pending.pop(nonce, None)
         never_sent = unsettled is not None and nonce not in self.sent
@@ -144,7 +152,7 @@
         self.outgoing.append(Release(key, nonce))
 
     def take_batch(self) -> list[StreamRecord]:
-        """Return the records to append now; none while an append is under way."""
+        """Return the records to append now; none while an append is in progress."""
         if self.in_flight:
             return []
         self.in_flight, self.outgoing = self.outgoing, []
@@ -152,16 +160,16 @@
         return self.in_flight
 
     def append_done(self) -> None:
-        """Note that the append under way was answered."""
+        """Record that the append in progress succeeded."""
         self.in_flight = []
         self.append_failed_until = 0.0
 
     def append_failed(self, now: float) -> None:
-        """Put the records of the append under way back, in their order.
+        """Requeue the records of the failed append, in their order.
 
-        They may be in the log all the same. A record that is there twice
-        changes nothing, so appending again is safe; a claim that was settled
-        or given up meanwhile is left out.
+        They may be in the log nevertheless. A duplicate record has no effect,
+        so appending again is safe. Claims that were resolved or released in
+        the meantime are left out.
         """
         again = [
             row
@@ -173,11 +181,11 @@
         self.append_failed_until = now + RETRY_S
 
     def read_failed(self) -> None:
-        """Note that the log did not answer a read."""
+        """Record that the log did not respond to a read."""
         self.read_failing = True
 
     def read(self, page: Page) -> list[Settled]:
-        """Replay a page; return the verdicts on this host's claims in it."""
+        """Replay a page and return the results of this host's claims in it."""
         self.read_failing = False
         settled = self._skip_gap(page.first)
         for record in page.records:
@@ -187,20 +195,21 @@
         return settled
 
     def expire(self, now: float) -> list[Settled]:
-        """Give up the claims that their requests no longer wait for."""
+        """Release claims whose requests stopped waiting, and return their results."""
         due = [row for row in self.pending.values() if row.due <= now]
         return [self._abandon(row) for row in due]
 
     def snapshot(self, age_s: float) -> None:
-        """Record again the claims whose newest record is older than ``age_s``."""
+        """Queue snapshots of claims whose newest record is older than ``age_s``."""
         if self.caught_up and not self.in_flight and not self.outgoing:
             self.outgoing += self.table.due_for_snapshot(age_s, SNAPSHOT_RECORDS)
 
     def _skip_gap(self, first: Offset) -> list[Settled]:
-        """Begin anew if records were dropped before they were read.
+        """Reset the table if the log dropped records before they were read.
 
-        A claim among them could be lower than one of ours, so ours can't be
-        judged; none was dispatched yet, and all are given up.
+        The dropped records may include a claim with a lower offset than a
+        pending claim of this host, so the pending claims can't be resolved.
+        None of them has been dispatched yet, and all are released.
         """
         if first <= self.table.next:
             return []
@@ -208,14 +217,20 @@
         self.table = ClaimTable(self.table.window_s, self.table.now, first)
         if not started:
             return []
-        log.warning("Records were dropped unread", extra={"first": first})
+        log.warning(
+            "Records were dropped from the log before they were read",
+            extra={"first": first},
+        )
         return [self._abandon(row) for row in list(self.pending.values())]
 
     def _replay(self, record: Record) -> list[Settled]:
         try:
             row = decode_record(record.data)
         except BadRecord as error:
-            log.warning("A bad record", extra={"error": str(error)})
+            log.warning(
+                "Skipped an invalid record in the claims stream",
+                extra={"error": str(error)},
+            )
             self.table.next = Offset(record.offset + 1)
             return []
         if not isinstance(row, Claim | Release | Snapshot):
@@ -256,5 +271,5 @@
 
 
 def is_idle(collector: Collector) -> bool:
-    """Return whether nothing is left to append."""
+    """Return whether no records are queued or being appended."""
     return not collector.outgoing and not collector.in_flight
--- a/godwitladder/claims/issued.py
+++ b/godwitladder/claims/issued.py
@@ -1,9 +1,10 @@
-"""Keys that a host issues, which need no log.
+"""Idempotency keys issued by a host, which need no claim in the log.
 
 An issued key names the process that issued it, and only that process may
-dispatch it: whether the key was used is then known to one process, without
-any agreement, also in an availability zone that is cut off. If the process is
-gone, nobody can know whether the key was used, and no host runs it.
+dispatch a request with it. One process therefore knows whether the key was
+used, without coordination between hosts, even in an availability zone that is
+partitioned from the others. Once that process is gone, it is unknown whether
+the key was used, and no host runs a request with it.
 """
 
 import base64
@@ -23,18 +24,21 @@
 
 
 class ForgedKey(GodwitladderError):
-    """The key has the form of an issued one, and no host has signed it."""
+    """The key has the format of an issued key, but can't be accepted as one.
+
+    It was not signed by a host of this system, or another process issued it.
+    """
 
 
 @dataclass(frozen=True)
 class IssuedKey:
-    """What an issued key tells.
+    """Contents of an issued key.
 
     Attributes
     ----------
     issued : float
-        Monotonic seconds of the issuing process. No other process reads it,
-        so the hosts' clocks need not agree.
+        Time of issue in monotonic seconds of the issuing process. No other
+        process evaluates it, so the hosts' clocks need not be synchronized.
     """
 
     workspace: WorkspaceName
@@ -45,7 +49,7 @@
 
 
 class Spending(enum.Enum):
-    """What became of the use of an issued key."""
+    """Result of an attempt to use an issued key."""
 
     GRANTED = "granted"
     SPENT = "spent"
@@ -54,19 +58,19 @@
 
 
 def sign_key(secret: str, key: IssuedKey) -> str:
-    """Return ``key`` as text for a header."""
+    """Sign ``key`` and encode it as text for a header."""
     fields = [key.workspace, key.host, key.incarnation, key.issued, key.unique]
     text = json.dumps(fields).encode()
     return PREFIX + base64.urlsafe_b64encode(_sign(secret, text) + text).decode()
 
 
 def read_key(secret: str, text: str) -> IssuedKey | None:
-    """Return what the issued key ``text`` tells; None for a caller's own key.
+    """Decode the issued key in ``text``; return None for a caller's own key.
 
     Raises
     ------
     ForgedKey
-        The key was not signed by a host of this system.
+        If the key is malformed or was not signed by a host of this system.
     """
     if not text.startswith(PREFIX):
         return None
@@ -81,22 +85,25 @@
 
 
 def _sign(secret: str, text: bytes) -> bytes:
-    # The label keeps a signed request id from passing as a key.
+    # The label prevents a signed request id from being accepted as a key.
     digest = hmac.digest(secret.encode(), b"issued key" + text, hashlib.sha256)
     return digest[:SIGNATURE_BYTES]
 
 
 @dataclass
 class IssuedKeys:
-    """The keys that this process issued, as far as they were used.
+    """Issues keys and tracks which of them were used.
 
     Attributes
     ----------
     window_s : float
-        How long a key may be used after its issue. A used key is remembered
-        as long, so that a key not found here is unused or refused by its age.
+        How long a key may be used after it was issued, in seconds. Used keys
+        are kept for the same time, so a key that is not found here is either
+        unused or expired.
     spent : dict
-        Time of issue and body for each used key.
+        Time of issue and body digest of each used key, by key digest.
+    forgotten : float
+        Time of the last eviction of expired keys, in monotonic seconds.
     """
 
     host: HostId
@@ -106,7 +113,7 @@
     forgotten: float = 0.0
 
     def issue(self, workspace: WorkspaceName, now: float) -> IssuedKey:
-        """Return a new key."""
+        """Issue a new key for ``workspace``."""
         unique = secrets.token_urlsafe(RANDOM_BYTES)
         return IssuedKey(workspace, self.host, self.incarnation, now, unique)
 
@@ -117,7 +124,13 @@
     def spend(
         self, key: IssuedKey, digest: KeyDigest, body: BodyDigest, now: float
     ) -> Spending:
-        """Use ``key`` for one request, once."""
+        """Use ``key`` for one request; it can be used only once.
+
+        Raises
+        ------
+        ForgedKey
+            If another process issued the key.
+        """
         if not self.is_own(key):
             raise ForgedKey(f"{key.host} issued the key, not this process")
         if now - key.issued > self.window_s:
@@ -130,7 +143,7 @@
         return Spending.GRANTED
 
     def give_back(self, digest: KeyDigest) -> None:
-        """Let a key be used again whose request did not run."""
+        """Make a key usable again after its request did not run."""
         self.spent.pop(digest, None)
 
     def _forget(self, now: float) -> None:
--- a/godwitladder/claims/records.py
+++ b/godwitladder/claims/records.py
@@ -1,9 +1,9 @@
-"""The records of the claims stream and their form in CBOR.
+"""Records of the claims stream and their CBOR encoding.
 
-Each record is an array of a kind number and its fields. The notes on crashes go
-into the same stream, so that every host that can claim knows them too. Digests
-and nonces of claims travel and are kept as bytes, since a host holds every claim
-of the window.
+Each record is an array of a kind number and its fields. Crash events go into
+the same stream, so that every host that can claim a key also knows them.
+Digests and nonces of claims are sent and stored as bytes to save memory, since
+a host keeps every claim of the retention window.
 """
 
 from dataclasses import astuple, dataclass
@@ -14,27 +14,28 @@
 from godwitladder.ids import BodyDigest, HostId, Incarnation, KeyDigest, StreamId
 from godwitladder.quarantine.records import Cleared, Crash, CrashNote, Lifted
 
-# 16 bytes of a digest make an accidental clash of two keys less likely than a
-# failure of memory; 8 are enough to tell another body under the same key.
+# With 16 bytes, a digest collision of two keys is less likely than a memory
+# failure. 8 bytes suffice to detect a different body under the same key.
 KEY_BYTES = 16
 BODY_BYTES = 8
 
 
 class BadRecord(GodwitladderError):
-    """Bytes in the claims stream that are no record."""
+    """Bytes in the claims stream could not be decoded as a record."""
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A host wants to run the request with ``key``.
+    """A host's claim to run the request with ``key``.
 
     Attributes
     ----------
     nonce : bytes
-        Names this claim alone; it is also the id of the target's stream.
+        Unique identifier of this claim. Also the id of the stream on the
+        target.
     dated : float
-        Time in the caller's key, in seconds since the epoch; 0 for a key
-        that tells none.
+        Timestamp in the caller's key, in seconds since the epoch; 0 for a key
+        without a timestamp.
     """
 
     key: bytes
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """The claim with ``nonce`` was not dispatched and never will be."""
+    """Releases the claim with ``nonce``, which will never be dispatched."""
 
     key: bytes
     nonce: bytes
@@ -55,12 +56,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A claim recorded again before its first record is dropped.
+    """A copy of a claim, appended before the log drops its first record.
 
     Attributes
     ----------
     offset, time : int, float
-        Those of the claim's first record, which decide as before.
+        Offset and log time of the claim's first record. They still determine
+        the order of the claims and when this one expires.
     """
 
     claim: Claim
@@ -82,17 +84,17 @@
 
 
 def encode_record(record: StreamRecord) -> bytes:
-    """Return ``record`` in CBOR."""
+    """Encode ``record`` as CBOR."""
     return cbor2.dumps([KINDS[type(record)], *astuple(record)])
 
 
 def decode_record(data: bytes) -> StreamRecord:
-    """Return the record in ``data``.
+    """Decode a record from ``data``.
 
     Raises
     ------
     BadRecord
-        The bytes are none of the kinds of record.
+        If ``data`` is not a record of a known kind.
     """
     try:
         kind, *fields = cbor2.loads(data)
@@ -102,20 +104,20 @@
             claim, offset, time = fields
             return Snapshot(Claim(*claim), offset, time)
     except (cbor2.CBORDecodeError, ValueError, TypeError) as error:
-        raise BadRecord(f"not a claim record: {error}") from error
-    raise BadRecord(f"unknown kind of claim record {kind!r}")
+        raise BadRecord(f"invalid claim record: {error}") from error
+    raise BadRecord(f"unknown claim record kind {kind!r}")
 
 
 def key_bytes(key: KeyDigest) -> bytes:
-    """Return the part of a key's digest that the stream carries."""
+    """Return the prefix of a key's digest that is stored in the stream."""
     return bytes.fromhex(key)[:KEY_BYTES]
 
 
 def body_bytes(body: BodyDigest) -> bytes:
-    """Return the part of a body's digest that the stream carries."""
+    """Return the prefix of a body's digest that is stored in the stream."""
     return bytes.fromhex(body)[:BODY_BYTES]
 
 
 def nonce_bytes(stream: StreamId) -> bytes:
-    """Return the nonce that stands for ``stream``."""
+    """Return the claim nonce that corresponds to ``stream``."""
     return bytes.fromhex(stream)
--- a/godwitladder/claims/table.py
+++ b/godwitladder/claims/table.py
@@ -1,10 +1,11 @@
-"""Who holds which key, as a pure function of the claims stream.
-
-The holder of a key is its claim with the lowest offset that was not released.
-Claims and releases only add to two sets, so a reader that begins after the
-oldest records were dropped reaches the same holder, as long as each claim
-still in force has a record or a snapshot that is kept. Every rival of a
-holder therefore releases its own claim, or the key would pass to it.
+"""Determines the holder of each key as a pure function of the claims stream.
+
+The holder of a key is the claim with the lowest offset that has not been
+released. Claims and releases only add to two sets, so a reader that starts
+after the oldest records were dropped determines the same holder, as long as
+the log retains a record or a snapshot of each active claim. Every competing
+claim must therefore be released by its own host; otherwise the key would pass
+to it once the holder is released.
 """
 
 import sys
@@ -18,28 +19,28 @@
 )
 from godwitladder.ids import HostId, Incarnation, Offset
 
-# A host that knows a key to be held appends no claim for it, so rivals come
-# only from hosts that claimed at the same moment.
+# A host that knows a key to be held appends no claim for it, so competing
+# claims come only from hosts that claimed concurrently.
 RIVALS_PER_KEY = 16
-# How far ahead of the log's clock the time in a key may be.
+# Maximum time by which the timestamp in a key may be ahead of the log's clock.
 AHEAD_S = 3600.0
-# Expired rows cost memory only, so they are looked for this many times in a
-# window.
+# Number of scans for expired claims per retention window. Expired claims only
+# use memory, so few scans suffice.
 SCANS_PER_WINDOW = 100
 
 
 @dataclass(slots=True)
 class Held:
-    """One claim that was not released.
+    """One claim that has not been released.
 
     Attributes
     ----------
     offset, time : int, float
-        Of its first record, by the log.
+        Offset and log time of its first record.
     until : float
-        Time by the log at which it is forgotten.
+        Log time at which it expires.
     recorded : float
-        Time of its newest record or snapshot, by the log.
+        Log time of its newest record or snapshot.
     """
 
     nonce: bytes
@@ -55,24 +56,28 @@
 
 @dataclass
 class ClaimTable:
-    """Every claim of the window.
+    """All claims of the retention window.
 
     Attributes
     ----------
     window_s : float
-        How long a claim is kept, by the log's time.
+        How long a claim is kept, in seconds of log time.
     now : float
-        The newest time that the log put on a record.
+        The newest log time of a record.
     next : int
         Offset of the first record not yet replayed.
     rows : dict
-        The claims of each key in the order of their offsets.
+        Claims of each key, in order of their offsets.
     released : dict
-        Time of release for each nonce. A release may come before its claim,
-        when the append of the claim was still under way as its host gave up;
-        without these rows the late claim would hold the key for ever.
+        Log time of the release of each nonce. A release may precede its claim
+        if the host released the claim while its append was still in progress.
+        Without these entries the late claim would hold the key until it
+        expires.
     crowded : set
-        Keys with so many rivals that some are not kept; they stay held.
+        Keys with so many competing claims that some were not stored. They
+        stay held.
+    scanned : float
+        Log time of the last scan for expired claims.
     """
 
     window_s: float
@@ -84,7 +89,7 @@
     scanned: float = 0.0
 
     def replay(self, offset: Offset, time: float, record: ClaimRecord) -> None:
-        """Take in the record at ``offset``, which must be `next` or above."""
+        """Apply the record at ``offset``, which must be at least `next`."""
         self.next = Offset(offset + 1)
         self.now = max(self.now, time)
         if isinstance(record, Release):
@@ -99,24 +104,28 @@
     def holder(
         self, key: bytes, without: frozenset[bytes] | set[bytes] = frozenset()
     ) -> Held | None:
-        """Return the claim that holds ``key``, passing over nonces in ``without``."""
+        """Return the claim that holds ``key``, ignoring the nonces in ``without``."""
         for row in self.rows.get(key, ()):
             if row.until > self.now and row.nonce not in without:
                 return row
         return None
 
     def is_out_of_window(self, dated: float) -> bool:
-        """Return whether a key that tells its time can't be judged any more.
+        """Return whether the timestamp of a key is outside the window.
 
-        A claim of that key may already be forgotten. Judged by the log's
-        time alone, so that every host reaches the same verdict.
+        An earlier claim of such a key may already have been evicted, so the
+        key must be refused. Only log time is used, so that every host reaches
+        the same verdict. Always False for a key without a timestamp.
         """
         if not dated:
             return False
         return not -AHEAD_S <= self.now - dated < self.window_s
 
     def due_for_snapshot(self, age_s: float, limit: int) -> list[Snapshot]:
-        """Return claims whose newest record is older than ``age_s``."""
+        """Return snapshots of claims whose newest record is older than ``age_s``.
+
+        Stops after the key at which ``limit`` is reached.
+        """
         due = []
         for key, rows in self.rows.items():
             due += [
@@ -137,8 +146,9 @@
                 row.recorded = max(row.recorded, recorded)
                 return
         if len(rows) >= RIVALS_PER_KEY:
-            # A rival that is not kept can't be told from none once the others
-            # are released, so this key is never freed within the window.
+            # Once the stored claims are released, a claim that was not stored
+            # can't be told from no claim, so this key is never freed within
+            # the window.
             self.crowded.add(claim.key)
             return
         until = max(time, claim.dated) + self.window_s
@@ -171,7 +181,7 @@
             self.rows.pop(record.key, None)
 
     def _forget(self) -> None:
-        """Drop what is older than the window, which bounds the table."""
+        """Remove entries older than the window, which bounds the table's size."""
         self.scanned = self.now
         for key, rows in list(self.rows.items()):
             kept = [row for row in rows if row.until > self.now]
