--- a/godwitladder/claims/records.py
+++ b/godwitladder/claims/records.py
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Releases the claim with ``nonce``, which will never be dispatched."""
+    """Releases the claim ``nonce``, which was not and will not be dispatched."""
 
     key: bytes
     nonce: bytes
--- a/godwitladder/orders/__init__.py
+++ b/godwitladder/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to targets: one issuer at a time, by leases in the log."""
+"""Orders to targets, issued by one process at a time under leases in the log."""
--- a/godwitladder/orders/book.py
+++ b/godwitladder/orders/book.py
@@ -1,17 +1,17 @@
-"""Who may order a target, and who may read the weight store when.
+"""Grants leases of targets and slots for reads of the weight store.
 
-Pure: a function of the orders stream, which every host replays alike. Times
-are the log's own, so no two hosts' clocks are compared.
+Pure: a function of the orders stream, which every host replays identically.
+All times are log times, so the clocks of different hosts are never compared.
 
 Load pattern: a ticket changes many targets at once, and every host sees it in
-the same second. Without leases all of them would order each target, in any
-order; without slots all targets would load weights at once and the store
-would turn most of them away.
-
-`GUARD_S`: a holder begins no write after its lease and gives a write up
-after `godwitladder.orders.issuer.SEND_S`, 2 s. A successor that waits for one
-second more than that can't meet it on the way to the target, also where the
-clocks of host and log differ in speed by one in ten over a lease.
+the same second. Without leases, all hosts would send orders to each target, in
+arbitrary order. Without slots, all targets would load weights at once, and the
+store would reject most of the reads.
+
+`GUARD_S`: a holder starts no write after its lease has expired, and aborts a
+write after `godwitladder.orders.issuer.SEND_S`, 2 s. A successor that waits one
+second longer than that can't overlap with such a write, even if the clocks of
+the host and the log drift apart by 10 % over the duration of a lease.
 """
 
 from dataclasses import dataclass, field
@@ -20,39 +20,46 @@
 from godwitladder.orders.records import Lease, OrderRecord, WeightRead
 
 GUARD_S = 3.0
-# Grants and slots are asked for once, within seconds of their record.
+# Grants and slots are looked up once, within seconds of their record, so only
+# the latest are kept.
 KEPT = 1000
 
 
 @dataclass(frozen=True)
 class Held:
-    """The lease last granted for a target; ``time`` is the log's."""
+    """The latest lease granted for a target; ``time`` is its log time."""
 
     lease: Lease
     fence: Offset
     time: float
 
     def free_at(self) -> float:
-        """Return from when on another holder may have the target."""
+        """Return the log time from which another holder may get a lease."""
         return self.time + self.lease.lease_s + GUARD_S
 
 
 @dataclass
 class OrderBook:
-    """The leases and slots that the stream has granted.
+    """Leases and slots granted by the records of the stream.
 
     Parameters
     ----------
     weight_reads_per_s : float
-        Reads of the weight store a second, for all hosts together.
+        Reads of the weight store per second, for all hosts together.
 
     Attributes
     ----------
+    next : int
+        Offset of the first record not yet replayed.
+    held : dict
+        The latest lease granted for each target.
     fences : dict
-        Fencing number for the nonce of each lease granted lately; None for
-        one that was denied.
+        Fencing number of each recently requested lease, by nonce; None for a
+        lease that was denied.
     slots : dict
-        Seconds from its record to the read, for the nonce of each slot.
+        Delay in seconds from the record of each slot to its read, by nonce.
+    slot_free : float
+        Log time of the next free slot.
     """
 
     weight_reads_per_s: float
@@ -63,7 +70,7 @@
     slot_free: float = 0.0
 
     def replay(self, offset: Offset, time: float, record: OrderRecord | None) -> None:
-        """Take in the record at ``offset``; None for one that can't be read."""
+        """Apply the record at ``offset``; None for one that can't be decoded."""
         if offset < self.next:
             return
         self.next = Offset(offset + 1)
@@ -82,12 +89,12 @@
         held = self.held.get(lease.target)
         if held is None:
             return True
-        # A host that is behind with tickets would order what a later ticket
-        # has replaced, and the target would go back to an older state.
+        # A host that has not seen the latest tickets would order a state that
+        # a later ticket has replaced, reverting the target to an older state.
         if lease.version < held.lease.version:
             return False
-        # A process orders a target from one thread, so that its own earlier
-        # order has ended.
+        # A process sends the orders for a target from a single thread, so its
+        # own earlier order has already ended.
         return held.lease.holder == lease.holder or time >= held.free_at()
 
     def _give_slot(self, time: float, read: WeightRead) -> None:
--- a/godwitladder/orders/issuer.py
+++ b/godwitladder/orders/issuer.py
@@ -1,16 +1,18 @@
-"""Brings targets to the state that tickets order.
-
-Each host looks after the targets of its zone for which it has the highest
-rendezvous weight. Two hosts may think so at once; the lease decides.
-
-A target that checks fencing numbers refuses an order that comes late. For one
-that ignores them the guard is: no write begins after the lease, by the
-holder's own clock read right before it; a write is given up after `SEND_S`;
-and a successor is granted the lease only `GUARD_S` after its end. What
-remains is a process that is paused between that look at the clock and the
-write. Its order may arrive after the successor's. It is healed, not
-prevented: orders carry the whole state, and the issuer reads the target again
-every `RECHECK_S` and orders anew where it differs.
+"""Brings targets to the state that the tickets specify.
+
+Each host is responsible for the targets of its availability zone for which it
+has the highest rendezvous weight. Two hosts may consider themselves responsible
+at the same time; the lease decides between them.
+
+A target that checks fencing numbers rejects a late order. Targets that ignore
+fencing numbers are protected as follows: no write starts after the lease has
+expired, according to the holder's own clock, read immediately before the write;
+a write is aborted after `SEND_S`; and a successor is granted the lease only
+`GUARD_S` after it has expired. One case remains: a process may be paused
+between reading the clock and writing, and its order may arrive after that of
+the successor. This is not prevented but repaired: each order carries the whole
+state, and the issuer reads the target's state every `RECHECK_S` and sends the
+order again if it differs.
 """
 
 import threading
@@ -44,23 +46,24 @@
 PERIOD_S = 1.0
 RECHECK_S = 30.0
 RETRY_S = 5.0
-# Targets whose orders are under way at once; a slow one holds up no other.
+# Number of targets that receive orders concurrently, so that a slow target does
+# not delay the others.
 WORKERS = 8
 WEIGHT_TRIES = 3
 FAILURES = (NotGranted, NotSent, MayHaveRun, OrderFailed, OldFence, WeightsUnavailable)
 
 
 class OrderIssuer:
-    """Looks over this zone's targets from time to time.
+    """Periodically checks the targets of this availability zone and sends orders.
 
     Parameters
     ----------
     host, zone : HostId, Zone
-        This host.
+        Name and availability zone of this host.
     stream : OrderStream
         Grants leases and slots.
     weights : WeightClient or None
-        The weight store, if the settings name one.
+        Client of the weight store, if the settings name one.
     clock : Clock
         The host's clock.
     config : callable
@@ -69,7 +72,13 @@
     Attributes
     ----------
     hosts : tuple of HostId
-        The live hosts of this zone, set by whoever knows them.
+        The live hosts of this availability zone. Must be kept up to date from
+        outside this class.
+    due : dict
+        For each target, the order that was last checked and the monotonic
+        time in seconds of its next check.
+    busy : set
+        Targets that are being checked or receiving an order.
     """
 
     def __init__(
@@ -95,16 +104,16 @@
         self.workers = ThreadPoolExecutor(WORKERS, thread_name_prefix="order")
 
     def start(self) -> None:
-        """Start to look after targets."""
+        """Start the thread that checks targets."""
         threading.Thread(target=self.run, name="orders", daemon=True).start()
 
     def stop(self) -> None:
-        """Begin no further order."""
+        """Start no further orders."""
         self.stopping.set()
         self.workers.shutdown(wait=False, cancel_futures=True)
 
     def run(self) -> None:
-        """Look after targets until told to stop."""
+        """Check targets periodically until stopped."""
         while not self.clock.wait(self.stopping, PERIOD_S):
             for name in self.mine():
                 with self.lock:
@@ -114,7 +123,7 @@
                 self.workers.submit(self.look_after, name)
 
     def mine(self) -> list[TargetName]:
-        """Return the targets that are due for a look by this host."""
+        """Return the targets that this host is responsible for and must check now."""
         now = self.clock.monotonic()
         return [
             TargetName(name)
@@ -125,14 +134,17 @@
         ]
 
     def look_after(self, name: TargetName) -> None:
-        """Order one target if it is not what it should be."""
+        """Check one target, and send it an order if its state is not as specified."""
         wait_s = RETRY_S
         order = None
         try:
             order = self.order(name)
             wait_s = RECHECK_S
         except FAILURES as error:
-            log.warning("No order", extra={"target": name, "error": str(error)})
+            log.warning(
+                "Could not bring a target to its desired state",
+                extra={"target": name, "error": str(error)},
+            )
         finally:
             with self.lock:
                 self.busy.discard(name)
@@ -142,34 +154,35 @@
                     self.due[name] = (wanted, due)
 
     def order(self, name: TargetName) -> TargetOrder | None:
-        """Bring one target to the state in force; return that state."""
+        """Bring one target to its desired state; return that state."""
         state = self.config()
         target = state.targets.get(name)
         order = target and desired_order(target)
         if not order or read_order(target.address, SEND_S) == order:
             return order
         self._await_weights(order)
-        # The connection is open before the lease is asked for, so that
-        # between the look at the clock and the write there is nothing to
-        # wait for.
+        # Connect before requesting the lease, so that nothing blocks between
+        # reading the clock and writing.
         connection = connect(target.address, SEND_S)
         try:
             lease = self.stream.lease(name, state.numbers.get(name, 0))
             if self.clock.monotonic() >= lease.until:
-                raise NotGranted(f"the lease of {name} has passed")
+                raise NotGranted(f"the lease of {name} has expired")
             write_order(connection, order, lease.fence)
         finally:
             connection.close()
-        log.info("A target was ordered", extra={"target": name, "fence": lease.fence})
+        log.info(
+            "Sent an order to a target", extra={"target": name, "fence": lease.fence}
+        )
         return order
 
     def _await_weights(self, order: TargetOrder) -> None:
-        """Make sure that the store has all weights, a slot for each read."""
+        """Ensure that the store has all weights; each read takes a slot."""
         if self.weights is None:
             return
         for name in filter(None, (order.model, *order.adapters)):
             self._await_weight(name)
-            # The order makes the target read the store once more.
+            # The target itself reads the store again when it gets the order.
             self.stream.await_weight_slot()
 
     def _await_weight(self, name: str) -> None:
@@ -179,7 +192,8 @@
                 self.weights.check(name)
                 return
             except WeightsBusy:
-                # Someone outside reads too; each try takes its turn anew.
+                # Clients outside this system also read the store. Take a new
+                # slot for each attempt.
                 continue
         raise WeightsUnavailable(f"the weight store was busy for {name}")
 
--- a/godwitladder/orders/records.py
+++ b/godwitladder/orders/records.py
@@ -1,4 +1,4 @@
-"""Records of the orders stream, in CBOR."""
+"""Records of the orders stream and their CBOR encoding."""
 
 import dataclasses
 from dataclasses import dataclass
@@ -12,23 +12,24 @@
 
 
 class BadRecord(GodwitladderError):
-    """Bytes that are no record of this stream."""
+    """Bytes in the orders stream could not be decoded as a record."""
 
 
 @dataclass(frozen=True)
 class Lease:
-    """A process wants to be the one issuer of orders to a target.
+    """A process's request to be the only issuer of orders to a target.
 
     Attributes
     ----------
     holder : str
-        Host and incarnation.
+        Host and incarnation of the process.
     nonce : str
-        Names this record, so that its writer finds it without an answer.
+        Unique id of this record, by which its writer finds it in the stream
+        even if the response to the append was lost.
     version : int
         Number of the ticket whose state the order will carry.
     lease_s : float
-        How long it is asked for, in seconds by the log's time.
+        Requested duration in seconds of log time.
     """
 
     target: TargetName
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True)
 class WeightRead:
-    """A process wants to read the weight store once."""
+    """A process's request to read the weight store once."""
 
     holder: str
     nonce: Nonce
@@ -51,23 +52,23 @@
 
 
 def encode_record(record: OrderRecord) -> bytes:
-    """Return ``record`` in CBOR."""
+    """Encode ``record`` as CBOR."""
     return cbor2.dumps([type(record).__name__, dataclasses.asdict(record)])
 
 
 def decode_record(data: bytes) -> OrderRecord:
-    """Return the record in ``data``.
+    """Decode a record from ``data``.
 
     Raises
     ------
     BadRecord
-        It is of no form that is known.
+        If ``data`` is not a record of a known kind with valid fields.
     """
     try:
         name, fields = cbor2.loads(data)
         kind = KINDS[name]
     except (cbor2.CBORDecodeError, ValueError, TypeError, KeyError) as error:
-        raise BadRecord(f"not a record: {error!r}") from error
+        raise BadRecord(f"invalid order record: {error!r}") from error
     findings = Findings()
     record: Any = read_table(fields, kind, name, findings)
     if record is None:
--- a/godwitladder/orders/stream.py
+++ b/godwitladder/orders/stream.py
@@ -1,4 +1,4 @@
-"""One host's view of the orders stream: append a record and see its fate."""
+"""Appends records to the orders stream and reads back whether they were granted."""
 
 import secrets
 import threading
@@ -24,16 +24,28 @@
 
 ORDER_STREAM = "orders"
 LEASE_S = 10.0
-# A record whose append got no answer is looked for this many times.
+# Number of times that the stream is read to find an appended record.
 READS = 3
 
 
 class NotGranted(GodwitladderError):
-    """The lease is another's, or the log can't tell."""
+    """A lease or slot could not be obtained.
+
+    Another process holds the lease, the lease expired before its use, or the log
+    gave no answer.
+    """
 
 
 class Leased:
-    """A lease as its holder knows it; ``until`` is monotonic seconds."""
+    """A lease as seen by its holder.
+
+    Parameters
+    ----------
+    fence : int
+        Fencing number of the lease.
+    until : float
+        Monotonic time in seconds at which the lease expires.
+    """
 
     def __init__(self, fence: Offset, until: float) -> None:
         self.fence = fence
@@ -41,18 +53,18 @@
 
 
 class OrderStream:
-    """Appends to the stream and replays it when there is something to ask.
+    """Requests leases and slots through the orders stream.
 
-    An idle host reads nothing.
+    The stream is read only after a request, so an idle host reads nothing.
 
     Parameters
     ----------
     client : LogClient
-        The platform's log.
+        Client of the platform's log.
     clock : Clock
-        For the holder's own view of its lease.
+        The host's clock, by which the holder measures its lease.
     holder : str
-        This process: host and incarnation.
+        Host and incarnation of this process.
     weight_reads_per_s : float
         See `OrderBook`; the same on every host.
     """
@@ -67,49 +79,51 @@
         self.lock = threading.Lock()
 
     def lease(self, target: TargetName, version: int) -> Leased:
-        """Return a lease of ``target``.
+        """Obtain a lease of ``target``.
 
         Raises
         ------
         NotGranted
-            Another holds it, or the log did not tell.
+            If the lease was denied, or the log did not respond or did not
+            return the record.
         """
         nonce = Nonce(secrets.token_hex(8))
-        # The lease is counted from before its record was sent, the log
-        # counts it from when it took the record: the holder stops first.
+        # The holder measures the lease from before its record is sent, other
+        # readers from when the log stored it, so for the holder it expires
+        # first.
         asked = self.clock.monotonic()
         record = Lease(target, self.holder, nonce, version, LEASE_S)
         fence = self._ask(record, nonce, self.book.fences)
         if fence is None:
-            raise NotGranted(f"another process orders {target}")
+            raise NotGranted(f"another process has the lease of {target}")
         return Leased(fence, asked + LEASE_S)
 
     def await_weight_slot(self) -> None:
-        """Return when this host may read the weight store once.
+        """Wait until this host may read the weight store once.
 
         Raises
         ------
         NotGranted
-            The log did not tell.
+            If the log did not respond or did not return the record.
         """
         nonce = Nonce(secrets.token_hex(8))
         record = WeightRead(self.holder, nonce)
         self.clock.sleep(self._ask(record, nonce, self.book.slots))
 
     def _ask(self, record: OrderRecord, nonce: Nonce, answers: dict):
-        """Append ``record`` and read the stream until its fate is known."""
+        """Append ``record`` and read the stream until ``answers`` has its nonce."""
         try:
             self.client.append(ORDER_STREAM, [encode_record(record)])
         except LogNotReached as error:
             raise NotGranted(str(error)) from error
         except LogUnavailable:
-            pass  # It may be there; the stream tells.
+            pass  # It may have been stored; reading the stream shows that.
         with self.lock:
             for _ in range(READS):
                 self._read_to_end()
                 if nonce in answers:
                     return answers[nonce]
-        raise NotGranted("the record did not show up in the stream")
+        raise NotGranted("the record did not appear in the stream")
 
     def _read_to_end(self) -> None:
         following = None
--- a/godwitladder/orders/wire.py
+++ b/godwitladder/orders/wire.py
@@ -1,8 +1,8 @@
-"""Client of a target's interface for orders.
+"""Client of a target's HTTP interface for orders.
 
-The only module to change when a target's own form differs: ``POST /orders``
-takes an order, ``GET /orders`` lists those that were taken, the last of which
-says what the target is.
+``POST /orders`` submits an order. ``GET /orders`` lists the accepted orders, the
+last of which describes the target's state. To support targets with a different
+interface, only this module has to change.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class TargetOrder:
-    """The whole state that a target is ordered to have."""
+    """The complete state that an order specifies for a target."""
 
     model: str
     adapters: tuple[str, ...]
@@ -27,26 +27,29 @@
 
 
 class OldFence(GodwitladderError):
-    """The target has taken an order with a higher fencing number."""
+    """The target has already accepted an order with a higher fencing number."""
 
 
 class OrderFailed(GodwitladderError):
-    """The target did not say that it took the order; it may have."""
+    """Reading or sending an order failed.
+
+    An order that was sent may have been accepted nevertheless.
+    """
 
 
 def desired_order(target: Target) -> TargetOrder | None:
-    """Return what tickets order ``target`` to be; None if they don't."""
+    """Return the state that tickets specify for ``target``, or None if they don't."""
     order = TargetOrder(target.model, target.adapters, target.role)
     return None if order == TargetOrder("", (), "") else order
 
 
 def read_order(address: str, timeout_s: float) -> TargetOrder | None:
-    """Return the order that the target took last.
+    """Return the order that the target accepted last; None if it has none.
 
     Raises
     ------
     OrderFailed, NotSent, MayHaveRun
-        The target did not tell.
+        If the target could not be reached or sent no valid response.
     """
     connection = connect(address, timeout_s)
     try:
@@ -56,20 +59,22 @@
         last = rows[-1]
         return TargetOrder(last["model"], tuple(last["adapters"]), last["role"])
     except (ValueError, KeyError, TypeError, urllib3.exceptions.HTTPError) as error:
-        raise OrderFailed(f"{address} told no orders: {error!r}") from error
+        raise OrderFailed(
+            f"invalid list of orders from {address}: {error!r}"
+        ) from error
     finally:
         connection.close()
 
 
 def write_order(connection: HTTPConnection, order: TargetOrder, fence: Offset) -> None:
-    """Send ``order`` on an open connection and close it.
+    """Send ``order`` over an open connection, then close the connection.
 
     Raises
     ------
     OldFence
-        Another issuer has come after this one.
+        If the target has accepted an order of a later issuer.
     OrderFailed
-        The order may have been taken or not.
+        If it is unknown whether the target accepted the order.
     """
     body = json.dumps(asdict(order) | {"fence": fence}).encode()
     headers = {"Content-Type": "application/json"}
@@ -81,6 +86,6 @@
     finally:
         connection.close()
     if status == 409:
-        raise OldFence(f"fence {fence} is old")
+        raise OldFence(f"fencing number {fence} is outdated")
     if status != 200:
-        raise OrderFailed(f"target answered {status} to an order")
+        raise OrderFailed(f"target responded to an order with status {status}")
--- a/godwitladder/quarantine/__init__.py
+++ b/godwitladder/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that crash the targets that run them."""
+"""Quarantine of requests that crash the targets that run them."""
--- a/godwitladder/quarantine/echoes.py
+++ b/godwitladder/quarantine/echoes.py
@@ -1,7 +1,8 @@
-"""Waits until peers are known to have read a note.
+"""Waits until peers have acknowledged a crash event.
 
-Each host passes a note on once, over all its links, so the one that wrote it
-has it back from every peer that read it.
+Each host forwards an event once, over all its links. The host that published
+the event therefore receives it back from every peer that has read it, and
+counts that as an acknowledgement.
 """
 
 import threading
@@ -12,12 +13,19 @@
 
 
 class NoteEchoes:
-    """Notes of this host that peers have yet to send back.
+    """Events of this host that peers have not yet sent back.
 
     Parameters
     ----------
     clock : Clock
         The host's clock.
+
+    Attributes
+    ----------
+    missing : dict
+        Peers that have not yet sent back each event, by the event's id.
+    complete : dict
+        For each event id, set once no peer is missing.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -27,7 +35,7 @@
         self.complete: dict[str, threading.Event] = {}
 
     def expect(self, report: str, peers: Collection[HostId]) -> None:
-        """Await the note ``report`` from each of ``peers``; call before it is sent."""
+        """Expect ``report`` back from each of ``peers``; call before it is sent."""
         with self.lock:
             self.missing[report] = set(peers)
             self.complete[report] = threading.Event()
@@ -35,7 +43,7 @@
                 self.complete[report].set()
 
     def note(self, report: str, peer: HostId) -> None:
-        """Take in that ``peer`` has sent the note ``report``."""
+        """Record that ``peer`` has sent ``report``."""
         with self.lock:
             missing = self.missing.get(report)
             if missing is None:
@@ -45,7 +53,10 @@
                 self.complete[report].set()
 
     def wait(self, report: str, seconds: float) -> bool:
-        """Wait for the rest, ``seconds`` at most; return whether all have it."""
+        """Wait until all peers have sent ``report`` back, at most ``seconds``.
+
+        Returns whether all have. The event is no longer tracked afterwards.
+        """
         heard = self.clock.wait(self.complete[report], seconds)
         with self.lock:
             del self.missing[report], self.complete[report]
--- a/godwitladder/quarantine/records.py
+++ b/godwitladder/quarantine/records.py
@@ -1,4 +1,4 @@
-"""What hosts tell each other about crashes, over links and through the log."""
+"""Crash events, which hosts exchange over links and through the log."""
 
 from dataclasses import dataclass
 
@@ -9,14 +9,16 @@
 @peer_message
 @dataclass(frozen=True)
 class Crash:
-    """A target was found gone while it ran a request.
+    """A target's process ended while it ran a request.
 
     Attributes
     ----------
     report : str
-        Names this report alone, since it comes over links and by the log.
+        Unique id of this event. It arrives both over links and through the
+        log, and duplicates are recognized by this id.
     trial : bool
-        Whether the request was the one suspect allowed to run.
+        Whether the request ran as the trial: the one suspect that was allowed
+        to run.
     """
 
     report: str
@@ -28,7 +30,7 @@
 @peer_message
 @dataclass(frozen=True)
 class Cleared:
-    """A suspect has run to its end."""
+    """A suspect request has completed."""
 
     report: str
     digest: BodyDigest
@@ -37,7 +39,7 @@
 @peer_message
 @dataclass(frozen=True)
 class Lifted:
-    """An operator ends a quarantine."""
+    """An operator has lifted a quarantine."""
 
     report: str
     digest: BodyDigest
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -1,4 +1,4 @@
-"""Watches how dispatched requests end, and holds back those that crash targets."""
+"""Detects requests that crash their targets, and restricts or refuses them."""
 
 import dataclasses
 import hashlib
@@ -34,7 +34,7 @@
 TRIAL_WAIT_S = 3.0
 TRIAL_RETRY_S = 2.0
 ECHO_S = 0.5
-"""A peer that has not read a note by then is taken for one that is out of reach."""
+"""A peer that has not acknowledged an event by then is taken as unreachable."""
 SEEN_REPORTS = 10_000
 UNKNOWN_STREAM = 404
 SUSPECT_TEXT = (
@@ -49,26 +49,41 @@
 
 @dataclasses.dataclass
 class Trial:
-    """Whether one call runs as the system's trial; ``release`` ends that."""
+    """Trial state of one call.
+
+    Attributes
+    ----------
+    release : callable or None
+        Ends the trial, if the call runs as the system's trial; else None.
+    """
 
     release: Callable[[], None] | None = None
 
 
 class CrashWatch:
-    """Knows which requests may run, and tells other hosts of crashes.
+    """Decides which requests may run, and reports crashes to other hosts.
 
     Parameters
     ----------
     run : callable
-        Serves a call: the dispatcher's.
+        The dispatcher's method that serves a call.
     config : callable
         Returns the configuration in force.
     claims : pykka.ActorRef
-        The actor of `godwitladder.claims.actor.Claims`.
+        The actor of class `godwitladder.claims.actor.Claims`.
     mesh : Mesh
         The links to other hosts.
     clock : Clock
         The host's clock.
+
+    Attributes
+    ----------
+    table : Quarantine
+        Suspect and quarantined requests.
+    seen : dict
+        Ids of the latest events that were applied, in order of arrival.
+    echoes : NoteEchoes
+        Events of this host that peers have not yet acknowledged.
     """
 
     def __init__(
@@ -90,12 +105,13 @@
         self.lock = threading.Lock()
 
     def serve(self, call: Call, environ: Mapping, start_response) -> Iterable[bytes]:
-        """Answer one call, unless it may not run.
+        """Serve one call, if it may run.
 
         Raises
         ------
         CallRefused
-            The request is quarantined, or a suspect that can't be tried now.
+            If the request is quarantined, or is a suspect and can't run as
+            the trial now.
         """
         digest = crash_digest(call)
         standing = self.standing(digest)
@@ -109,8 +125,9 @@
         inner = call.on_end
 
         def on_end(state: RequestState) -> None:
-            # What is known of a crash is told before the caller is answered,
-            # or its next try would be at a target before the news.
+            # Report a crash before the caller is answered. Otherwise the
+            # caller's retry could reach a target before the crash event
+            # reaches the other hosts.
             self._note_end(call, digest, trial.release is not None, state)
             if trial.release:
                 trial.release()
@@ -123,22 +140,25 @@
         return self.run(watched, environ, start_response)
 
     def standing(self, digest: BodyDigest) -> QuarantineStatus:
-        """Return what may be done with ``digest``."""
+        """Return the quarantine status of the request with ``digest``."""
         with self.lock:
             return self.table.status(digest, self.clock.monotonic())
 
     def take(self, link: Link, message: CrashNote) -> None:
-        """Take in a peer's note, and pass it on once."""
+        """Apply a peer's event, and forward it if it is new."""
         self.echoes.note(message.report, link.peer)
         if self.apply(message, 0.0):
             self.mesh.broadcast(message)
 
     def replay(self, note: CrashNote, time: float) -> None:
-        """Take in a note from the log, with the log's time of it."""
+        """Apply an event from the log; ``time`` is its log time."""
         self.apply(note, max(0.0, self.clock.wall() - time))
 
     def apply(self, note: CrashNote, age_s: float) -> bool:
-        """Take in a note; return False if it is known or too old to matter."""
+        """Apply an event, unless it is a duplicate or too old to have an effect.
+
+        Returns whether the event was applied. ``age_s`` is its age in seconds.
+        """
         with self.lock:
             if note.report in self.seen or age_s > HOLD_S:
                 return False
@@ -157,41 +177,45 @@
             self.table.lift(note.digest)
 
     def publish(self, note: CrashNote) -> None:
-        """Take in a note of this host and tell all others."""
+        """Apply an event of this host and send it to all other hosts."""
         self.apply(note, 0.0)
         self.mesh.broadcast(note)
         self.claims.tell(Note(note))
-        log.warning("A note on a crash", extra={"note": repr(note)})
+        log.warning("Published a crash event", extra={"note": repr(note)})
 
     def publish_crash(self, note: Crash) -> None:
-        """Tell of a crash, and wait until the peers have read it.
+        """Publish a crash, and wait until the peers have acknowledged it.
 
-        A caller that is answered before comes back to a peer that takes its
-        request for a harmless one, and one more target is lost.
+        If the caller were answered earlier, its retry could reach a peer that
+        does not know of the crash yet, and crash another target.
         """
         peers = {link.peer for link in self.mesh.current()}
         self.echoes.expect(note.report, peers)
         self.publish(note)
         if not self.echoes.wait(note.report, ECHO_S):
-            log.warning("Not all peers know of a crash", extra={"note": repr(note)})
+            log.warning(
+                "Not all peers have acknowledged a crash event",
+                extra={"note": repr(note)},
+            )
 
     def held(self) -> dict[BodyDigest, float]:
-        """Return the seconds left of each quarantine."""
+        """Return the remaining time of each quarantine in seconds, by digest."""
         now = self.clock.monotonic()
         with self.lock:
             rows = self.table.quarantined.items()
             return {digest: until - now for digest, until in rows if until > now}
 
     def lift(self, digest: BodyDigest, operator: str) -> None:
-        """End a quarantine everywhere."""
+        """Lift a quarantine on all hosts."""
         self.publish(Lifted(secrets.token_hex(8), digest, operator))
 
     def _late_refusal(self, digest: BodyDigest, trial: "Trial") -> Refusal | None:
-        """Return why a request may not be written now after all.
+        """Check a request again just before it is sent to a target.
 
-        Copies that were let in before the news of the first crash wait in the
-        queue; each would take a target with it. One of them is the trial, as
-        if it had come after the news, and the others are refused.
+        Copies of a request that were admitted before its first crash was known
+        wait in the queue, and each would crash a target. One of them becomes
+        the trial, as if it had arrived after the crash; the others are refused.
+        Returns the refusal, or None if the request may be sent.
         """
         standing = self.standing(digest)
         if standing is QuarantineStatus.QUARANTINED:
@@ -201,10 +225,11 @@
         return None
 
     def _begin_trial(self, trial: "Trial") -> bool:
-        """Claim the one trial of the system; return whether that was won.
+        """Claim the system's single trial; return whether the claim was won.
 
-        The claim is won by one host through the log, whatever hosts think of
-        each other. A trial that a dead host left open ends with its period.
+        The log decides which host wins the claim, even if hosts disagree about
+        which of them are alive. A trial left open by a dead host ends with its
+        period.
         """
         period = int(self.clock.wall() // HOLD_S)
         key = hashlib.sha256(b"trial %d" % period).digest()[:KEY_BYTES]
@@ -230,8 +255,9 @@
     def _is_gone(self, call: Call) -> bool:
         """Return whether the target's process ended while it ran ``call``.
 
-        It refuses connections, or one that took its place does not know the
-        stream. A target that is slow or cut off does neither.
+        In that case the target refuses connections, or the process that
+        replaced it does not know the stream. A target that is slow or
+        unreachable does neither.
         """
         target = self.config().targets.get(call.row.target)
         if target is None:
@@ -251,10 +277,10 @@
 
 
 def crash_digest(call: Call) -> BodyDigest:
-    """Return the digest by which a request is known again under any key.
+    """Return the digest that identifies a request regardless of its key.
 
-    Of a model service the messages alone count: they are what an engine
-    reads, and a caller may vary the rest between its tries.
+    For a model service it covers only the messages. They are what the engine
+    processes, and a caller may vary other fields between its retries.
     """
     content = call.body
     if call.service.kind is ServiceKind.MODEL:
@@ -265,19 +291,19 @@
 
 
 def quarantined(digest: BodyDigest) -> Refusal:
-    """Return the refusal of a quarantined request."""
+    """Return the refusal for a quarantined request."""
     return refuse(Reason.QUARANTINED, QUARANTINED_TEXT.format(digest))
 
 
 def suspected() -> Refusal:
-    """Return the refusal of a suspect that can't be tried now."""
+    """Return the refusal for a suspect that can't run as the trial now."""
     return refuse(Reason.QUARANTINED, SUSPECT_TEXT, TRIAL_RETRY_S)
 
 
 def _is_refused(error: BaseException | None) -> bool:
-    """Return whether a refused connection is among the causes of ``error``.
+    """Return whether ``error`` was caused by a refused connection.
 
-    A host or a rack that is gone lets connections time out instead.
+    If a whole machine or rack is down, connections time out instead.
     """
     while error is not None:
         if isinstance(error, ConnectionRefusedError):
