--- a/tests/claims/test_collector.py
+++ b/tests/claims/test_collector.py
@@ -1,4 +1,4 @@
-"""Claims in single steps: retention, gaps, dated keys, outages."""
+"""Single steps of claims: retention, gaps, keys with timestamps, outages."""
 
 from godwitladder.claims.collector import Collector, Verdict, Wanted
 from godwitladder.claims.records import Claim, Release, encode_record
@@ -32,11 +32,12 @@
 
 
 def test_release_is_appended_until_the_log_answers():
-    """The caller was told "not run" in an outage and sends its key again.
+    """Guards against a key that stays held after its release was lost.
 
-    The claim was applied, the request was shed, and the append of the release
-    failed. The release is appended again once the log answers, so that the
-    key is free on another host.
+    The claim was stored and the request shed, but the append of the release
+    failed. The caller was told "not run" and retries with the same key. The
+    release is appended again once the log responds, so that another host can
+    claim the key.
     """
     log, host, other = FakeLog(), make_host("a"), make_host("b")
     assert claim(log, host, b"1") == [Verdict.WON]
@@ -49,11 +50,11 @@
 
 
 def test_claim_outlives_the_records_retention():
-    """An order sent again the next day does not run a second time.
+    """Guards against a key that runs twice because its record was dropped.
 
-    The log drops the claim's record before the window of its key is over.
-    The host has recorded the claim again before, so that a host which starts
-    later still finds the key held, and by the first record's offset.
+    The log drops the claim's record before the claim window ends. The host
+    has appended a snapshot before that, so a host that starts later still
+    finds the key held, at the offset of the first record.
     """
     log, host = FakeLog(), make_host("a")
     assert claim(log, host, b"1") == [Verdict.WON]
@@ -72,10 +73,11 @@
 
 
 def test_snapshot_holds_against_a_rival_between_it_and_the_first_record():
-    """A host that starts late reads a rival's claim before the snapshot.
+    """Guards against a competing claim that precedes the snapshot.
 
-    The rival lost to the first record, which is dropped by now. The snapshot
-    that follows tells the first offset, so the rival doesn't hold the key.
+    The competing claim lost to the first record, which has been dropped since.
+    A host that starts late reads the competing claim before the snapshot. The
+    snapshot carries the first offset, so the competing claim doesn't win.
     """
     log, host = FakeLog(), make_host("a")
     assert claim(log, host, b"1") == [Verdict.WON]
@@ -93,11 +95,12 @@
 
 
 def test_records_dropped_unread_fail_the_claims_under_way():
-    """A host frozen past the retention refuses what it was claiming.
+    """Guards against a claim that is won although earlier records are missing.
 
-    It wakes, and the records between were dropped: one of them may have been
-    a lower claim for its key. Its own record is still there to be read, yet
-    it proves nothing, so the request is refused as not run and released.
+    A host is frozen for longer than the log's retention, and records that it
+    has not read are dropped. One of them may be a lower claim of the same
+    key, so the host's own record proves nothing even though it can be read.
+    The request is refused as not run, and its claim is released.
     """
     log, host = FakeLog(), make_host("a")
     log.append([Release(b"x" * 16, b"x")])
@@ -112,7 +115,7 @@
 
 
 def test_dated_key_is_refused_after_the_window_and_other_keys_are_free():
-    """A key that tells its time is refused once its claim may be forgotten."""
+    """A key with a timestamp is refused once its claim may have been evicted."""
     log, host = FakeLog(), make_host("a")
     assert claim(log, host, b"1", dated=log.now) == [Verdict.WON]
     dated = log.now
@@ -125,14 +128,14 @@
 
 
 def test_key_with_another_body_is_refused():
-    """A key that was used for one order must not stand for another."""
+    """A key used with one body is refused with a different body."""
     log, host, other = FakeLog(), make_host("a"), make_host("b")
     assert claim(log, host, b"1") == [Verdict.WON]
     assert claim(log, other, b"2", body=b"else-def") == [Verdict.REUSED]
 
 
 def test_known_outage_refuses_at_once():
-    """In an outage the caller is refused at once, not when its patience ends."""
+    """A known outage refuses a claim immediately, without waiting for its timeout."""
     log, host = FakeLog(), make_host("a")
     catch_up(log, host)
     host.read_failed()
@@ -142,7 +145,7 @@
 
 
 def test_claim_that_was_never_sent_needs_no_release():
-    """A request refused before its claim left the host costs no append."""
+    """A claim that was never appended is dropped without appending a release."""
     log, host = FakeLog(), make_host("a")
     host.want(Wanted(KEY, b"1", BODY, 0.0, log.now + 1), log.now)
     log.now += 2
@@ -151,7 +154,7 @@
 
 
 def test_crowded_key_stays_held():
-    """Rivals beyond the bound are not kept, so the key is never freed."""
+    """Claims beyond the limit are not stored, so their key is never freed."""
     table = ClaimTable(WINDOW_S)
     nonces = [bytes([index]) for index in range(RIVALS_PER_KEY + 1)]
     for offset, nonce in enumerate(nonces):
@@ -163,7 +166,7 @@
 
 
 def test_bad_record_is_passed_over():
-    """Bytes that are no record neither stop the reader nor hold a key."""
+    """An invalid record neither stops the reader nor holds a key."""
     host = make_host("a")
     records = (Record(0, 1.0, b"\xff"), Record(1, 1.0, encode_record(_claim())))
     host.read(Page(0, 2, records))
@@ -175,7 +178,7 @@
 
 
 def test_release_that_comes_before_its_claim_holds():
-    """An append that the log applies after its host gave up burns no key."""
+    """A claim that the log stores after its release does not hold the key."""
     table = ClaimTable(WINDOW_S)
     table.replay(0, 1.0, Release(KEY, b"1"))
     table.replay(1, 1.0, _claim())
@@ -183,7 +186,7 @@
 
 
 def test_claim_above_another_is_lost_and_released():
-    """Of two hosts that claim at once, one wins; the other frees its claim."""
+    """Of two concurrent claims one wins, and the other is released by its host."""
     log, host, other = FakeLog(), make_host("a"), make_host("b")
     for index, claimer in enumerate((host, other)):
         claimer.want(Wanted(KEY, b"%d" % index, BODY, 0.0, FAR), log.now)
--- a/tests/claims/test_forwarding.py
+++ b/tests/claims/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Passing calls between hosts, with links in this process."""
+"""Forwarding of calls between hosts, with in-process links."""
 
 from dataclasses import dataclass, field
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True)
 class FakeLink:
-    """One end of a link."""
+    """Link that has only a peer name."""
 
     peer: str
 
 
 @dataclass
 class FakeMesh:
-    """Links of one host; what is sent arrives at once."""
+    """Links of one host, which deliver messages immediately."""
 
     host: str
     forwarders: dict[str, Forwarder]
@@ -42,7 +42,7 @@
 
 @dataclass
 class FakeApp:
-    """Answers every call and counts them."""
+    """Answers every call and records it."""
 
     body: bytes = b"charged"
     calls: list[dict] = field(default_factory=list)
@@ -75,10 +75,10 @@
     ],
 )
 def test_call_reaches_its_host_and_its_answer_comes_back(links):
-    """The caller gets the holder's answer, also without a direct link to it.
+    """The caller gets the answer of the holder, even without a direct link to it.
 
-    The call goes by way of a host that has links to both; hosts that have
-    none say so, and the answer is awaited from the others.
+    The call is relayed by a host with links to both. Hosts without a link to
+    the holder reply so, and the answer is expected from the others.
     """
     hosts = make_hosts(**links)
     answer = ask(hosts["a"], "c")
@@ -90,28 +90,28 @@
 
 
 def test_call_for_a_process_that_is_gone_has_no_answer():
-    """A host that has restarted knows nothing of its former keys."""
+    """A restarted host does not know the keys of its previous incarnation."""
     hosts = make_hosts(a=["c"], c=["a"])
     assert ask(hosts["a"], "c", incarnation=9) is None
     assert not hosts["c"].app.calls
 
 
 def test_call_whose_links_are_lost_has_no_answer():
-    """The caller is not left waiting for a host that died with its call."""
+    """The caller does not keep waiting for a host that died during its call."""
     hosts = make_hosts(a=["c"], c=["a"])
     hosts["a"].mesh.lose = True
     assert ask(hosts["a"], "c") is None
 
 
 def test_call_is_passed_on_once():
-    """Hosts that have no link to the holder don't pass a call round."""
+    """A call is relayed at most once, so it does not circulate between hosts."""
     hosts = make_hosts(a=["b"], b=["a", "d"], d=["b", "c"], c=["d"])
     assert ask(hosts["a"], "c") is None
     assert not hosts["c"].app.calls
 
 
 def test_answer_too_long_for_a_message_is_none():
-    """A long answer does not break the link that it would go over."""
+    """An answer over the message limit is not sent, so it does not break the link."""
     hosts = make_hosts(a=["c"], c=["a"])
     hosts["c"].app.body = bytes(MAX_ANSWER_BYTES + 1)
     assert ask(hosts["a"], "c") is None
--- a/tests/claims/test_hosts.py
+++ b/tests/claims/test_hosts.py
@@ -1,4 +1,4 @@
-"""Keys on several hosts; what ran is counted by the service itself."""
+"""Idempotency keys on several hosts; the service counts the runs of each call."""
 
 import contextlib
 import itertools
@@ -44,7 +44,7 @@
 
 @pytest.fixture(autouse=True)
 def sound(fleet):
-    """Give every test a platform and a service without faults."""
+    """Start each test without faults, and reset injected faults afterwards."""
     for host in fleet.hosts:
         wait_until(
             lambda host=host: charge(fleet, host, new_key()).status == 200,
@@ -69,7 +69,7 @@
 
 
 def take_slots(fleet: Fleet, pool: ThreadPoolExecutor, host: Host) -> list:
-    """Fill the slots of the plain service by calls on ``host``."""
+    """Occupy all slots of the plain service by calls through ``host``."""
     keys = [new_key() for _ in range(SLOTS)]
     busy = [pool.submit(charge, fleet, host, key) for key in keys]
     wait_until(
@@ -112,10 +112,10 @@
 
 @pytest.mark.parametrize("make", ["opaque", "issued"])
 def test_key_sent_at_once_to_all_hosts_runs_once(fleet, make):
-    """Every copy of the call gets the same whole answer.
+    """Every copy of a call gets the same complete answer.
 
-    A caller's retry and its first try reach several hosts at the same moment.
-    One of them wins the key, or issued it; the others pass the call on to it.
+    A caller's first attempt and its retries reach several hosts concurrently.
+    One host wins or has issued the key; the others forward the call to it.
     """
     key = new_key() if make == "opaque" else issue(fleet, fleet.hosts[0])
     fleet.set_knobs(fleet.services["app-a1"], delay_s=0.3)
@@ -127,10 +127,10 @@
 
 
 def test_lost_answer_to_an_append_changes_nothing(fleet):
-    """The caller gets its answer although the log's answer was lost.
+    """The caller gets its answer although the log's response was lost.
 
-    The claim is applied and its answer lost. The host finds its own claim by
-    reading, dispatches once, and holds the key against a repeat.
+    The claim is stored but the response to its append is lost. The host finds
+    its claim by reading, dispatches once, and holds the key against a retry.
     """
     key = new_key()
     fleet.set_knobs(fleet.platform, lose_answers=1)
@@ -141,11 +141,11 @@
 
 @pytest.mark.parametrize("fault", [{"outage": True}, {"cut_zones": ["a"]}])
 def test_outage_refuses_at_once_and_burns_no_key(fleet, fault):
-    """In an outage the caller is told "not run", and when to come back.
+    """In an outage the caller gets "not run" and a time to retry after.
 
-    The log answers nobody, or nobody in zone a. The key is given up, and once
-    the log answers, the caller's next try runs on any host. An issued key
-    needs no log and runs meanwhile.
+    The log responds to no host, or to none in availability zone a. The claim is
+    released, and once the log responds again, the caller's retry runs on any
+    host. An issued key needs no log and runs during the outage.
     """
     key = new_key()
     fleet.set_knobs(fleet.platform, **fault)
@@ -164,10 +164,10 @@
 
 
 def test_slow_log_that_applies_late_burns_no_key(fleet):
-    """The caller is refused, and its next try runs although the claim came late.
+    """The caller is refused, and its retry runs although the claim was stored late.
 
-    The log answers after the host's patience has ended, and applies the
-    claim all the same. The host releases it behind.
+    The log responds only after the host has stopped waiting, but stores the
+    claim nevertheless. The host releases it afterwards.
     """
     key = new_key()
     fleet.set_knobs(fleet.platform, delay_s=2.5)
@@ -181,10 +181,10 @@
 
 
 def test_key_that_was_given_up_is_free_on_another_host(fleet):
-    """A request that missed its deadline can be sent again with its key.
+    """A request that missed its deadline can be retried with the same key.
 
-    It held its key and waited for a target; its deadline passed, and it was
-    refused as not run. Its claim is released, so the next host runs it.
+    It held its key and waited for a target until its deadline passed, and was
+    refused as not run. Its claim is released, so another host can run it.
     """
     key = new_key()
     fleet.set_knobs(fleet.services["app-a1"], delay_s=1.0)
@@ -200,9 +200,9 @@
 
 
 def test_lost_answer_of_the_service_holds_the_key(fleet):
-    """The charge ran and its answer was lost; no host runs it again.
+    """A call that ran but whose answer was lost is not run again by any host.
 
-    The caller is told that it may have run, and each repeat is told the same.
+    The caller and each retry are told that it may have run.
     """
     key = new_key()
     fleet.set_knobs(fleet.services["app-a1"], lose_answers=1)
@@ -213,7 +213,7 @@
 
 
 def test_key_with_another_body_is_refused_on_any_host(fleet):
-    """One key can't stand for two orders."""
+    """A key used with one body is refused with another body on every host."""
     key = new_key()
     assert charge(fleet, fleet.hosts[0], key).status == 200
     for host in fleet.hosts:
@@ -222,7 +222,7 @@
 
 
 def test_forged_issued_key_is_refused(fleet):
-    """A key that no host signed isn't taken for an issued one."""
+    """A key without a valid signature is not accepted as an issued key."""
     key = issue(fleet, fleet.hosts[0])
     refused = charge(fleet, fleet.hosts[0], key[:10] + "AAAA" + key[14:])
     assert problem(refused) == ("malformed", "not_run")
@@ -230,10 +230,10 @@
 
 @pytest.mark.parametrize("make", ["opaque", "issued"])
 def test_killed_host_leaves_its_key_as_may_have_run(fleet, make):
-    """The caller learns that its order may have run, and it runs no second time.
+    """The caller learns that its call may have run, and it does not run again.
 
-    The host is killed after the first byte went to the service. The caller
-    sends its key to another host, which can't know how far the first came.
+    The host is killed after the first byte was sent to the service. The caller
+    retries on another host, which can't know how far the first one got.
     """
     host = add_host(fleet, f"host-{next(NUMBERS)}")
     fleet.wait_ready()
@@ -252,10 +252,10 @@
 
 
 def test_host_killed_while_it_claims_runs_nothing_twice(fleet):
-    """The claim of a killed host may come after it; the order runs once or not.
+    """A claim may be stored after its host died; the call runs at most once.
 
-    The host dies with its append under way. Another host either wins the key,
-    or finds it held by the dead one and says that it may have run.
+    The host dies while its append is in progress. Another host either wins
+    the key, or finds it held by the dead host and answers "may have run".
     """
     host = add_host(fleet, f"host-{next(NUMBERS)}")
     fleet.wait_ready()
@@ -276,10 +276,11 @@
 
 
 def test_stream_of_a_killed_host_is_found_by_its_claim(fleet):
-    """The caller of a killed host is told where its answer is.
+    """The caller of a killed host can fetch its answer through another host.
 
-    The claim's nonce is the id of the engine's stream, so another host finds
-    the engine that runs it and names the request, which can be fetched.
+    The claim's nonce is the id of the engine's stream. Another host can
+    therefore find the engine that runs the request, and returns the request id
+    under which the answer can be fetched.
     """
     host = add_host(fleet, f"host-{next(NUMBERS)}")
     fleet.wait_ready()
@@ -306,11 +307,11 @@
 
 
 def test_frozen_host_runs_its_claim_alone_when_it_wakes(fleet):
-    """The caller is told "may have run", and the order runs once.
+    """The caller is told "may have run", and the call runs once.
 
-    The host has won its key and waits for a target as it is frozen for longer
-    than any timeout. No other host takes the key over, so that it may still
-    dispatch when it wakes.
+    The host has won the key and is waiting for a target when it is frozen for
+    longer than any timeout. No other host takes over the key, so the host may
+    still dispatch when it resumes.
     """
     host = add_host(fleet, f"host-{next(NUMBERS)}")
     fleet.wait_ready()
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -1,4 +1,4 @@
-"""Issued keys, dated keys, repeats on one host, and the guard on dispatch."""
+"""Issued keys, keys with timestamps, retries on one host, dispatch checks."""
 
 import dataclasses
 import uuid
@@ -27,7 +27,7 @@
 
 
 def test_issued_key_is_used_once_and_again_if_its_request_did_not_run():
-    """One key runs one request; a request that did not run gives it back."""
+    """A key runs one request, and is usable again if that request did not run."""
     keys = IssuedKeys("a", 1, WINDOW_S)
     key = keys.issue("advisers", 10.0)
     assert read_key(SECRET, sign_key(SECRET, key)) == key
@@ -39,7 +39,7 @@
 
 
 def test_issued_key_is_refused_by_another_process_and_after_its_window():
-    """A key whose use may be forgotten, or was never known here, runs nothing."""
+    """A key is refused if its use may be evicted or is known to another process."""
     keys = IssuedKeys("a", 1, WINDOW_S)
     key = keys.issue("advisers", 10.0)
     keys.spend(key, "d", "body", 11.0)
@@ -53,7 +53,7 @@
 
 
 def test_key_signed_by_nobody_is_no_issued_key():
-    """A caller can't make a key that names a host of its choice."""
+    """A caller can't forge a key that names a host of its choice."""
     key = IssuedKeys("a", 1, WINDOW_S).issue("advisers", 10.0)
     with pytest.raises(ForgedKey):
         read_key("another secret", sign_key(SECRET, key))
@@ -63,7 +63,7 @@
 
 
 def test_date_is_read_from_a_uuid_of_version_7_alone():
-    """A key tells its time, or none."""
+    """Only a UUID of version 7 yields a timestamp; other keys yield 0."""
     dated = uuid.UUID(int=(1_700_000_000_123 << 80) | (7 << 76) | (2 << 62))
     assert uuid7_time_s(str(dated)) == 1_700_000_000.123
     assert uuid7_time_s(str(uuid.UUID(int=dated.int ^ (3 << 76)))) == 0.0
@@ -71,7 +71,7 @@
 
 
 def test_unclaimed_request_is_never_dispatched():
-    """Whatever path leads to a dispatch, a key that was not won stops it."""
+    """A request whose claim was not won is never dispatched, on any path."""
     row = RequestRow("r", "s", "w", "charge", 0, 0, 0, 0.0, 9.0, False)
     row.claim = ClaimState.NEEDED
     with pytest.raises(IllegalTransition):
@@ -81,7 +81,7 @@
 
 
 def test_answers_kept_for_repeats_are_bounded():
-    """Answers are kept for some tries, in bounded memory and time."""
+    """Answers retained for retries are bounded in memory and time."""
     now = [1.0]
     repeats = JoinableRequests(lambda: now[0])
     part = b"x" * (MAX_RETAINED_BYTES // 4)
--- a/tests/claims/test_machine.py
+++ b/tests/claims/test_machine.py
@@ -1,4 +1,4 @@
-"""Claims under any interleaving, against a naive store in one process."""
+"""Claims under arbitrary interleavings, compared with a single-process model."""
 
 from dataclasses import dataclass, field
 
@@ -28,7 +28,7 @@
 
 @dataclass
 class FakeLog:
-    """The log's stream, which drops records by age."""
+    """In-memory stream of the log, which drops records by age."""
 
     records: list[Record] = field(default_factory=list)
     next: int = 0
@@ -51,10 +51,10 @@
 
 @dataclass
 class NaiveKeys:
-    """The same promise in one process: when each key ran, and who holds it.
+    """Single-process reference model of which keys are held.
 
-    A key that ran, or whose host died without a release, is held until the
-    window of its claim is over; any other key is free.
+    A key that ran, or whose host died without a release, is held until its
+    claim window ends; any other key is free.
     """
 
     held_until: dict[bytes, float] = field(default_factory=dict)
@@ -65,7 +65,7 @@
 
 @dataclass
 class Attempt:
-    """One caller's request with a key on one host."""
+    """A caller's request with a key, sent to one host."""
 
     host: int
     key: bytes
@@ -75,7 +75,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Three hosts, one log, and everything that may go wrong between them."""
+    """Three hosts and one log, with all faults that can occur between them."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -92,7 +92,7 @@
     def take(self, settled: list[Settled]) -> None:
         for row in settled:
             attempt = self.attempts[row.nonce]
-            assert attempt.state == "pending", "a claim was settled twice"
+            assert attempt.state == "pending", "a claim was resolved twice"
             won = row.verdict is Verdict.WON
             attempt.state = "won" if won else "not_run"
             attempt.claimed_at = self.log.now
@@ -114,7 +114,7 @@
 
     @rule(index=hosts_, fate=st.sampled_from(["done", "lost", "refused", "late"]))
     def append(self, index: int, fate: str) -> None:
-        """Append a batch; it may be applied with its answer lost, or later."""
+        """Append a batch; its response may be lost, or it may be stored late."""
         host = self.hosts[index]
         batch = list(host.take_batch())
         if not batch:
@@ -144,7 +144,7 @@
 
     @rule(pick=picks)
     def dispatch(self, pick: int) -> None:
-        """Run a won request, however long its host was frozen since."""
+        """Run a won request, no matter how long its host has been frozen since."""
         won = [row for row in self.attempts.values() if row.state == "won"]
         if won:
             row = won[pick % len(won)]
@@ -153,7 +153,7 @@
 
     @rule(pick=picks)
     def give_up(self, pick: int) -> None:
-        """Shed a request, its deadline past or its caller gone."""
+        """Shed a request whose deadline has passed or whose caller has disconnected."""
         rows = [
             row for row in self.attempts.values() if row.state in ("pending", "won")
         ]
@@ -168,7 +168,7 @@
 
     @rule(index=hosts_)
     def crash(self, index: int) -> None:
-        """Kill a host; a new incarnation takes its place."""
+        """Kill a host and start a new incarnation of it."""
         for row in self.attempts.values():
             if row.host == index and row.state in ("pending", "won"):
                 row.state = "died"
@@ -185,7 +185,7 @@
 
     @rule()
     def age(self) -> None:
-        """Time passes; live hosts record again what the log is about to drop."""
+        """Advance time; live hosts append snapshots of claims about to be dropped."""
         self.log.now += RETENTION_S / 4
         self.flush()
         for host in self.hosts:
@@ -195,7 +195,7 @@
         self.log.expire()
 
     def flush(self) -> None:
-        """Let every host append what it has and read to the end."""
+        """Let every host append its records and read the stream to the end."""
         for host in self.hosts:
             host.append_failed(self.log.now)
             self.log.append(host.take_batch())
@@ -213,7 +213,7 @@
             assert all(gap >= WINDOW_S - RETENTION_S for gap in gaps), (key, times)
 
     def teardown(self) -> None:
-        """Once all is quiet, a key is free on any host if it is in one process."""
+        """Check that, in the end, a key free in the model can be claimed on a host."""
         for row in list(self.attempts.values()):
             if row.state in ("pending", "won"):
                 row.state = "not_run"
@@ -229,7 +229,7 @@
             attempt = self.want_on(HOSTS - 1, key)
             self.flush()
             if free:
-                assert attempt.state == "won", "a key that was given up is burnt"
+                assert attempt.state == "won", "a released key stays held"
             elif any(name == key for name, _ in self.runs):
                 ran = max(at for name, at in self.runs if name == key)
                 if ran + WINDOW_S - RETENTION_S > self.log.now:
@@ -238,11 +238,11 @@
 
 @pytest.mark.parametrize("steps", [15, 40])
 def test_any_interleaving_runs_a_key_once_and_burns_none(steps):
-    """A caller's key runs once in its window, and never stays unusable.
+    """A key runs at most once per window, and a released key becomes free.
 
-    Hosts claim, give up, crash, freeze and come back in any order; batches
-    are lost, applied with their answers lost, or applied long after. Claims
-    are settled by the order of the log, and what was given up is released.
+    Hosts claim, release, crash, freeze and restart in any order. Batches are
+    lost, stored with their responses lost, or stored much later. Claims are
+    resolved by the order of the log, and abandoned claims are released.
     """
     run_state_machine_as_test(
         ClaimMachine,
--- a/tests/claims/test_notes.py
+++ b/tests/claims/test_notes.py
@@ -1,4 +1,4 @@
-"""Notes on crashes that come with claims in one read of the log."""
+"""Crash events that are read from the log in the same page as claims."""
 
 import queue
 from types import SimpleNamespace
@@ -9,11 +9,12 @@
 
 
 def test_a_note_is_known_before_the_claim_behind_it_is_won():
-    """A trial crashed its target; the log holds that note, then the next claim.
+    """Guards against a request that crashes a third target.
 
-    A busy host reads both at once. Its waiting thread acts on the verdict as
-    soon as it has it: the note must be known by then, or the request that
-    crashes targets is tried once more and takes a third one.
+    A trial crashed its target. The log contains that crash event, followed by
+    the claim of the next trial, and a busy host reads both in one page. Its
+    waiting thread acts on the verdict as soon as it receives it. The event
+    must be applied before that, or the request runs once more.
     """
     reply: queue.SimpleQueue[Settled] = queue.SimpleQueue()
     known_before = []
--- a/tests/orders/test_book.py
+++ b/tests/orders/test_book.py
@@ -1,4 +1,4 @@
-"""Leases and slots as a function of the stream."""
+"""Leases and slots as a function of the orders stream."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -25,11 +25,12 @@
 
 @given(STEPS)
 def test_no_two_holders_ever_overlap(steps):
-    """Processes ask for leases of two targets at any times.
+    """Guards against overlapping leases of different holders.
 
-    Whatever the order, a lease granted to another holder begins only after
-    the one before it, and the time a write may take, have passed; fencing
-    numbers rise, and no target goes back to an older ticket.
+    Processes request leases of two targets at arbitrary times. In any order, a
+    lease granted to another holder starts only after the previous lease and
+    the maximum duration of a write have passed. Fencing numbers increase, and
+    no target is reverted to an older ticket.
     """
     book = OrderBook(4.0)
     granted = {"a": [], "b": []}
@@ -48,7 +49,10 @@
 
 @given(st.lists(st.floats(0, 3), min_size=2, max_size=40))
 def test_weight_reads_of_all_hosts_keep_the_rate(pauses):
-    """Many hosts ask for slots at once after a ticket changed every target."""
+    """Slots keep the rate limit when many hosts request them at the same time.
+
+    That happens after a ticket has changed every target.
+    """
     book = OrderBook(4.0)
     time, starts = 0.0, []
     for offset, pause in enumerate(pauses):
--- a/tests/orders/test_issuer.py
+++ b/tests/orders/test_issuer.py
@@ -1,4 +1,4 @@
-"""Orders to stand-ins of engines, with a log in memory and a paused clock."""
+"""Orders to simulated engines, with an in-memory log and a manual clock."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 class Weights:
-    """A store that is busy for the first ``busy`` reads."""
+    """Weight store that is busy for the first ``busy`` reads."""
 
     def __init__(self, clock, busy=0):
         self.clock = clock
@@ -34,14 +34,14 @@
 
 
 class Clock(ManualClock):
-    """A paused clock on which a sleep advances the time."""
+    """Manual clock on which a sleep advances the time."""
 
     def sleep(self, seconds):
         self.advance(seconds)
 
 
 class World:
-    """One engine, and issuers on two hosts that both look after it."""
+    """One engine, and issuers on two hosts that are both responsible for it."""
 
     def __init__(self, checks_fence):
         self.clock = Clock()
@@ -77,10 +77,11 @@
 
 
 def test_target_gets_one_order_from_two_hosts_that_both_feel_responsible(world):
-    """Two hosts, each alone in its own list of live hosts, see a new ticket.
+    """Guards against two hosts that both send an order for the same ticket.
 
-    Both ask for the lease before either has written. One gets it, and the
-    other finds the target as it should be when it looks again.
+    Each host is alone in its own list of live hosts and sees a new ticket.
+    Both request the lease before either has sent an order. One obtains it, and
+    the other finds the target in its desired state at its next check.
     """
     one, two = world.issuers.values()
     client = two.stream.client
@@ -94,9 +95,10 @@
 
 
 def test_holder_that_was_paused_past_its_lease_does_not_write(world):
-    """A process stands still for a minute after its lease was recorded.
+    """Guards against an order that is sent after its lease has expired.
 
-    It wakes up unaware of the pause; its own clock tells it before the write.
+    A process is paused for a minute after its lease was recorded. It does not
+    notice the pause itself, but reads its clock before the write.
     """
     issuer = world.issuers["one"]
     issuer.stream.client.after_append = lambda: world.clock.advance(60)
@@ -106,7 +108,10 @@
 
 
 def test_successor_waits_out_the_lease_and_a_write_under_way(world):
-    """A holder dies with its order on the way to the target."""
+    """Guards against a successor that overlaps with a dead holder's order.
+
+    The holder dies while its order is still being sent to the target.
+    """
     one, two = world.issuers.values()
     first = one.stream.lease("t", 1)
     world.clock.advance(LEASE_S + 1)
@@ -119,11 +124,12 @@
 
 
 def test_order_that_comes_late_is_refused_or_healed(world):
-    """A process is paused between its look at the clock and the write.
+    """Guards against a target that keeps the state of a late order.
 
-    Its order arrives after that of the successor. A target that checks
-    fencing numbers refuses it. One that ignores them takes it, and is
-    ordered anew when its issuer looks again.
+    A process is paused between reading its clock and the write, so its order
+    arrives after that of the successor. A target that checks fencing numbers
+    rejects it. One that ignores them accepts it, and receives a new order at
+    the issuer's next check.
     """
     one, two = world.issuers.values()
     late = one.stream.lease("t", 1)
@@ -143,7 +149,10 @@
 
 
 def test_host_that_is_behind_with_tickets_takes_nothing_back(world):
-    """A host that has not yet seen ticket 2 becomes the issuer."""
+    """Guards against an issuer that reverts a ticket it has not seen yet.
+
+    A host that has not yet seen ticket 2 becomes the issuer.
+    """
     one, two = world.issuers.values()
     one.order("t")
     world.want("two", OLD, 1)
@@ -170,7 +179,10 @@
 
 
 def test_weight_store_that_turns_a_read_away_is_asked_in_turn(world):
-    """The store answers 429, since someone outside the system reads too."""
+    """Each attempt to read takes a slot while the store is busy.
+
+    The store answers 429 because clients outside this system read it too.
+    """
     issuer = world.issuers["one"]
     issuer.weights = Weights(world.clock, busy=2)
     issuer.order("t")
@@ -184,7 +196,7 @@
 
 
 def test_a_ticket_loads_a_model_once_in_a_fleet(fleet):
-    """Three hosts see a ticket that orders a model to an engine."""
+    """Three hosts see a ticket with a model for an engine; it gets one order."""
     engine = fleet.add_engine("engine-a1")
     platform = f'weights = "http://{fleet.platform.address}"'
     for name in ("host-a1", "host-a2", "host-a3"):
--- a/tests/quarantine/__init__.py
+++ b/tests/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the quarantine of crashing requests."""
+"""Tests of the quarantine of requests that crash targets."""
--- a/tests/quarantine/test_hosts.py
+++ b/tests/quarantine/test_hosts.py
@@ -1,4 +1,4 @@
-"""A crashing request on several hosts, counted by the engines that it ends."""
+"""A crashing request sent to several hosts; counts the engines that it crashes."""
 
 import itertools
 import json
@@ -17,7 +17,7 @@
 
 
 def add_engines(fleet: Fleet) -> list[str]:
-    """Start engines that end like a process; return the names of those ended."""
+    """Start engines that can crash; return a list that receives the crashed ones."""
     ended: list[str] = []
     for index in range(ENGINES):
         name = f"engine-a{index}"
@@ -52,12 +52,13 @@
 
 
 def test_crashing_request_takes_two_targets_and_is_refused_everywhere(fleet):
-    """Its caller is refused as not run, on every host; like prompts run.
+    """Guards against a request that crashes one target after another.
 
-    It is sent again and again, under new keys or none, to the next host. The
-    first crash makes it and what ran beside it suspects, and its trial crashes
-    a second target. It is refused until an operator lifts it. What ran beside
-    it is tried, and answered.
+    It is sent repeatedly to different hosts, with new keys or without a key.
+    The first crash makes it and the requests running beside it suspects, and
+    its trial crashes a second target. From then on every host refuses it as
+    not run until an operator lifts the quarantine. The requests that ran
+    beside it are tried and answered, and so are similar prompts.
     """
     ended = add_engines(fleet)
     for name, zone in (("host-a1", "a"), ("host-a2", "a"), ("host-b1", "b")):
@@ -100,7 +101,7 @@
 
 
 def lift(fleet: Fleet) -> None:
-    """Lift the one quarantine by the command line."""
+    """Lift the only quarantine through the command line."""
     shown = run_command(fleet, "show").splitlines()
     assert len(shown) == 1
     digest = json.loads(shown[0])["digest"]
--- a/tests/quarantine/test_table.py
+++ b/tests/quarantine/test_table.py
@@ -1,4 +1,4 @@
-"""The quarantine's decisions, without a network."""
+"""Decisions of the quarantine table, without a network."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -12,10 +12,10 @@
 
 
 def test_second_crash_on_trial_quarantines_and_clears_bystanders():
-    """A bystander of both crashes runs on; the request that did it does not.
+    """Only the request that causes both crashes is quarantined.
 
-    Three requests are on the target as it crashes. One of them crashes a
-    second target on its trial, beside a fresh request.
+    Three requests run on a target when it crashes. One of them crashes a
+    second target in its trial, beside a new request. All others are cleared.
     """
     table = Quarantine()
     for digest in ("poison", "letter", "question"):
@@ -32,7 +32,7 @@
 
 
 def test_bystander_that_is_reported_first_is_cleared_as_well():
-    """Hosts tell of one crash in any order; the verdict is the same."""
+    """Hosts may report one crash in any order; the result is the same."""
     table = Quarantine()
     table.record_crash("t1", "poison", False, 1.0)
     table.record_crash("t2", "fresh", False, 20.0)
@@ -42,7 +42,7 @@
 
 
 def test_quarantine_ends_and_can_be_lifted():
-    """A quarantined request is refused until its time is over, or lifted."""
+    """A quarantine lasts until it expires or is lifted."""
     table = Quarantine()
     table.record_crash("t1", "poison", True, 1.0)
     assert table.status("poison", HOLD_S) is QuarantineStatus.QUARANTINED
@@ -58,10 +58,10 @@
 def test_crashing_request_takes_two_targets_and_nobody_else_is_quarantined(
     order, beside
 ):
-    """Whatever is sent in what order, one request alone is refused for good.
+    """Only the crashing request is quarantined, in any order of requests.
 
-    A naive engine crashes under one request. What ran beside it is suspected
-    with it, tried alone and cleared.
+    A simulated engine crashes on one request. The requests that ran beside it
+    become suspects with it, run alone as trials, and are cleared.
     """
     table, crashes, now = Quarantine(), 0, 0.0
     for digest in order:
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -1,4 +1,4 @@
-"""What a host does with requests whose target crashed, with fakes at its edges."""
+"""How a host treats requests whose target crashed, tested with fakes."""
 
 import dataclasses
 import itertools
@@ -28,7 +28,7 @@
 
 @dataclass
 class FakeClaims:
-    """Settles every claim with one verdict and keeps what it was told."""
+    """Resolves every claim with one verdict and records all messages."""
 
     verdict: Verdict = Verdict.WON
     told: list = field(default_factory=list)
@@ -44,13 +44,13 @@
 
 @dataclass(frozen=True)
 class FakeLink:
-    """A link that only has a name."""
+    """Link that has only a peer name."""
 
     peer: str
 
 
 class FakeMesh:
-    """Keeps what was broadcast; nobody is linked unless a test says so."""
+    """Records broadcast messages; has no links unless a test adds some."""
 
     def __init__(self) -> None:
         self.sent: list = []
@@ -89,11 +89,11 @@
     ("verdict", "trials"), [(Verdict.WON, [False, True]), (Verdict.HELD, [False])]
 )
 def test_copies_that_wait_are_refused_before_they_are_written(verdict, trials):
-    """Of many copies in the queue one takes a target, and one more on trial.
+    """Guards against queued copies of a request that each crash a target.
 
-    All were let in before the news of the first crash. Each is checked again
-    before its first byte: the next is the trial, if that can be claimed, and
-    all others are refused as not run.
+    All copies were admitted before the first crash was known. Each is checked
+    again before its first byte is sent: the next one becomes the trial, if
+    that can be claimed, and all others are refused as not run.
     """
     inner = end(RequestState.MAY_HAVE_RUN)
     depth = itertools.count()
@@ -117,7 +117,7 @@
 
 
 def test_suspect_runs_alone_and_is_cleared_by_its_end():
-    """A bystander's next try claims the one trial, ends well, and is cleared."""
+    """A bystander's retry claims the trial, completes, and is cleared."""
     watch = make_watch(end(RequestState.MAY_HAVE_RUN))
     call = make_call("letter")
     watch.serve(call, {}, None)
@@ -131,9 +131,9 @@
 
 @pytest.mark.parametrize("verdict", [Verdict.HELD, Verdict.UNAVAILABLE])
 def test_suspect_without_its_trial_is_refused_as_not_run(verdict):
-    """While another suspect runs, or the log is out, a suspect is refused.
+    """A suspect is refused while another one runs or the log is unavailable.
 
-    Its key is freed, since it did not run and may be sent again.
+    It ends as not run, so its key is released and the request can be retried.
     """
     watch = make_watch(end(RequestState.MAY_HAVE_RUN))
     watch.serve(make_call("letter"), {}, None)
@@ -148,7 +148,7 @@
 
 
 def test_lost_answer_of_a_live_target_is_no_crash():
-    """A service that lost one answer goes on, and so do its other calls."""
+    """A target that lost an answer but still accepts connections has not crashed."""
     server = start_service()
     watch = make_watch(end(RequestState.MAY_HAVE_RUN), server.address)
     watch.serve(make_call("order", PLAIN), {}, None)
@@ -158,7 +158,7 @@
 
 
 def test_note_that_comes_twice_or_late_changes_nothing():
-    """Notes come over links and by the log; an old one suspects nobody anew."""
+    """Events arrive over links and through the log; old or duplicate ones are ignored."""
     watch = make_watch(end(RequestState.COMPLETED))
     note = Crash("report", "t1", "d", False)
     watch.take(FakeLink("peer"), note)
@@ -171,7 +171,7 @@
 
 
 def test_digest_is_of_the_messages_alone():
-    """The same prompt is known again with other settings; a like one is not."""
+    """The digest ignores other fields of the body, but not a different prompt."""
     row = make_call("poison").row
     bodies = [
         b'{"messages": ["x"], "max_tokens": 5}',
@@ -183,7 +183,7 @@
 
 
 def test_a_caller_is_answered_once_the_peers_know_of_its_crash():
-    """Guards against a next try that meets a peer without the news."""
+    """Guards against a retry that reaches a peer which does not know of the crash."""
     watch = make_watch(end(RequestState.MAY_HAVE_RUN))
     watch.mesh.links = [FakeLink("near"), FakeLink("far")]
     answered = threading.Event()
@@ -204,7 +204,7 @@
 
 
 def test_a_peer_out_of_reach_holds_up_no_answer_for_long():
-    """Guards against callers that wait for a peer which will never answer."""
+    """Guards against callers that wait for an unreachable peer."""
     watch = make_watch(end(RequestState.MAY_HAVE_RUN))
     watch.mesh.links = [FakeLink("lost")]
     thread = threading.Thread(target=lambda: watch.serve(make_call("poison"), {}, None))
