--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -158,7 +158,10 @@
 
 
 def test_note_that_comes_twice_or_late_changes_nothing():
-    """Events arrive over links and through the log; old or duplicate ones are ignored."""
+    """Old and duplicate events are ignored.
+
+    Events arrive both over links and through the log.
+    """
     watch = make_watch(end(RequestState.COMPLETED))
     note = Crash("report", "t1", "d", False)
     watch.take(FakeLink("peer"), note)
