--- a/bench/claims.py
+++ b/bench/claims.py
@@ -22,7 +22,7 @@
 
 from bench.processes import print_table
 from godwitladder.claims.actor import ClaimLog, Claims, HasCaughtUp, Want
-from godwitladder.claims.collector import Settled, Wanted
+from godwitladder.claims.collector import ClaimResult, Wanted
 from godwitladder.claims.records import Claim, Release
 from godwitladder.claims.table import ClaimTable
 from godwitladder.clients.log import LogClient
@@ -62,7 +62,7 @@
     part.start()
     while not actor.ask(HasCaughtUp()):
         time.sleep(0.01)
-    reply: queue.SimpleQueue[Settled] = queue.SimpleQueue()
+    reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
     settled: dict[bytes, float] = {}
 
     def receive() -> None:
--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -16,8 +16,8 @@
 
 from godwitladder.claims.collector import (
     RETRY_S,
+    ClaimResult,
     Collector,
-    Settled,
     Wanted,
     is_idle,
 )
@@ -140,7 +140,7 @@
         self.work = work
         self.collector = Collector(host, incarnation, ClaimTable(settings.window_s))
         self.take_note: Callable[[CrashNote, float], None] = lambda note, time: None
-        self.replies: dict[bytes, queue.SimpleQueue[Settled]] = {}
+        self.replies: dict[bytes, queue.SimpleQueue[ClaimResult]] = {}
 
     def on_receive(self, message):
         """Handle ``message`` and wake the writer if there are records to append."""
@@ -218,7 +218,7 @@
         self._reply(self.collector.expire(self.clock.monotonic()))
         self.collector.snapshot(self.settings.retention_s / 2)
 
-    def _reply(self, settled: list[Settled]) -> None:
+    def _reply(self, settled: list[ClaimResult]) -> None:
         for row in settled:
             self.metrics.claims.inc({"verdict": row.verdict.value})
             reply = self.replies.pop(row.nonce, None)
--- a/godwitladder/claims/collector.py
+++ b/godwitladder/claims/collector.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True)
-class Settled:
+class ClaimResult:
     """Verdict on a claim; ``holder`` is the competing claim that holds the key."""
 
     nonce: bytes
@@ -112,13 +112,13 @@
     read_failing: bool = False
     append_failed_until: float = 0.0
 
-    def want(self, wanted: Wanted, now: float) -> Settled | None:
+    def want(self, wanted: Wanted, now: float) -> ClaimResult | None:
         """Claim a key, and return the result if it is already known."""
         holder = self.table.holder(wanted.key, self.given_up)
         if self.caught_up and holder:
             return _lost(wanted, holder)
         if self.is_failing(now) or wanted.due <= now:
-            return Settled(wanted.nonce, Verdict.UNAVAILABLE)
+            return ClaimResult(wanted.nonce, Verdict.UNAVAILABLE)
         self.pending[wanted.nonce] = wanted
         self.outgoing.append(
             Claim(
@@ -184,7 +184,7 @@
         """Record that the log did not respond to a read."""
         self.read_failing = True
 
-    def read(self, page: Page) -> list[Settled]:
+    def read(self, page: Page) -> list[ClaimResult]:
         """Replay a page and return the results of this host's claims in it."""
         self.read_failing = False
         settled = self._skip_gap(page.first)
@@ -194,7 +194,7 @@
         self.caught_up = self.table.next >= page.next
         return settled
 
-    def expire(self, now: float) -> list[Settled]:
+    def expire(self, now: float) -> list[ClaimResult]:
         """Release claims whose requests stopped waiting, and return their results."""
         due = [row for row in self.pending.values() if row.due <= now]
         return [self._abandon(row) for row in due]
@@ -204,7 +204,7 @@
         if self.caught_up and not self.in_flight and not self.outgoing:
             self.outgoing += self.table.due_for_snapshot(age_s, SNAPSHOT_RECORDS)
 
-    def _skip_gap(self, first: Offset) -> list[Settled]:
+    def _skip_gap(self, first: Offset) -> list[ClaimResult]:
         """Reset the table if the log dropped records before they were read.
 
         The dropped records may include a claim with a lower offset than a
@@ -223,7 +223,7 @@
         )
         return [self._abandon(row) for row in list(self.pending.values())]
 
-    def _replay(self, record: Record) -> list[Settled]:
+    def _replay(self, record: Record) -> list[ClaimResult]:
         try:
             row = decode_record(record.data)
         except BadRecord as error:
@@ -244,26 +244,26 @@
             return []
         return [self._settle(self.pending[row.nonce])]
 
-    def _settle(self, wanted: Wanted) -> Settled:
+    def _settle(self, wanted: Wanted) -> ClaimResult:
         holder = self.table.holder(wanted.key)
         if holder and holder.nonce == wanted.nonce:
             del self.pending[wanted.nonce]
             self.sent.discard(wanted.nonce)
-            return Settled(wanted.nonce, Verdict.WON)
+            return ClaimResult(wanted.nonce, Verdict.WON)
         self.give_up(wanted.key, wanted.nonce)
         if holder is None:
-            return Settled(wanted.nonce, Verdict.EXPIRED)
+            return ClaimResult(wanted.nonce, Verdict.EXPIRED)
         return _lost(wanted, holder)
 
-    def _abandon(self, wanted: Wanted) -> Settled:
+    def _abandon(self, wanted: Wanted) -> ClaimResult:
         self.give_up(wanted.key, wanted.nonce)
-        return Settled(wanted.nonce, Verdict.UNAVAILABLE)
+        return ClaimResult(wanted.nonce, Verdict.UNAVAILABLE)
 
 
-def _lost(wanted: Wanted, holder: Held) -> Settled:
+def _lost(wanted: Wanted, holder: Held) -> ClaimResult:
     if holder.body != wanted.body:
-        return Settled(wanted.nonce, Verdict.REUSED, holder)
-    return Settled(wanted.nonce, Verdict.HELD, holder)
+        return ClaimResult(wanted.nonce, Verdict.REUSED, holder)
+    return ClaimResult(wanted.nonce, Verdict.HELD, holder)
 
 
 def _claims(record: StreamRecord, nonce: bytes) -> bool:
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -11,7 +11,7 @@
 import pykka
 
 from godwitladder.claims.actor import GiveUp, Note, Want
-from godwitladder.claims.collector import Settled, Verdict, Wanted
+from godwitladder.claims.collector import ClaimResult, Verdict, Wanted
 from godwitladder.claims.records import BODY_BYTES, KEY_BYTES, nonce_bytes
 from godwitladder.clock import Clock
 from godwitladder.configuration.model import ServiceKind
@@ -235,7 +235,7 @@
         key = hashlib.sha256(b"trial %d" % period).digest()[:KEY_BYTES]
         nonce = nonce_bytes(secrets.token_hex(12))
         due = self.clock.monotonic() + TRIAL_WAIT_S
-        reply: queue.SimpleQueue[Settled] = queue.SimpleQueue()
+        reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
         self.claims.tell(Want(Wanted(key, nonce, bytes(BODY_BYTES), 0.0, due), reply))
         if reply.get().verdict is not Verdict.WON:
             return False
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -15,7 +15,7 @@
 import pykka
 
 from godwitladder.claims.actor import GiveUp, Want
-from godwitladder.claims.collector import RETRY_S, Settled, Verdict, Wanted
+from godwitladder.claims.collector import RETRY_S, ClaimResult, Verdict, Wanted
 from godwitladder.claims.issued import (
     ForgedKey,
     IssuedKey,
@@ -300,7 +300,7 @@
             return Holder(held_by.host, held_by.incarnation, stream)
         raise CallRefused(_claim_refusals()[settled.verdict])
 
-    def _await_claim(self, row: RequestRow, environ: Mapping) -> Settled:
+    def _await_claim(self, row: RequestRow, environ: Mapping) -> ClaimResult:
         now = self.clock.monotonic()
         due = min(row.deadline, now + self.settings.claims.patience_s)
         wanted = Wanted(
@@ -310,7 +310,7 @@
             uuid7_time_s(environ[KEY_HEADER]),
             due,
         )
-        reply: queue.SimpleQueue[Settled] = queue.SimpleQueue()
+        reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
         self.claims.tell(Want(wanted, reply))
         return reply.get()
 
--- a/tests/claims/test_machine.py
+++ b/tests/claims/test_machine.py
@@ -13,7 +13,7 @@
     run_state_machine_as_test,
 )
 
-from godwitladder.claims.collector import Collector, Settled, Verdict, Wanted
+from godwitladder.claims.collector import ClaimResult, Collector, Verdict, Wanted
 from godwitladder.claims.records import encode_record
 from godwitladder.claims.table import ClaimTable
 from godwitladder.clients.log import Page, Record
@@ -89,7 +89,7 @@
     def make_host(self, index: int, incarnation: int) -> Collector:
         return Collector(f"host-{index}", incarnation, ClaimTable(WINDOW_S))
 
-    def take(self, settled: list[Settled]) -> None:
+    def take(self, settled: list[ClaimResult]) -> None:
         for row in settled:
             attempt = self.attempts[row.nonce]
             assert attempt.state == "pending", "a claim was resolved twice"
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -8,7 +8,7 @@
 import pytest
 
 from godwitladder.claims.actor import GiveUp, Note, Want
-from godwitladder.claims.collector import Settled, Verdict
+from godwitladder.claims.collector import ClaimResult, Verdict
 from godwitladder.clock import ManualClock
 from godwitladder.configuration.model import Service, ServiceKind, Target
 from godwitladder.configuration.state import ConfigState
@@ -36,7 +36,7 @@
     def tell(self, message) -> None:
         self.told.append(message)
         if isinstance(message, Want):
-            message.reply.put(Settled(message.wanted.nonce, self.verdict))
+            message.reply.put(ClaimResult(message.wanted.nonce, self.verdict))
 
     def kinds(self) -> list[type]:
         return [type(message) for message in self.told]
