--- a/bench/claims.py
+++ b/bench/claims.py
@@ -22,7 +22,7 @@
 
 from bench.processes import print_table
 from godwitladder.claims.actor import ClaimLog, Claims, HasCaughtUp, Want
-from godwitladder.claims.collector import ClaimResult, Wanted
+from godwitladder.claims.collector import ClaimRequest, ClaimResult
 from godwitladder.claims.records import Claim, Release
 from godwitladder.claims.table import ClaimTable
 from godwitladder.clients.log import LogClient
@@ -46,7 +46,9 @@
     while (now := time.monotonic()) < due:
         nonce = secrets.token_bytes(12)
         offered[nonce] = now
-        wanted = Wanted(secrets.token_bytes(16), nonce, b"12345678", 0.0, now + 10)
+        wanted = ClaimRequest(
+            secrets.token_bytes(16), nonce, b"12345678", 0.0, now + 10
+        )
         actor.tell(Want(wanted, reply))
         time.sleep(random.expovariate(rate))
     return offered
--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -16,9 +16,9 @@
 
 from godwitladder.claims.collector import (
     RETRY_S,
+    ClaimRequest,
     ClaimResult,
     Collector,
-    Wanted,
     is_idle,
 )
 from godwitladder.claims.records import StreamRecord, encode_record
@@ -42,7 +42,7 @@
 class Want:
     """Claim a key and put the result into ``reply``."""
 
-    wanted: Wanted
+    wanted: ClaimRequest
     reply: "queue.SimpleQueue[Settled]"
 
 
--- a/godwitladder/claims/collector.py
+++ b/godwitladder/claims/collector.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Wanted:
+class ClaimRequest:
     """A claim whose result a request is waiting for.
 
     Attributes
@@ -102,7 +102,7 @@
     host: HostId
     incarnation: Incarnation
     table: ClaimTable
-    pending: dict[bytes, Wanted] = field(default_factory=dict)
+    pending: dict[bytes, ClaimRequest] = field(default_factory=dict)
     outgoing: list[StreamRecord] = field(default_factory=list)
     in_flight: list[StreamRecord] = field(default_factory=list)
     sent: set[bytes] = field(default_factory=set)
@@ -112,7 +112,7 @@
     read_failing: bool = False
     append_failed_until: float = 0.0
 
-    def want(self, wanted: Wanted, now: float) -> ClaimResult | None:
+    def want(self, wanted: ClaimRequest, now: float) -> ClaimResult | None:
         """Claim a key, and return the result if it is already known."""
         holder = self.table.holder(wanted.key, self.given_up)
         if self.caught_up and holder:
@@ -244,7 +244,7 @@
             return []
         return [self._settle(self.pending[row.nonce])]
 
-    def _settle(self, wanted: Wanted) -> ClaimResult:
+    def _settle(self, wanted: ClaimRequest) -> ClaimResult:
         holder = self.table.holder(wanted.key)
         if holder and holder.nonce == wanted.nonce:
             del self.pending[wanted.nonce]
@@ -255,12 +255,12 @@
             return ClaimResult(wanted.nonce, Verdict.EXPIRED)
         return _lost(wanted, holder)
 
-    def _abandon(self, wanted: Wanted) -> ClaimResult:
+    def _abandon(self, wanted: ClaimRequest) -> ClaimResult:
         self.give_up(wanted.key, wanted.nonce)
         return ClaimResult(wanted.nonce, Verdict.UNAVAILABLE)
 
 
-def _lost(wanted: Wanted, holder: Held) -> ClaimResult:
+def _lost(wanted: ClaimRequest, holder: Held) -> ClaimResult:
     if holder.body != wanted.body:
         return ClaimResult(wanted.nonce, Verdict.REUSED, holder)
     return ClaimResult(wanted.nonce, Verdict.HELD, holder)
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -11,7 +11,7 @@
 import pykka
 
 from godwitladder.claims.actor import GiveUp, Note, Want
-from godwitladder.claims.collector import ClaimResult, Verdict, Wanted
+from godwitladder.claims.collector import ClaimRequest, ClaimResult, Verdict
 from godwitladder.claims.records import BODY_BYTES, KEY_BYTES, nonce_bytes
 from godwitladder.clock import Clock
 from godwitladder.configuration.model import ServiceKind
@@ -236,7 +236,9 @@
         nonce = nonce_bytes(secrets.token_hex(12))
         due = self.clock.monotonic() + TRIAL_WAIT_S
         reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
-        self.claims.tell(Want(Wanted(key, nonce, bytes(BODY_BYTES), 0.0, due), reply))
+        self.claims.tell(
+            Want(ClaimRequest(key, nonce, bytes(BODY_BYTES), 0.0, due), reply)
+        )
         if reply.get().verdict is not Verdict.WON:
             return False
         trial.release = lambda: self.claims.tell(GiveUp(key, nonce))
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -15,7 +15,7 @@
 import pykka
 
 from godwitladder.claims.actor import GiveUp, Want
-from godwitladder.claims.collector import RETRY_S, ClaimResult, Verdict, Wanted
+from godwitladder.claims.collector import RETRY_S, ClaimRequest, ClaimResult, Verdict
 from godwitladder.claims.issued import (
     ForgedKey,
     IssuedKey,
@@ -303,7 +303,7 @@
     def _await_claim(self, row: RequestRow, environ: Mapping) -> ClaimResult:
         now = self.clock.monotonic()
         due = min(row.deadline, now + self.settings.claims.patience_s)
-        wanted = Wanted(
+        wanted = ClaimRequest(
             key_bytes(row.key),
             nonce_bytes(row.stream),
             body_bytes(row.body),
--- a/tests/claims/test_collector.py
+++ b/tests/claims/test_collector.py
@@ -1,6 +1,6 @@
 """Single steps of claims: retention, gaps, keys with timestamps, outages."""
 
-from godwitladder.claims.collector import Collector, Verdict, Wanted
+from godwitladder.claims.collector import ClaimRequest, Collector, Verdict
 from godwitladder.claims.records import Claim, Release, encode_record
 from godwitladder.claims.table import AHEAD_S, RIVALS_PER_KEY, ClaimTable
 from godwitladder.clients.log import Page, Record
@@ -23,7 +23,7 @@
     log: FakeLog, host: Collector, nonce: bytes, body=BODY, dated=0.0
 ) -> list[Verdict]:
     catch_up(log, host)
-    settled = host.want(Wanted(KEY, nonce, body, dated, FAR), log.now)
+    settled = host.want(ClaimRequest(KEY, nonce, body, dated, FAR), log.now)
     if settled:
         return [settled.verdict]
     log.append(host.take_batch())
@@ -105,7 +105,7 @@
     log, host = FakeLog(), make_host("a")
     log.append([Release(b"x" * 16, b"x")])
     catch_up(log, host)
-    host.want(Wanted(KEY, b"1", BODY, 0.0, FAR), log.now)
+    host.want(ClaimRequest(KEY, b"1", BODY, 0.0, FAR), log.now)
     log.append([Claim(KEY, b"0", "b", 1, BODY, 0.0)])
     log.append(host.take_batch())
     host.append_done()
@@ -139,7 +139,7 @@
     log, host = FakeLog(), make_host("a")
     catch_up(log, host)
     host.read_failed()
-    settled = host.want(Wanted(KEY, b"1", BODY, 0.0, FAR), log.now)
+    settled = host.want(ClaimRequest(KEY, b"1", BODY, 0.0, FAR), log.now)
     assert settled.verdict is Verdict.UNAVAILABLE
     assert not host.take_batch()
 
@@ -147,7 +147,7 @@
 def test_claim_that_was_never_sent_needs_no_release():
     """A claim that was never appended is dropped without appending a release."""
     log, host = FakeLog(), make_host("a")
-    host.want(Wanted(KEY, b"1", BODY, 0.0, log.now + 1), log.now)
+    host.want(ClaimRequest(KEY, b"1", BODY, 0.0, log.now + 1), log.now)
     log.now += 2
     assert [row.verdict for row in host.expire(log.now)] == [Verdict.UNAVAILABLE]
     assert not host.take_batch()
@@ -189,7 +189,7 @@
     """Of two concurrent claims one wins, and the other is released by its host."""
     log, host, other = FakeLog(), make_host("a"), make_host("b")
     for index, claimer in enumerate((host, other)):
-        claimer.want(Wanted(KEY, b"%d" % index, BODY, 0.0, FAR), log.now)
+        claimer.want(ClaimRequest(KEY, b"%d" % index, BODY, 0.0, FAR), log.now)
         log.append(claimer.take_batch())
         claimer.append_done()
     assert catch_up(log, host, other) == [Verdict.WON, Verdict.HELD]
--- a/tests/claims/test_machine.py
+++ b/tests/claims/test_machine.py
@@ -13,7 +13,7 @@
     run_state_machine_as_test,
 )
 
-from godwitladder.claims.collector import ClaimResult, Collector, Verdict, Wanted
+from godwitladder.claims.collector import ClaimRequest, ClaimResult, Collector, Verdict
 from godwitladder.claims.records import encode_record
 from godwitladder.claims.table import ClaimTable
 from godwitladder.clients.log import Page, Record
@@ -100,7 +100,7 @@
     def want_on(self, index: int, key: bytes) -> Attempt:
         nonce = len(self.attempts).to_bytes(12, "big")
         attempt = self.attempts[nonce] = Attempt(index, key, nonce)
-        wanted = Wanted(key, nonce, BODY, 0.0, self.log.now + PATIENCE_S)
+        wanted = ClaimRequest(key, nonce, BODY, 0.0, self.log.now + PATIENCE_S)
         settled = self.hosts[index].want(wanted, self.log.now)
         self.take([settled] if settled else [])
         return attempt
