--- a/bench/claims.py
+++ b/bench/claims.py
@@ -21,7 +21,7 @@
 import urllib3
 
 from bench.processes import print_table
-from godwitladder.claims.actor import ClaimLog, Claims, HasCaughtUp, Want
+from godwitladder.claims.actor import ClaimLog, Claims, HasCaughtUp, SubmitClaim
 from godwitladder.claims.collector import ClaimRequest, ClaimResult
 from godwitladder.claims.records import Claim, Release
 from godwitladder.claims.table import ClaimTable
@@ -49,7 +49,7 @@
         wanted = ClaimRequest(
             secrets.token_bytes(16), nonce, b"12345678", 0.0, now + 10
         )
-        actor.tell(Want(wanted, reply))
+        actor.tell(SubmitClaim(wanted, reply))
         time.sleep(random.expovariate(rate))
     return offered
 
--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class Want:
+class SubmitClaim:
     """Claim a key and put the result into ``reply``."""
 
     wanted: ClaimRequest
@@ -155,7 +155,7 @@
         raise TypeError(f"unknown message {message!r}")
 
     @take.register
-    def _(self, message: Want) -> None:
+    def _(self, message: SubmitClaim) -> None:
         self.replies[message.wanted.nonce] = message.reply
         settled = self.collector.want(message.wanted, self.clock.monotonic())
         if settled:
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -10,7 +10,7 @@
 
 import pykka
 
-from godwitladder.claims.actor import GiveUp, Note, Want
+from godwitladder.claims.actor import GiveUp, Note, SubmitClaim
 from godwitladder.claims.collector import ClaimRequest, ClaimResult, Verdict
 from godwitladder.claims.records import BODY_BYTES, KEY_BYTES, nonce_bytes
 from godwitladder.clock import Clock
@@ -237,7 +237,7 @@
         due = self.clock.monotonic() + TRIAL_WAIT_S
         reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
         self.claims.tell(
-            Want(ClaimRequest(key, nonce, bytes(BODY_BYTES), 0.0, due), reply)
+            SubmitClaim(ClaimRequest(key, nonce, bytes(BODY_BYTES), 0.0, due), reply)
         )
         if reply.get().verdict is not Verdict.WON:
             return False
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -14,7 +14,7 @@
 
 import pykka
 
-from godwitladder.claims.actor import GiveUp, Want
+from godwitladder.claims.actor import GiveUp, SubmitClaim
 from godwitladder.claims.collector import RETRY_S, ClaimRequest, ClaimResult, Verdict
 from godwitladder.claims.issued import (
     ForgedKey,
@@ -311,7 +311,7 @@
             due,
         )
         reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
-        self.claims.tell(Want(wanted, reply))
+        self.claims.tell(SubmitClaim(wanted, reply))
         return reply.get()
 
     def _forward_to_holder(
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from godwitladder.claims.actor import GiveUp, Note, Want
+from godwitladder.claims.actor import GiveUp, Note, SubmitClaim
 from godwitladder.claims.collector import ClaimResult, Verdict
 from godwitladder.clock import ManualClock
 from godwitladder.configuration.model import Service, ServiceKind, Target
@@ -35,7 +35,7 @@
 
     def tell(self, message) -> None:
         self.told.append(message)
-        if isinstance(message, Want):
+        if isinstance(message, SubmitClaim):
             message.reply.put(ClaimResult(message.wanted.nonce, self.verdict))
 
     def kinds(self) -> list[type]:
@@ -125,7 +125,7 @@
     watch.run = end(RequestState.COMPLETED)
     assert watch.serve(call, {}, None) == [None]
     assert watch.standing(crash_digest(call)) is QuarantineStatus.CLEAR
-    assert watch.claims.kinds() == [Note, Want, Note, GiveUp]
+    assert watch.claims.kinds() == [Note, SubmitClaim, Note, GiveUp]
     assert isinstance(watch.mesh.sent[-1], Cleared)
 
 
