--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class GiveUp:
+class ReleaseClaim:
     """Release a claim that will never be dispatched."""
 
     key: bytes
@@ -162,7 +162,7 @@
             self._reply([settled])
 
     @take.register
-    def _(self, message: GiveUp) -> None:
+    def _(self, message: ReleaseClaim) -> None:
         self.replies.pop(message.nonce, None)
         self.collector.give_up(message.key, message.nonce)
 
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -10,7 +10,7 @@
 
 import pykka
 
-from godwitladder.claims.actor import GiveUp, Note, SubmitClaim
+from godwitladder.claims.actor import Note, ReleaseClaim, SubmitClaim
 from godwitladder.claims.collector import ClaimRequest, ClaimResult, Verdict
 from godwitladder.claims.records import BODY_BYTES, KEY_BYTES, nonce_bytes
 from godwitladder.clock import Clock
@@ -241,7 +241,7 @@
         )
         if reply.get().verdict is not Verdict.WON:
             return False
-        trial.release = lambda: self.claims.tell(GiveUp(key, nonce))
+        trial.release = lambda: self.claims.tell(ReleaseClaim(key, nonce))
         return True
 
     def _note_end(
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -14,7 +14,7 @@
 
 import pykka
 
-from godwitladder.claims.actor import GiveUp, SubmitClaim
+from godwitladder.claims.actor import ReleaseClaim, SubmitClaim
 from godwitladder.claims.collector import RETRY_S, ClaimRequest, ClaimResult, Verdict
 from godwitladder.claims.issued import (
     ForgedKey,
@@ -258,7 +258,9 @@
             # Release the key only if the request is known not to have run: the
             # next request with this key will run on any host that it reaches.
             if state is RequestState.NOT_RUN:
-                self.claims.tell(GiveUp(key_bytes(row.key), nonce_bytes(row.stream)))
+                self.claims.tell(
+                    ReleaseClaim(key_bytes(row.key), nonce_bytes(row.stream))
+                )
                 self.joinable.discard(row.key, original)
 
         return on_end
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from godwitladder.claims.actor import GiveUp, Note, SubmitClaim
+from godwitladder.claims.actor import Note, ReleaseClaim, SubmitClaim
 from godwitladder.claims.collector import ClaimResult, Verdict
 from godwitladder.clock import ManualClock
 from godwitladder.configuration.model import Service, ServiceKind, Target
@@ -125,7 +125,7 @@
     watch.run = end(RequestState.COMPLETED)
     assert watch.serve(call, {}, None) == [None]
     assert watch.standing(crash_digest(call)) is QuarantineStatus.CLEAR
-    assert watch.claims.kinds() == [Note, SubmitClaim, Note, GiveUp]
+    assert watch.claims.kinds() == [Note, SubmitClaim, Note, ReleaseClaim]
     assert isinstance(watch.mesh.sent[-1], Cleared)
 
 
