--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True)
-class Follow:
+class SubscribeCrashEvents:
     """Call ``take`` with each crash event read from the stream and its log time."""
 
     take: Callable[[CrashNote, float], None]
@@ -171,7 +171,7 @@
         self.collector.outgoing.append(message.note)
 
     @take.register
-    def _(self, message: Follow) -> None:
+    def _(self, message: SubscribeCrashEvents) -> None:
         self.take_note = message.take
 
     @take.register
--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from godwitladder.claims.actor import ClaimLog, Claims, Follow, HasSettled
+from godwitladder.claims.actor import ClaimLog, Claims, HasSettled, SubscribeCrashEvents
 from godwitladder.claims.issued import IssuedKeys, sign_key
 from godwitladder.clients.log import LogClient
 from godwitladder.clock import Clock
@@ -120,7 +120,7 @@
         self.watch = CrashWatch(
             callers.dispatcher.serve, lambda: callers.config, self.claims, mesh, clock
         )
-        self.claims.tell(Follow(self.watch.replay))
+        self.claims.tell(SubscribeCrashEvents(self.watch.replay))
         self.keyed = callers.keyed = KeyedCalls(
             settings,
             self.claims,
