--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True)
-class HasSettled:
+class IsIdle:
     """Ask whether no records are queued or being appended."""
 
 
@@ -206,7 +206,7 @@
         return self.collector.table.next
 
     @take.register
-    def _(self, message: HasSettled) -> bool:
+    def _(self, message: IsIdle) -> bool:
         return is_idle(self.collector)
 
     @take.register
--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from godwitladder.claims.actor import ClaimLog, Claims, HasSettled, SubscribeCrashEvents
+from godwitladder.claims.actor import ClaimLog, Claims, IsIdle, SubscribeCrashEvents
 from godwitladder.claims.issued import IssuedKeys, sign_key
 from godwitladder.clients.log import LogClient
 from godwitladder.clock import Clock
@@ -158,7 +158,7 @@
     def flush(self) -> None:
         """Wait until the log has accepted all releases, or until the timeout."""
         due = self.clock.monotonic() + FLUSH_TIMEOUT_S
-        while not self.claims.ask(HasSettled()):
+        while not self.claims.ask(IsIdle()):
             if self.clock.monotonic() >= due:
                 log.warning("Host stopped before the log had accepted all key releases")
                 return
