--- a/godwitladder/claims/issued.py
+++ b/godwitladder/claims/issued.py
@@ -48,7 +48,7 @@
     unique: str
 
 
-class Spending(enum.Enum):
+class KeyUseResult(enum.Enum):
     """Result of an attempt to use an issued key."""
 
     GRANTED = "granted"
@@ -123,7 +123,7 @@
 
     def spend(
         self, key: IssuedKey, digest: KeyDigest, body: BodyDigest, now: float
-    ) -> Spending:
+    ) -> KeyUseResult:
         """Use ``key`` for one request; it can be used only once.
 
         Raises
@@ -134,13 +134,13 @@
         if not self.is_own(key):
             raise ForgedKey(f"{key.host} issued the key, not this process")
         if now - key.issued > self.window_s:
-            return Spending.EXPIRED
+            return KeyUseResult.EXPIRED
         if digest in self.spent:
             _, held = self.spent[digest]
-            return Spending.SPENT if held == body else Spending.REUSED
+            return KeyUseResult.SPENT if held == body else KeyUseResult.REUSED
         self._forget(now)
         self.spent[digest] = (key.issued, body)
-        return Spending.GRANTED
+        return KeyUseResult.GRANTED
 
     def give_back(self, digest: KeyDigest) -> None:
         """Make a key usable again after its request did not run."""
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -20,7 +20,7 @@
     ForgedKey,
     IssuedKey,
     IssuedKeys,
-    Spending,
+    KeyUseResult,
     read_key,
 )
 from godwitladder.claims.records import body_bytes, key_bytes, nonce_bytes
@@ -267,11 +267,11 @@
 
     def _spend(self, issued: IssuedKey, row: RequestRow) -> None:
         spending = self.issued.spend(issued, row.key, row.body, self.clock.monotonic())
-        if spending is Spending.SPENT:
+        if spending is KeyUseResult.SPENT:
             raise key_in_use("")
-        if spending is Spending.REUSED:
+        if spending is KeyUseResult.REUSED:
             raise CallRefused(refuse(Reason.KEY_REUSED, KEY_REUSED_TEXT))
-        if spending is Spending.EXPIRED:
+        if spending is KeyUseResult.EXPIRED:
             raise CallRefused(key_expired())
 
     def _claim(self, call: Call, environ: Mapping) -> Holder | None:
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -9,7 +9,7 @@
     PREFIX,
     ForgedKey,
     IssuedKeys,
-    Spending,
+    KeyUseResult,
     read_key,
     sign_key,
 )
@@ -31,11 +31,11 @@
     keys = IssuedKeys("a", 1, WINDOW_S)
     key = keys.issue("advisers", 10.0)
     assert read_key(SECRET, sign_key(SECRET, key)) == key
-    assert keys.spend(key, "d", "body", 11.0) is Spending.GRANTED
-    assert keys.spend(key, "d", "body", 12.0) is Spending.SPENT
-    assert keys.spend(key, "d", "else", 12.0) is Spending.REUSED
+    assert keys.spend(key, "d", "body", 11.0) is KeyUseResult.GRANTED
+    assert keys.spend(key, "d", "body", 12.0) is KeyUseResult.SPENT
+    assert keys.spend(key, "d", "else", 12.0) is KeyUseResult.REUSED
     keys.give_back("d")
-    assert keys.spend(key, "d", "body", 13.0) is Spending.GRANTED
+    assert keys.spend(key, "d", "body", 13.0) is KeyUseResult.GRANTED
 
 
 def test_issued_key_is_refused_by_another_process_and_after_its_window():
@@ -47,7 +47,7 @@
         late = keys.issue("advisers", 10.0 + 10 * index)
         keys.spend(late, f"other-{index}", "body", 10.0 + 10 * index)
     assert len(keys.spent) < 15
-    assert keys.spend(key, "d", "body", 320.0) is Spending.EXPIRED
+    assert keys.spend(key, "d", "body", 320.0) is KeyUseResult.EXPIRED
     with pytest.raises(ForgedKey):
         IssuedKeys("a", 2, WINDOW_S).spend(key, "d", "body", 12.0)
 
