--- a/godwitladder/claims/issued.py
+++ b/godwitladder/claims/issued.py
@@ -121,7 +121,7 @@
         """Return whether this process issued ``key``."""
         return (key.host, key.incarnation) == (self.host, self.incarnation)
 
-    def spend(
+    def use(
         self, key: IssuedKey, digest: KeyDigest, body: BodyDigest, now: float
     ) -> KeyUseResult:
         """Use ``key`` for one request; it can be used only once.
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -266,7 +266,7 @@
         return on_end
 
     def _spend(self, issued: IssuedKey, row: RequestRow) -> None:
-        spending = self.issued.spend(issued, row.key, row.body, self.clock.monotonic())
+        spending = self.issued.use(issued, row.key, row.body, self.clock.monotonic())
         if spending is KeyUseResult.SPENT:
             raise key_in_use("")
         if spending is KeyUseResult.REUSED:
