--- a/godwitladder/claims/issued.py
+++ b/godwitladder/claims/issued.py
@@ -142,7 +142,7 @@
         self.spent[digest] = (key.issued, body)
         return KeyUseResult.GRANTED
 
-    def give_back(self, digest: KeyDigest) -> None:
+    def restore(self, digest: KeyDigest) -> None:
         """Make a key usable again after its request did not run."""
         self.spent.pop(digest, None)
 
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -248,7 +248,7 @@
     def _give_back_if_not_run(self, original: OriginalRequest, row: RequestRow):
         def on_end(state: RequestState) -> None:
             if state is RequestState.NOT_RUN:
-                self.issued.give_back(row.key)
+                self.issued.restore(row.key)
                 self.joinable.discard(row.key, original)
 
         return on_end
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -34,7 +34,7 @@
     assert keys.use(key, "d", "body", 11.0) is KeyUseResult.GRANTED
     assert keys.use(key, "d", "body", 12.0) is KeyUseResult.SPENT
     assert keys.use(key, "d", "else", 12.0) is KeyUseResult.REUSED
-    keys.give_back("d")
+    keys.restore("d")
     assert keys.use(key, "d", "body", 13.0) is KeyUseResult.GRANTED
 
 
