--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -144,7 +144,7 @@
         with self.lock:
             return self.table.status(digest, self.clock.monotonic())
 
-    def take(self, link: Link, message: CrashNote) -> None:
+    def handle_message(self, link: Link, message: CrashNote) -> None:
         """Apply a peer's event, and forward it if it is new."""
         self.echoes.note(message.report, link.peer)
         if self.apply(message, 0.0):
--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -138,9 +138,9 @@
         return {
             ForwardedCall: self.forwarder.handle_message,
             ForwardedAnswer: self.forwarder.handle_message,
-            Crash: self.watch.take,
-            Cleared: self.watch.take,
-            Lifted: self.watch.take,
+            Crash: self.watch.handle_message,
+            Cleared: self.watch.handle_message,
+            Lifted: self.watch.handle_message,
         }
 
     def start(self, tick_s: float) -> None:
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -164,10 +164,10 @@
     """
     watch = make_watch(end(RequestState.COMPLETED))
     note = Crash("report", "t1", "d", False)
-    watch.take(FakeLink("peer"), note)
-    watch.take(FakeLink("peer"), note)
+    watch.handle_message(FakeLink("peer"), note)
+    watch.handle_message(FakeLink("peer"), note)
     assert watch.mesh.sent == [note]
-    watch.take(FakeLink("peer"), Cleared("second", "d"))
+    watch.handle_message(FakeLink("peer"), Cleared("second", "d"))
     watch.replay(note, watch.clock.wall())
     watch.replay(Crash("third", "t2", "d", False), watch.clock.wall() - HOLD_S - 1)
     assert watch.standing("d") is QuarantineStatus.CLEAR
@@ -199,9 +199,9 @@
     thread.start()
     wait_until(lambda: watch.mesh.sent, "the note to be sent")
     note = watch.mesh.sent[0]
-    watch.take(FakeLink("near"), note)
+    watch.handle_message(FakeLink("near"), note)
     assert not answered.is_set()
-    watch.take(FakeLink("far"), note)
+    watch.handle_message(FakeLink("far"), note)
     thread.join()
     assert answered.is_set()
 
