--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -198,7 +198,7 @@
                 extra={"note": repr(note)},
             )
 
-    def held(self) -> dict[BodyDigest, float]:
+    def remaining_quarantines(self) -> dict[BodyDigest, float]:
         """Return the remaining time of each quarantine in seconds, by digest."""
         now = self.clock.monotonic()
         with self.lock:
