--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -15,7 +15,7 @@
 import pykka
 
 from godwitladder.claims.collector import (
-    RETRY_S,
+    RETRY_DELAY_S,
     ClaimRequest,
     ClaimResult,
     Collector,
@@ -288,7 +288,7 @@
                 "Append to the claims stream failed", extra={"error": str(error)}
             )
             self.claims.tell(BatchDone(True))
-            self.clock.wait(self.stopping, RETRY_S)
+            self.clock.wait(self.stopping, RETRY_DELAY_S)
             return
         self.claims.tell(BatchDone(False))
         self._try_read(0.0)
@@ -310,7 +310,7 @@
                 answered = self._try_read(wait_s)
                 wait_s = READ_WAIT_S if answered else 0.0
                 if not answered:
-                    self.clock.wait(self.stopping, RETRY_S)
+                    self.clock.wait(self.stopping, RETRY_DELAY_S)
         except pykka.ActorDeadError:
             log.info("Reader thread stopped because its actor has stopped")
 
--- a/godwitladder/claims/collector.py
+++ b/godwitladder/claims/collector.py
@@ -29,7 +29,7 @@
 log = component_logger("claims")
 
 # Delay after a failed append, also the delay that a refused caller is given.
-RETRY_S = 0.5
+RETRY_DELAY_S = 0.5
 # Maximum number of snapshots per append, so that they don't delay later claims.
 SNAPSHOT_RECORDS = 200
 
@@ -178,7 +178,7 @@
         ]
         self.outgoing = again + self.outgoing
         self.in_flight = []
-        self.append_failed_until = now + RETRY_S
+        self.append_failed_until = now + RETRY_DELAY_S
 
     def read_failed(self) -> None:
         """Record that the log did not respond to a read."""
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -15,7 +15,12 @@
 import pykka
 
 from godwitladder.claims.actor import ReleaseClaim, SubmitClaim
-from godwitladder.claims.collector import RETRY_S, ClaimRequest, ClaimResult, Verdict
+from godwitladder.claims.collector import (
+    RETRY_DELAY_S,
+    ClaimRequest,
+    ClaimResult,
+    Verdict,
+)
 from godwitladder.claims.issued import (
     ForgedKey,
     IssuedKey,
@@ -361,7 +366,7 @@
         Verdict.REUSED: refuse(Reason.KEY_REUSED, KEY_REUSED_TEXT),
         Verdict.EXPIRED: key_expired(),
         Verdict.UNAVAILABLE: refuse(
-            Reason.LOG_UNAVAILABLE, LOG_UNAVAILABLE_TEXT, RETRY_S
+            Reason.LOG_UNAVAILABLE, LOG_UNAVAILABLE_TEXT, RETRY_DELAY_S
         ),
     }
 
