--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -43,7 +43,7 @@
     """Claim a key and put the result into ``reply``."""
 
     wanted: ClaimRequest
-    reply: "queue.SimpleQueue[Settled]"
+    reply: "queue.SimpleQueue[ClaimResult]"
 
 
 @dataclass(frozen=True)
