--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -18,7 +18,7 @@
     RETRY_DELAY_S,
     ClaimRequest,
     ClaimResult,
-    Collector,
+    ClaimTracker,
     is_idle,
 )
 from godwitladder.claims.records import StreamRecord, encode_record
@@ -138,7 +138,7 @@
         self.clock = clock
         self.metrics = metrics
         self.work = work
-        self.collector = Collector(host, incarnation, ClaimTable(settings.window_s))
+        self.collector = ClaimTracker(host, incarnation, ClaimTable(settings.window_s))
         self.take_note: Callable[[CrashNote, float], None] = lambda note, time: None
         self.replies: dict[bytes, queue.SimpleQueue[ClaimResult]] = {}
 
--- a/godwitladder/claims/collector.py
+++ b/godwitladder/claims/collector.py
@@ -71,7 +71,7 @@
 
 
 @dataclass
-class Collector:
+class ClaimTracker:
     """Claims of one host.
 
     Attributes
@@ -270,6 +270,6 @@
     return isinstance(record, Claim) and record.nonce == nonce
 
 
-def is_idle(collector: Collector) -> bool:
+def is_idle(collector: ClaimTracker) -> bool:
     """Return whether no records are queued or being appended."""
     return not collector.outgoing and not collector.in_flight
--- a/tests/claims/test_collector.py
+++ b/tests/claims/test_collector.py
@@ -1,6 +1,6 @@
 """Single steps of claims: retention, gaps, keys with timestamps, outages."""
 
-from godwitladder.claims.collector import ClaimRequest, Collector, Verdict
+from godwitladder.claims.collector import ClaimRequest, ClaimTracker, Verdict
 from godwitladder.claims.records import Claim, Release, encode_record
 from godwitladder.claims.table import AHEAD_S, RIVALS_PER_KEY, ClaimTable
 from godwitladder.clients.log import Page, Record
@@ -10,17 +10,17 @@
 FAR = 1e9
 
 
-def make_host(name: str) -> Collector:
-    return Collector(name, 1, ClaimTable(WINDOW_S))
+def make_host(name: str) -> ClaimTracker:
+    return ClaimTracker(name, 1, ClaimTable(WINDOW_S))
 
 
-def catch_up(log: FakeLog, *hosts: Collector) -> list[Verdict]:
+def catch_up(log: FakeLog, *hosts: ClaimTracker) -> list[Verdict]:
     pages = [host.read(log.page(host.table.next)) for host in hosts]
     return [row.verdict for page in pages for row in page]
 
 
 def claim(
-    log: FakeLog, host: Collector, nonce: bytes, body=BODY, dated=0.0
+    log: FakeLog, host: ClaimTracker, nonce: bytes, body=BODY, dated=0.0
 ) -> list[Verdict]:
     catch_up(log, host)
     settled = host.want(ClaimRequest(KEY, nonce, body, dated, FAR), log.now)
--- a/tests/claims/test_machine.py
+++ b/tests/claims/test_machine.py
@@ -13,7 +13,12 @@
     run_state_machine_as_test,
 )
 
-from godwitladder.claims.collector import ClaimRequest, ClaimResult, Collector, Verdict
+from godwitladder.claims.collector import (
+    ClaimRequest,
+    ClaimResult,
+    ClaimTracker,
+    Verdict,
+)
 from godwitladder.claims.records import encode_record
 from godwitladder.claims.table import ClaimTable
 from godwitladder.clients.log import Page, Record
@@ -86,8 +91,8 @@
         self.naive = NaiveKeys()
         self.runs: list[tuple[bytes, float]] = []
 
-    def make_host(self, index: int, incarnation: int) -> Collector:
-        return Collector(f"host-{index}", incarnation, ClaimTable(WINDOW_S))
+    def make_host(self, index: int, incarnation: int) -> ClaimTracker:
+        return ClaimTracker(f"host-{index}", incarnation, ClaimTable(WINDOW_S))
 
     def take(self, settled: list[ClaimResult]) -> None:
         for row in settled:
