--- a/bench/claims.py
+++ b/bench/claims.py
@@ -21,7 +21,7 @@
 import urllib3
 
 from bench.processes import print_table
-from godwitladder.claims.actor import ClaimLog, Claims, HasCaughtUp, SubmitClaim
+from godwitladder.claims.actor import ClaimLogThreads, Claims, HasCaughtUp, SubmitClaim
 from godwitladder.claims.collector import ClaimRequest, ClaimResult
 from godwitladder.claims.records import Claim, Release
 from godwitladder.claims.table import ClaimTable
@@ -60,7 +60,7 @@
     settings = ClaimSettings(batch_s=batch_s)
     actor = Claims.start(HostId(name), Incarnation(1), settings, clock, Metrics(), work)
     client = LogClient(f"http://{address}", Zone("a"))
-    part = ClaimLog(actor, client, clock, work, batch_s)
+    part = ClaimLogThreads(actor, client, clock, work, batch_s)
     part.start()
     while not actor.ask(HasCaughtUp()):
         time.sleep(0.01)
--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -226,7 +226,7 @@
                 reply.put(row)
 
 
-class ClaimLog:
+class ClaimLogThreads:
     """Reader and writer threads between the actor and the log.
 
     Parameters
--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -5,7 +5,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from godwitladder.claims.actor import ClaimLog, Claims, IsIdle, SubscribeCrashEvents
+from godwitladder.claims.actor import (
+    ClaimLogThreads,
+    Claims,
+    IsIdle,
+    SubscribeCrashEvents,
+)
 from godwitladder.claims.issued import IssuedKeys, sign_key
 from godwitladder.clients.log import LogClient
 from godwitladder.clock import Clock
@@ -113,7 +118,7 @@
         self.claims = supervised(Claims, fail).start(
             host, incarnation, settings.claims, clock, metrics, work
         )
-        self.claim_log = ClaimLog(
+        self.claim_log = ClaimLogThreads(
             self.claims, client, clock, work, settings.claims.batch_s
         )
         self.forwarder = Forwarder(host, incarnation, mesh, callers, clock)
