--- a/bench/claims.py
+++ b/bench/claims.py
@@ -22,9 +22,9 @@
 
 from bench.processes import print_table
 from godwitladder.claims.actor import ClaimLogThreads, Claims, HasCaughtUp, SubmitClaim
-from godwitladder.claims.collector import ClaimRequest, ClaimResult
 from godwitladder.claims.records import Claim, Release
 from godwitladder.claims.table import ClaimTable
+from godwitladder.claims.tracker import ClaimRequest, ClaimResult
 from godwitladder.clients.log import LogClient
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId, Incarnation, Zone
--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -14,15 +14,15 @@
 
 import pykka
 
-from godwitladder.claims.collector import (
+from godwitladder.claims.records import StreamRecord, encode_record
+from godwitladder.claims.table import ClaimTable
+from godwitladder.claims.tracker import (
     RETRY_DELAY_S,
     ClaimRequest,
     ClaimResult,
     ClaimTracker,
     is_idle,
 )
-from godwitladder.claims.records import StreamRecord, encode_record
-from godwitladder.claims.table import ClaimTable
 from godwitladder.clients.log import CLAIM_STREAM, LogClient, LogUnavailable, Page
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId, Incarnation, Offset
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -11,8 +11,8 @@
 import pykka
 
 from godwitladder.claims.actor import Note, ReleaseClaim, SubmitClaim
-from godwitladder.claims.collector import ClaimRequest, ClaimResult, Verdict
 from godwitladder.claims.records import BODY_BYTES, KEY_BYTES, nonce_bytes
+from godwitladder.claims.tracker import ClaimRequest, ClaimResult, Verdict
 from godwitladder.clock import Clock
 from godwitladder.configuration.model import ServiceKind
 from godwitladder.configuration.state import ConfigState
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -15,12 +15,6 @@
 import pykka
 
 from godwitladder.claims.actor import ReleaseClaim, SubmitClaim
-from godwitladder.claims.collector import (
-    RETRY_DELAY_S,
-    ClaimRequest,
-    ClaimResult,
-    Verdict,
-)
 from godwitladder.claims.issued import (
     ForgedKey,
     IssuedKey,
@@ -29,6 +23,12 @@
     read_key,
 )
 from godwitladder.claims.records import body_bytes, key_bytes, nonce_bytes
+from godwitladder.claims.tracker import (
+    RETRY_DELAY_S,
+    ClaimRequest,
+    ClaimResult,
+    Verdict,
+)
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId, Incarnation, StreamId
 from godwitladder.logs import component_logger
--- a/tests/claims/test_collector.py
+++ b/tests/claims/test_collector.py
@@ -1,8 +1,8 @@
 """Single steps of claims: retention, gaps, keys with timestamps, outages."""
 
-from godwitladder.claims.collector import ClaimRequest, ClaimTracker, Verdict
 from godwitladder.claims.records import Claim, Release, encode_record
 from godwitladder.claims.table import AHEAD_S, RIVALS_PER_KEY, ClaimTable
+from godwitladder.claims.tracker import ClaimRequest, ClaimTracker, Verdict
 from godwitladder.clients.log import Page, Record
 from tests.claims.test_machine import BODY, RETENTION_S, WINDOW_S, FakeLog
 
--- a/tests/claims/test_machine.py
+++ b/tests/claims/test_machine.py
@@ -13,14 +13,14 @@
     run_state_machine_as_test,
 )
 
-from godwitladder.claims.collector import (
+from godwitladder.claims.records import encode_record
+from godwitladder.claims.table import ClaimTable
+from godwitladder.claims.tracker import (
     ClaimRequest,
     ClaimResult,
     ClaimTracker,
     Verdict,
 )
-from godwitladder.claims.records import encode_record
-from godwitladder.claims.table import ClaimTable
 from godwitladder.clients.log import Page, Record
 
 HOSTS = 3
--- a/tests/claims/test_notes.py
+++ b/tests/claims/test_notes.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from godwitladder.claims.actor import Claims, PageRead
-from godwitladder.claims.collector import ClaimResult, Verdict
+from godwitladder.claims.tracker import ClaimResult, Verdict
 from godwitladder.metrics import Metrics
 
 
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -8,7 +8,7 @@
 import pytest
 
 from godwitladder.claims.actor import Note, ReleaseClaim, SubmitClaim
-from godwitladder.claims.collector import ClaimResult, Verdict
+from godwitladder.claims.tracker import ClaimResult, Verdict
 from godwitladder.clock import ManualClock
 from godwitladder.configuration.model import Service, ServiceKind, Target
 from godwitladder.configuration.state import ConfigState
