--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -24,7 +24,7 @@
 from godwitladder.membership.links import Link
 from godwitladder.membership.mesh import Mesh
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
-from godwitladder.quarantine.echoes import NoteEchoes
+from godwitladder.quarantine.acknowledgements import NoteEchoes
 from godwitladder.quarantine.records import Cleared, Crash, CrashNote, Lifted
 from godwitladder.serving.calls import Call, CallRefused
 
