--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -28,13 +28,13 @@
 from godwitladder.ids import HostId, Incarnation, Offset
 from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
-from godwitladder.quarantine.records import CrashNote
+from godwitladder.quarantine.records import CrashEvent
 from godwitladder.scheduler.messages import Tick
 from godwitladder.settings import ClaimSettings
 
 log = component_logger("claims")
 
-READ_WAIT_S = 2.0
+READ_POLL_TIMEOUT_S = 2.0
 IDLE_CHECK_S = 0.5
 
 
@@ -42,7 +42,7 @@
 class SubmitClaim:
     """Claim a key and put the result into ``reply``."""
 
-    wanted: ClaimRequest
+    request: ClaimRequest
     reply: "queue.SimpleQueue[ClaimResult]"
 
 
@@ -55,17 +55,17 @@
 
 
 @dataclass(frozen=True)
-class Note:
+class AppendCrashEvent:
     """Append a crash event to the stream."""
 
-    note: CrashNote
+    event: CrashEvent
 
 
 @dataclass(frozen=True)
 class SubscribeCrashEvents:
-    """Call ``take`` with each crash event read from the stream and its log time."""
+    """Call ``callback`` with each crash event read from the stream and its log time."""
 
-    take: Callable[[CrashNote, float], None]
+    callback: Callable[[CrashEvent, float], None]
 
 
 @dataclass(frozen=True)
@@ -138,92 +138,92 @@
         self.clock = clock
         self.metrics = metrics
         self.work = work
-        self.collector = ClaimTracker(host, incarnation, ClaimTable(settings.window_s))
-        self.take_note: Callable[[CrashNote, float], None] = lambda note, time: None
+        self.tracker = ClaimTracker(host, incarnation, ClaimTable(settings.window_s))
+        self.on_event: Callable[[CrashEvent, float], None] = lambda event, time: None
         self.replies: dict[bytes, queue.SimpleQueue[ClaimResult]] = {}
 
     def on_receive(self, message):
         """Handle ``message`` and wake the writer if there are records to append."""
-        answer = self.take(message)
-        if self.collector.outgoing:
+        answer = self.handle(message)
+        if self.tracker.outgoing:
             self.work.set()
         return answer
 
     @functools.singledispatchmethod
-    def take(self, message):
+    def handle(self, message):
         """Handle one message."""
         raise TypeError(f"unknown message {message!r}")
 
-    @take.register
+    @handle.register
     def _(self, message: SubmitClaim) -> None:
-        self.replies[message.wanted.nonce] = message.reply
-        settled = self.collector.want(message.wanted, self.clock.monotonic())
-        if settled:
-            self._reply([settled])
+        self.replies[message.request.nonce] = message.reply
+        result = self.tracker.submit(message.request, self.clock.monotonic())
+        if result:
+            self._reply([result])
 
-    @take.register
+    @handle.register
     def _(self, message: ReleaseClaim) -> None:
         self.replies.pop(message.nonce, None)
-        self.collector.give_up(message.key, message.nonce)
+        self.tracker.release(message.key, message.nonce)
 
-    @take.register
-    def _(self, message: Note) -> None:
-        self.collector.outgoing.append(message.note)
+    @handle.register
+    def _(self, message: AppendCrashEvent) -> None:
+        self.tracker.outgoing.append(message.event)
 
-    @take.register
+    @handle.register
     def _(self, message: SubscribeCrashEvents) -> None:
-        self.take_note = message.take
+        self.on_event = message.callback
 
-    @take.register
+    @handle.register
     def _(self, message: TakeBatch) -> list[StreamRecord]:
-        return self.collector.take_batch()
+        return self.tracker.take_batch()
 
-    @take.register
+    @handle.register
     def _(self, message: BatchDone) -> None:
         if message.failed:
-            self.collector.append_failed(self.clock.monotonic())
+            self.tracker.append_failed(self.clock.monotonic())
         else:
-            self.collector.append_done()
+            self.tracker.append_done()
 
-    @take.register
+    @handle.register
     def _(self, message: PageRead) -> None:
-        settled = self.collector.read(message.page)
+        results = self.tracker.read(message.page)
         # Process crash events before results. A page may hold the event of a
         # trial that crashed a target, followed by the claim of the next trial.
         # If the waiting thread received the result first, it would dispatch a
         # quarantined request and crash a third target.
-        for note, time in self.collector.notes:
-            self.take_note(note, time)
-        self.collector.notes.clear()
-        self._reply(settled)
+        for event, time in self.tracker.crash_events:
+            self.on_event(event, time)
+        self.tracker.crash_events.clear()
+        self._reply(results)
 
-    @take.register
+    @handle.register
     def _(self, message: ReadFailed) -> None:
-        self.collector.read_failed()
+        self.tracker.read_failed()
 
-    @take.register
+    @handle.register
     def _(self, message: NextOffset) -> Offset:
-        return self.collector.table.next
+        return self.tracker.table.next
 
-    @take.register
+    @handle.register
     def _(self, message: IsIdle) -> bool:
-        return is_idle(self.collector)
+        return is_idle(self.tracker)
 
-    @take.register
+    @handle.register
     def _(self, message: HasCaughtUp) -> bool:
-        return self.collector.caught_up
+        return self.tracker.caught_up
 
-    @take.register
+    @handle.register
     def _(self, message: Tick) -> None:
-        self._reply(self.collector.expire(self.clock.monotonic()))
-        self.collector.snapshot(self.settings.retention_s / 2)
+        self._reply(self.tracker.expire(self.clock.monotonic()))
+        self.tracker.snapshot(self.settings.retention_s / 2)
 
-    def _reply(self, settled: list[ClaimResult]) -> None:
-        for row in settled:
-            self.metrics.claims.inc({"verdict": row.verdict.value})
-            reply = self.replies.pop(row.nonce, None)
+    def _reply(self, results: list[ClaimResult]) -> None:
+        for result in results:
+            self.metrics.claims.inc({"verdict": result.verdict.value})
+            reply = self.replies.pop(result.nonce, None)
             if reply:
-                reply.put(row)
+                reply.put(result)
 
 
 class ClaimLogThreads:
@@ -308,7 +308,7 @@
         try:
             while not self.stopping.is_set():
                 answered = self._try_read(wait_s)
-                wait_s = READ_WAIT_S if answered else 0.0
+                wait_s = READ_POLL_TIMEOUT_S if answered else 0.0
                 if not answered:
                     self.clock.wait(self.stopping, RETRY_DELAY_S)
         except pykka.ActorDeadError:
--- a/godwitladder/claims/issued.py
+++ b/godwitladder/claims/issued.py
@@ -100,17 +100,17 @@
         How long a key may be used after it was issued, in seconds. Used keys
         are kept for the same time, so a key that is not found here is either
         unused or expired.
-    spent : dict
+    used : dict
         Time of issue and body digest of each used key, by key digest.
-    forgotten : float
+    last_eviction : float
         Time of the last eviction of expired keys, in monotonic seconds.
     """
 
     host: HostId
     incarnation: Incarnation
     window_s: float
-    spent: dict[KeyDigest, tuple[float, BodyDigest]] = field(default_factory=dict)
-    forgotten: float = 0.0
+    used: dict[KeyDigest, tuple[float, BodyDigest]] = field(default_factory=dict)
+    last_eviction: float = 0.0
 
     def issue(self, workspace: WorkspaceName, now: float) -> IssuedKey:
         """Issue a new key for ``workspace``."""
@@ -135,22 +135,22 @@
             raise ForgedKey(f"{key.host} issued the key, not this process")
         if now - key.issued > self.window_s:
             return KeyUseResult.EXPIRED
-        if digest in self.spent:
-            _, held = self.spent[digest]
-            return KeyUseResult.SPENT if held == body else KeyUseResult.REUSED
-        self._forget(now)
-        self.spent[digest] = (key.issued, body)
+        if digest in self.used:
+            _, used_body = self.used[digest]
+            return KeyUseResult.SPENT if used_body == body else KeyUseResult.REUSED
+        self._evict_expired(now)
+        self.used[digest] = (key.issued, body)
         return KeyUseResult.GRANTED
 
     def restore(self, digest: KeyDigest) -> None:
         """Make a key usable again after its request did not run."""
-        self.spent.pop(digest, None)
+        self.used.pop(digest, None)
 
-    def _forget(self, now: float) -> None:
-        if now - self.forgotten < self.window_s / 10:
+    def _evict_expired(self, now: float) -> None:
+        if now - self.last_eviction < self.window_s / 10:
             return
-        self.forgotten = now
+        self.last_eviction = now
         oldest = now - self.window_s
-        self.spent = {
-            digest: row for digest, row in self.spent.items() if row[0] >= oldest
+        self.used = {
+            digest: row for digest, row in self.used.items() if row[0] >= oldest
         }
--- a/godwitladder/claims/records.py
+++ b/godwitladder/claims/records.py
@@ -12,7 +12,7 @@
 
 from godwitladder.findings import GodwitladderError
 from godwitladder.ids import BodyDigest, HostId, Incarnation, KeyDigest, StreamId
-from godwitladder.quarantine.records import Cleared, Crash, CrashNote, Lifted
+from godwitladder.quarantine.records import Cleared, Crash, CrashEvent, Lifted
 
 # With 16 bytes, a digest collision of two keys is less likely than a memory
 # failure. 8 bytes suffice to detect a different body under the same key.
@@ -33,7 +33,7 @@
     nonce : bytes
         Unique identifier of this claim. Also the id of the stream on the
         target.
-    dated : float
+    key_time_s : float
         Timestamp in the caller's key, in seconds since the epoch; 0 for a key
         without a timestamp.
     """
@@ -43,7 +43,7 @@
     host: HostId
     incarnation: Incarnation
     body: bytes
-    dated: float
+    key_time_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
 
 
 ClaimRecord = Claim | Release | Snapshot
-StreamRecord = ClaimRecord | CrashNote
+StreamRecord = ClaimRecord | CrashEvent
 KINDS: dict[type, int] = {
     Claim: 1,
     Release: 2,
@@ -80,7 +80,7 @@
     Cleared: 5,
     Lifted: 6,
 }
-PLAIN_KINDS = {number: kind for kind, number in KINDS.items() if kind is not Snapshot}
+FLAT_KINDS = {number: kind for kind, number in KINDS.items() if kind is not Snapshot}
 
 
 def encode_record(record: StreamRecord) -> bytes:
@@ -98,8 +98,8 @@
     """
     try:
         kind, *fields = cbor2.loads(data)
-        if kind in PLAIN_KINDS:
-            return PLAIN_KINDS[kind](*fields)
+        if kind in FLAT_KINDS:
+            return FLAT_KINDS[kind](*fields)
         if kind == KINDS[Snapshot]:
             claim, offset, time = fields
             return Snapshot(Claim(*claim), offset, time)
--- a/godwitladder/claims/table.py
+++ b/godwitladder/claims/table.py
@@ -21,23 +21,23 @@
 
 # A host that knows a key to be held appends no claim for it, so competing
 # claims come only from hosts that claimed concurrently.
-RIVALS_PER_KEY = 16
+MAX_CLAIMS_PER_KEY = 16
 # Maximum time by which the timestamp in a key may be ahead of the log's clock.
-AHEAD_S = 3600.0
+MAX_KEY_AHEAD_S = 3600.0
 # Number of scans for expired claims per retention window. Expired claims only
 # use memory, so few scans suffice.
 SCANS_PER_WINDOW = 100
 
 
 @dataclass(slots=True)
-class Held:
+class HeldClaim:
     """One claim that has not been released.
 
     Attributes
     ----------
     offset, time : int, float
         Offset and log time of its first record.
-    until : float
+    expires_s : float
         Log time at which it expires.
     recorded : float
         Log time of its newest record or snapshot.
@@ -47,10 +47,10 @@
     host: HostId
     incarnation: Incarnation
     body: bytes
-    dated: float
+    key_time_s: float
     offset: int
     time: float
-    until: float
+    expires_s: float
     recorded: float
 
 
@@ -66,27 +66,27 @@
         The newest log time of a record.
     next : int
         Offset of the first record not yet replayed.
-    rows : dict
+    claims : dict
         Claims of each key, in order of their offsets.
     released : dict
         Log time of the release of each nonce. A release may precede its claim
         if the host released the claim while its append was still in progress.
         Without these entries the late claim would hold the key until it
         expires.
-    crowded : set
+    overflowed_keys : set
         Keys with so many competing claims that some were not stored. They
         stay held.
-    scanned : float
+    last_scan : float
         Log time of the last scan for expired claims.
     """
 
     window_s: float
     now: float = 0.0
     next: Offset = Offset(0)
-    rows: dict[bytes, list[Held]] = field(default_factory=dict)
+    claims: dict[bytes, list[HeldClaim]] = field(default_factory=dict)
     released: dict[bytes, float] = field(default_factory=dict)
-    crowded: set[bytes] = field(default_factory=set)
-    scanned: float = 0.0
+    overflowed_keys: set[bytes] = field(default_factory=set)
+    last_scan: float = 0.0
 
     def replay(self, offset: Offset, time: float, record: ClaimRecord) -> None:
         """Apply the record at ``offset``, which must be at least `next`."""
@@ -95,31 +95,31 @@
         if isinstance(record, Release):
             self._release(record)
         elif isinstance(record, Snapshot):
-            self._hold(record.claim, record.offset, record.time, time)
-        elif not self.is_out_of_window(record.dated):
-            self._hold(record, offset, time, time)
-        if self.now - self.scanned > self.window_s / SCANS_PER_WINDOW:
-            self._forget()
+            self._add_claim(record.claim, record.offset, record.time, time)
+        elif not self.is_out_of_window(record.key_time_s):
+            self._add_claim(record, offset, time, time)
+        if self.now - self.last_scan > self.window_s / SCANS_PER_WINDOW:
+            self._evict_expired()
 
     def holder(
-        self, key: bytes, without: frozenset[bytes] | set[bytes] = frozenset()
-    ) -> Held | None:
-        """Return the claim that holds ``key``, ignoring the nonces in ``without``."""
-        for row in self.rows.get(key, ()):
-            if row.until > self.now and row.nonce not in without:
-                return row
+        self, key: bytes, excluded: frozenset[bytes] | set[bytes] = frozenset()
+    ) -> HeldClaim | None:
+        """Return the claim that holds ``key``, ignoring the nonces in ``excluded``."""
+        for held in self.claims.get(key, ()):
+            if held.expires_s > self.now and held.nonce not in excluded:
+                return held
         return None
 
-    def is_out_of_window(self, dated: float) -> bool:
+    def is_out_of_window(self, key_time_s: float) -> bool:
         """Return whether the timestamp of a key is outside the window.
 
         An earlier claim of such a key may already have been evicted, so the
         key must be refused. Only log time is used, so that every host reaches
         the same verdict. Always False for a key without a timestamp.
         """
-        if not dated:
+        if not key_time_s:
             return False
-        return not -AHEAD_S <= self.now - dated < self.window_s
+        return not -MAX_KEY_AHEAD_S <= self.now - key_time_s < self.window_s
 
     def due_for_snapshot(self, age_s: float, limit: int) -> list[Snapshot]:
         """Return snapshots of claims whose newest record is older than ``age_s``.
@@ -127,74 +127,80 @@
         Stops after the key at which ``limit`` is reached.
         """
         due = []
-        for key, rows in self.rows.items():
+        for key, claims in self.claims.items():
             due += [
-                Snapshot(_claim(key, row), row.offset, row.time)
-                for row in rows
-                if row.until > self.now and self.now - row.recorded > age_s
+                Snapshot(_claim(key, held), held.offset, held.time)
+                for held in claims
+                if held.expires_s > self.now and self.now - held.recorded > age_s
             ]
             if len(due) >= limit:
                 break
         return due
 
-    def _hold(self, claim: Claim, offset: int, time: float, recorded: float) -> None:
+    def _add_claim(
+        self, claim: Claim, offset: int, time: float, recorded: float
+    ) -> None:
         if claim.nonce in self.released:
             return
-        rows = self.rows.setdefault(claim.key, [])
-        for row in rows:
-            if row.nonce == claim.nonce:
-                row.recorded = max(row.recorded, recorded)
+        claims = self.claims.setdefault(claim.key, [])
+        for held in claims:
+            if held.nonce == claim.nonce:
+                held.recorded = max(held.recorded, recorded)
                 return
-        if len(rows) >= RIVALS_PER_KEY:
+        if len(claims) >= MAX_CLAIMS_PER_KEY:
             # Once the stored claims are released, a claim that was not stored
             # can't be told from no claim, so this key is never freed within
             # the window.
-            self.crowded.add(claim.key)
+            self.overflowed_keys.add(claim.key)
             return
-        until = max(time, claim.dated) + self.window_s
+        expires_s = max(time, claim.key_time_s) + self.window_s
         host = HostId(sys.intern(claim.host))
-        rows.append(
-            Held(
+        claims.append(
+            HeldClaim(
                 claim.nonce,
                 host,
                 claim.incarnation,
                 claim.body,
-                claim.dated,
+                claim.key_time_s,
                 offset,
                 time,
-                until,
+                expires_s,
                 recorded,
             )
         )
-        rows.sort(key=lambda row: row.offset)
+        claims.sort(key=lambda held: held.offset)
 
     def _release(self, record: Release) -> None:
         self.released[record.nonce] = self.now
-        if record.key in self.crowded:
+        if record.key in self.overflowed_keys:
             return
-        rows = [
-            row for row in self.rows.get(record.key, ()) if row.nonce != record.nonce
+        claims = [
+            held
+            for held in self.claims.get(record.key, ())
+            if held.nonce != record.nonce
         ]
-        if rows:
-            self.rows[record.key] = rows
+        if claims:
+            self.claims[record.key] = claims
         else:
-            self.rows.pop(record.key, None)
+            self.claims.pop(record.key, None)
 
-    def _forget(self) -> None:
+    def _evict_expired(self) -> None:
         """Remove entries older than the window, which bounds the table's size."""
-        self.scanned = self.now
-        for key, rows in list(self.rows.items()):
-            kept = [row for row in rows if row.until > self.now]
-            if kept:
-                self.rows[key] = kept
+        self.last_scan = self.now
+        for key, claims in list(self.claims.items()):
+            unexpired = [held for held in claims if held.expires_s > self.now]
+            if unexpired:
+                self.claims[key] = unexpired
             else:
-                del self.rows[key]
-                self.crowded.discard(key)
+                del self.claims[key]
+                self.overflowed_keys.discard(key)
         oldest = self.now - self.window_s
         self.released = {
             nonce: time for nonce, time in self.released.items() if time > oldest
         }
 
 
-def _claim(key: bytes, row: Held) -> Claim:
-    return Claim(key, row.nonce, row.host, row.incarnation, row.body, row.dated)
+def _claim(key: bytes, held: HeldClaim) -> Claim:
+    return Claim(
+        key, held.nonce, held.host, held.incarnation, held.body, held.key_time_s
+    )
--- a/godwitladder/claims/tracker.py
+++ b/godwitladder/claims/tracker.py
@@ -20,11 +20,11 @@
     StreamRecord,
     decode_record,
 )
-from godwitladder.claims.table import ClaimTable, Held
+from godwitladder.claims.table import ClaimTable, HeldClaim
 from godwitladder.clients.log import Page, Record
 from godwitladder.ids import HostId, Incarnation, Offset
 from godwitladder.logs import component_logger
-from godwitladder.quarantine.records import CrashNote
+from godwitladder.quarantine.records import CrashEvent
 
 log = component_logger("claims")
 
@@ -57,7 +57,7 @@
     key: bytes
     nonce: bytes
     body: bytes
-    dated: float
+    key_time_s: float
     due: float
 
 
@@ -67,7 +67,7 @@
 
     nonce: bytes
     verdict: Verdict
-    holder: Held | None = None
+    holder: HeldClaim | None = None
 
 
 @dataclass
@@ -84,11 +84,11 @@
         Records of the append in progress. There is at most one append.
     sent : set
         Nonces of unresolved claims that may be in the log.
-    given_up : set
+    unconfirmed_releases : set
         Nonces of own claims whose release has not been read back yet. The
         host knows that they never run, so it ignores them when it looks up
         the holder of a key.
-    notes : list
+    crash_events : list
         Crash events that were read, each with its log time.
     caught_up : bool
         Whether the last read reached the end of the stream.
@@ -106,28 +106,28 @@
     outgoing: list[StreamRecord] = field(default_factory=list)
     in_flight: list[StreamRecord] = field(default_factory=list)
     sent: set[bytes] = field(default_factory=set)
-    given_up: set[bytes] = field(default_factory=set)
-    notes: list[tuple[CrashNote, float]] = field(default_factory=list)
+    unconfirmed_releases: set[bytes] = field(default_factory=set)
+    crash_events: list[tuple[CrashEvent, float]] = field(default_factory=list)
     caught_up: bool = False
     read_failing: bool = False
     append_failed_until: float = 0.0
 
-    def want(self, wanted: ClaimRequest, now: float) -> ClaimResult | None:
+    def submit(self, request: ClaimRequest, now: float) -> ClaimResult | None:
         """Claim a key, and return the result if it is already known."""
-        holder = self.table.holder(wanted.key, self.given_up)
+        holder = self.table.holder(request.key, self.unconfirmed_releases)
         if self.caught_up and holder:
-            return _lost(wanted, holder)
-        if self.is_failing(now) or wanted.due <= now:
-            return ClaimResult(wanted.nonce, Verdict.UNAVAILABLE)
-        self.pending[wanted.nonce] = wanted
+            return _lost_result(request, holder)
+        if self.is_failing(now) or request.due <= now:
+            return ClaimResult(request.nonce, Verdict.UNAVAILABLE)
+        self.pending[request.nonce] = request
         self.outgoing.append(
             Claim(
-                wanted.key,
-                wanted.nonce,
+                request.key,
+                request.nonce,
                 self.host,
                 self.incarnation,
-                wanted.body,
-                wanted.dated,
+                request.body,
+                request.key_time_s,
             )
         )
         return None
@@ -136,7 +136,7 @@
         """Return whether the log did not respond to the last read or append."""
         return self.read_failing or now < self.append_failed_until
 
-    def give_up(self, key: bytes, nonce: bytes) -> None:
+    def release(self, key: bytes, nonce: bytes) -> None:
         """Release a claim that was not dispatched and never will be.
 
         The request must already be in a final state, since another host may
@@ -145,10 +145,12 @@
         unsettled = self.pending.pop(nonce, None)
         never_sent = unsettled is not None and nonce not in self.sent
         self.sent.discard(nonce)
-        self.outgoing = [row for row in self.outgoing if not _claims(row, nonce)]
-        if never_sent or nonce in self.given_up:
+        self.outgoing = [
+            record for record in self.outgoing if not _is_claim_of(record, nonce)
+        ]
+        if never_sent or nonce in self.unconfirmed_releases:
             return
-        self.given_up.add(nonce)
+        self.unconfirmed_releases.add(nonce)
         self.outgoing.append(Release(key, nonce))
 
     def take_batch(self) -> list[StreamRecord]:
@@ -156,7 +158,9 @@
         if self.in_flight:
             return []
         self.in_flight, self.outgoing = self.outgoing, []
-        self.sent |= {row.nonce for row in self.in_flight if isinstance(row, Claim)}
+        self.sent |= {
+            record.nonce for record in self.in_flight if isinstance(record, Claim)
+        }
         return self.in_flight
 
     def append_done(self) -> None:
@@ -171,12 +175,12 @@
         so appending again is safe. Claims that were resolved or released in
         the meantime are left out.
         """
-        again = [
-            row
-            for row in self.in_flight
-            if not isinstance(row, Claim) or row.nonce in self.pending
+        retained = [
+            record
+            for record in self.in_flight
+            if not isinstance(record, Claim) or record.nonce in self.pending
         ]
-        self.outgoing = again + self.outgoing
+        self.outgoing = retained + self.outgoing
         self.in_flight = []
         self.append_failed_until = now + RETRY_DELAY_S
 
@@ -187,24 +191,24 @@
     def read(self, page: Page) -> list[ClaimResult]:
         """Replay a page and return the results of this host's claims in it."""
         self.read_failing = False
-        settled = self._skip_gap(page.first)
+        results = self._reset_after_gap(page.first)
         for record in page.records:
             if record.offset >= self.table.next:
-                settled += self._replay(record)
+                results += self._replay(record)
         self.caught_up = self.table.next >= page.next
-        return settled
+        return results
 
     def expire(self, now: float) -> list[ClaimResult]:
         """Release claims whose requests stopped waiting, and return their results."""
-        due = [row for row in self.pending.values() if row.due <= now]
-        return [self._abandon(row) for row in due]
+        due = [request for request in self.pending.values() if request.due <= now]
+        return [self._abandon(request) for request in due]
 
     def snapshot(self, age_s: float) -> None:
         """Queue snapshots of claims whose newest record is older than ``age_s``."""
         if self.caught_up and not self.in_flight and not self.outgoing:
             self.outgoing += self.table.due_for_snapshot(age_s, SNAPSHOT_RECORDS)
 
-    def _skip_gap(self, first: Offset) -> list[ClaimResult]:
+    def _reset_after_gap(self, first: Offset) -> list[ClaimResult]:
         """Reset the table if the log dropped records before they were read.
 
         The dropped records may include a claim with a lower offset than a
@@ -213,19 +217,19 @@
         """
         if first <= self.table.next:
             return []
-        started = self.table.next > 0
+        had_records = self.table.next > 0
         self.table = ClaimTable(self.table.window_s, self.table.now, first)
-        if not started:
+        if not had_records:
             return []
         log.warning(
             "Records were dropped from the log before they were read",
             extra={"first": first},
         )
-        return [self._abandon(row) for row in list(self.pending.values())]
+        return [self._abandon(request) for request in list(self.pending.values())]
 
     def _replay(self, record: Record) -> list[ClaimResult]:
         try:
-            row = decode_record(record.data)
+            decoded = decode_record(record.data)
         except BadRecord as error:
             log.warning(
                 "Skipped an invalid record in the claims stream",
@@ -233,40 +237,40 @@
             )
             self.table.next = Offset(record.offset + 1)
             return []
-        if not isinstance(row, Claim | Release | Snapshot):
+        if not isinstance(decoded, Claim | Release | Snapshot):
             self.table.next = Offset(record.offset + 1)
-            self.notes.append((row, record.time))
+            self.crash_events.append((decoded, record.time))
             return []
-        self.table.replay(record.offset, record.time, row)
-        if isinstance(row, Release):
-            self.given_up.discard(row.nonce)
-        if not isinstance(row, Claim) or row.nonce not in self.pending:
+        self.table.replay(record.offset, record.time, decoded)
+        if isinstance(decoded, Release):
+            self.unconfirmed_releases.discard(decoded.nonce)
+        if not isinstance(decoded, Claim) or decoded.nonce not in self.pending:
             return []
-        return [self._settle(self.pending[row.nonce])]
-
-    def _settle(self, wanted: ClaimRequest) -> ClaimResult:
-        holder = self.table.holder(wanted.key)
-        if holder and holder.nonce == wanted.nonce:
-            del self.pending[wanted.nonce]
-            self.sent.discard(wanted.nonce)
-            return ClaimResult(wanted.nonce, Verdict.WON)
-        self.give_up(wanted.key, wanted.nonce)
+        return [self._resolve(self.pending[decoded.nonce])]
+
+    def _resolve(self, request: ClaimRequest) -> ClaimResult:
+        holder = self.table.holder(request.key)
+        if holder and holder.nonce == request.nonce:
+            del self.pending[request.nonce]
+            self.sent.discard(request.nonce)
+            return ClaimResult(request.nonce, Verdict.WON)
+        self.release(request.key, request.nonce)
         if holder is None:
-            return ClaimResult(wanted.nonce, Verdict.EXPIRED)
-        return _lost(wanted, holder)
+            return ClaimResult(request.nonce, Verdict.EXPIRED)
+        return _lost_result(request, holder)
 
-    def _abandon(self, wanted: ClaimRequest) -> ClaimResult:
-        self.give_up(wanted.key, wanted.nonce)
-        return ClaimResult(wanted.nonce, Verdict.UNAVAILABLE)
+    def _abandon(self, request: ClaimRequest) -> ClaimResult:
+        self.release(request.key, request.nonce)
+        return ClaimResult(request.nonce, Verdict.UNAVAILABLE)
 
 
-def _lost(wanted: ClaimRequest, holder: Held) -> ClaimResult:
-    if holder.body != wanted.body:
-        return ClaimResult(wanted.nonce, Verdict.REUSED, holder)
-    return ClaimResult(wanted.nonce, Verdict.HELD, holder)
+def _lost_result(request: ClaimRequest, holder: HeldClaim) -> ClaimResult:
+    if holder.body != request.body:
+        return ClaimResult(request.nonce, Verdict.REUSED, holder)
+    return ClaimResult(request.nonce, Verdict.HELD, holder)
 
 
-def _claims(record: StreamRecord, nonce: bytes) -> bool:
+def _is_claim_of(record: StreamRecord, nonce: bytes) -> bool:
     return isinstance(record, Claim) and record.nonce == nonce
 
 
--- a/godwitladder/quarantine/records.py
+++ b/godwitladder/quarantine/records.py
@@ -46,4 +46,4 @@
     operator: str
 
 
-CrashNote = Crash | Cleared | Lifted
+CrashEvent = Crash | Cleared | Lifted
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -10,7 +10,7 @@
 
 import pykka
 
-from godwitladder.claims.actor import Note, ReleaseClaim, SubmitClaim
+from godwitladder.claims.actor import AppendCrashEvent, ReleaseClaim, SubmitClaim
 from godwitladder.claims.records import BODY_BYTES, KEY_BYTES, nonce_bytes
 from godwitladder.claims.tracker import ClaimRequest, ClaimResult, Verdict
 from godwitladder.clock import Clock
@@ -25,7 +25,7 @@
 from godwitladder.membership.mesh import Mesh
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
 from godwitladder.quarantine.acknowledgements import NoteEchoes
-from godwitladder.quarantine.records import Cleared, Crash, CrashNote, Lifted
+from godwitladder.quarantine.records import Cleared, Crash, CrashEvent, Lifted
 from godwitladder.serving.calls import Call, CallRefused
 
 log = component_logger("quarantine")
@@ -144,17 +144,17 @@
         with self.lock:
             return self.table.status(digest, self.clock.monotonic())
 
-    def handle_message(self, link: Link, message: CrashNote) -> None:
+    def handle_message(self, link: Link, message: CrashEvent) -> None:
         """Apply a peer's event, and forward it if it is new."""
         self.echoes.note(message.report, link.peer)
         if self.apply(message, 0.0):
             self.mesh.broadcast(message)
 
-    def replay(self, note: CrashNote, time: float) -> None:
+    def replay(self, note: CrashEvent, time: float) -> None:
         """Apply an event from the log; ``time`` is its log time."""
         self.apply(note, max(0.0, self.clock.wall() - time))
 
-    def apply(self, note: CrashNote, age_s: float) -> bool:
+    def apply(self, note: CrashEvent, age_s: float) -> bool:
         """Apply an event, unless it is a duplicate or too old to have an effect.
 
         Returns whether the event was applied. ``age_s`` is its age in seconds.
@@ -168,7 +168,7 @@
             self._apply(note, self.clock.monotonic() - age_s)
             return True
 
-    def _apply(self, note: CrashNote, at: float) -> None:
+    def _apply(self, note: CrashEvent, at: float) -> None:
         if isinstance(note, Crash):
             self.table.record_crash(note.target, note.digest, note.trial, at)
         elif isinstance(note, Cleared):
@@ -176,11 +176,11 @@
         else:
             self.table.lift(note.digest)
 
-    def publish(self, note: CrashNote) -> None:
+    def publish(self, note: CrashEvent) -> None:
         """Apply an event of this host and send it to all other hosts."""
         self.apply(note, 0.0)
         self.mesh.broadcast(note)
-        self.claims.tell(Note(note))
+        self.claims.tell(AppendCrashEvent(note))
         log.warning("Published a crash event", extra={"note": repr(note)})
 
     def publish_crash(self, note: Crash) -> None:
--- a/tests/claims/test_notes.py
+++ b/tests/claims/test_crash_events.py
@@ -8,7 +8,7 @@
 from godwitladder.metrics import Metrics
 
 
-def test_a_note_is_known_before_the_claim_behind_it_is_won():
+def test_crash_event_is_applied_before_results_of_later_claims():
     """Guards against a request that crashes a third target.
 
     A trial crashed its target. The log contains that crash event, followed by
@@ -21,10 +21,11 @@
     claims = Claims.__new__(Claims)
     claims.metrics = Metrics()
     claims.replies = {b"n": reply}
-    claims.take_note = lambda note, time: known_before.append(reply.empty())
-    claims.collector = SimpleNamespace(
-        read=lambda page: [ClaimResult(b"n", Verdict.WON)], notes=[("a crash", 0.0)]
+    claims.on_event = lambda event, time: known_before.append(reply.empty())
+    claims.tracker = SimpleNamespace(
+        read=lambda page: [ClaimResult(b"n", Verdict.WON)],
+        crash_events=[("a crash", 0.0)],
     )
-    claims.take(PageRead(None))
+    claims.handle(PageRead(None))
     assert known_before == [True]
     assert reply.get_nowait().verdict is Verdict.WON
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -46,7 +46,7 @@
     for index in range(30):
         late = keys.issue("advisers", 10.0 + 10 * index)
         keys.use(late, f"other-{index}", "body", 10.0 + 10 * index)
-    assert len(keys.spent) < 15
+    assert len(keys.used) < 15
     assert keys.use(key, "d", "body", 320.0) is KeyUseResult.EXPIRED
     with pytest.raises(ForgedKey):
         IssuedKeys("a", 2, WINDOW_S).use(key, "d", "body", 12.0)
--- a/tests/claims/test_machine.py
+++ b/tests/claims/test_machine.py
@@ -106,7 +106,7 @@
         nonce = len(self.attempts).to_bytes(12, "big")
         attempt = self.attempts[nonce] = Attempt(index, key, nonce)
         wanted = ClaimRequest(key, nonce, BODY, 0.0, self.log.now + PATIENCE_S)
-        settled = self.hosts[index].want(wanted, self.log.now)
+        settled = self.hosts[index].submit(wanted, self.log.now)
         self.take([settled] if settled else [])
         return attempt
 
@@ -165,7 +165,7 @@
         if rows:
             row = rows[pick % len(rows)]
             row.state = "not_run"
-            self.hosts[row.host].give_up(row.key, row.nonce)
+            self.hosts[row.host].release(row.key, row.nonce)
 
     @rule(index=hosts_)
     def expire(self, index: int) -> None:
@@ -178,7 +178,7 @@
             if row.host == index and row.state in ("pending", "won"):
                 row.state = "died"
         held = self.hosts[index]
-        unreleased = held.given_up | held.sent
+        unreleased = held.unconfirmed_releases | held.sent
         for row in self.attempts.values():
             if row.state == "died" or row.nonce in unreleased:
                 self.naive.hold(row.key, self.log.now + WINDOW_S)
@@ -222,7 +222,7 @@
         for row in list(self.attempts.values()):
             if row.state in ("pending", "won"):
                 row.state = "not_run"
-                self.hosts[row.host].give_up(row.key, row.nonce)
+                self.hosts[row.host].release(row.key, row.nonce)
             if row.state == "ran":
                 self.naive.hold(row.key, row.claimed_at + WINDOW_S)
         for batch in self.late:
--- a/tests/claims/test_collector.py
+++ b/tests/claims/test_tracker.py
@@ -1,7 +1,7 @@
 """Single steps of claims: retention, gaps, keys with timestamps, outages."""
 
 from godwitladder.claims.records import Claim, Release, encode_record
-from godwitladder.claims.table import AHEAD_S, RIVALS_PER_KEY, ClaimTable
+from godwitladder.claims.table import MAX_CLAIMS_PER_KEY, MAX_KEY_AHEAD_S, ClaimTable
 from godwitladder.claims.tracker import ClaimRequest, ClaimTracker, Verdict
 from godwitladder.clients.log import Page, Record
 from tests.claims.test_machine import BODY, RETENTION_S, WINDOW_S, FakeLog
@@ -20,10 +20,10 @@
 
 
 def claim(
-    log: FakeLog, host: ClaimTracker, nonce: bytes, body=BODY, dated=0.0
+    log: FakeLog, host: ClaimTracker, nonce: bytes, body=BODY, key_time_s=0.0
 ) -> list[Verdict]:
     catch_up(log, host)
-    settled = host.want(ClaimRequest(KEY, nonce, body, dated, FAR), log.now)
+    settled = host.submit(ClaimRequest(KEY, nonce, body, key_time_s, FAR), log.now)
     if settled:
         return [settled.verdict]
     log.append(host.take_batch())
@@ -41,7 +41,7 @@
     """
     log, host, other = FakeLog(), make_host("a"), make_host("b")
     assert claim(log, host, b"1") == [Verdict.WON]
-    host.give_up(KEY, b"1")
+    host.release(KEY, b"1")
     host.take_batch()
     host.append_failed(log.now)
     assert claim(log, other, b"2") == [Verdict.HELD]
@@ -105,7 +105,7 @@
     log, host = FakeLog(), make_host("a")
     log.append([Release(b"x" * 16, b"x")])
     catch_up(log, host)
-    host.want(ClaimRequest(KEY, b"1", BODY, 0.0, FAR), log.now)
+    host.submit(ClaimRequest(KEY, b"1", BODY, 0.0, FAR), log.now)
     log.append([Claim(KEY, b"0", "b", 1, BODY, 0.0)])
     log.append(host.take_batch())
     host.append_done()
@@ -117,13 +117,13 @@
 def test_dated_key_is_refused_after_the_window_and_other_keys_are_free():
     """A key with a timestamp is refused once its claim may have been evicted."""
     log, host = FakeLog(), make_host("a")
-    assert claim(log, host, b"1", dated=log.now) == [Verdict.WON]
-    dated = log.now
+    assert claim(log, host, b"1", key_time_s=log.now) == [Verdict.WON]
+    key_time_s = log.now
     log.now += WINDOW_S + 1
     log.append([Release(b"x" * 16, b"x")])
-    assert claim(log, host, b"2", dated=dated) == [Verdict.EXPIRED]
-    ahead = log.now + AHEAD_S + 1
-    assert claim(log, host, b"3", dated=ahead) == [Verdict.EXPIRED]
+    assert claim(log, host, b"2", key_time_s=key_time_s) == [Verdict.EXPIRED]
+    ahead = log.now + MAX_KEY_AHEAD_S + 1
+    assert claim(log, host, b"3", key_time_s=ahead) == [Verdict.EXPIRED]
     assert claim(log, host, b"4") == [Verdict.WON]
 
 
@@ -139,7 +139,7 @@
     log, host = FakeLog(), make_host("a")
     catch_up(log, host)
     host.read_failed()
-    settled = host.want(ClaimRequest(KEY, b"1", BODY, 0.0, FAR), log.now)
+    settled = host.submit(ClaimRequest(KEY, b"1", BODY, 0.0, FAR), log.now)
     assert settled.verdict is Verdict.UNAVAILABLE
     assert not host.take_batch()
 
@@ -147,7 +147,7 @@
 def test_claim_that_was_never_sent_needs_no_release():
     """A claim that was never appended is dropped without appending a release."""
     log, host = FakeLog(), make_host("a")
-    host.want(ClaimRequest(KEY, b"1", BODY, 0.0, log.now + 1), log.now)
+    host.submit(ClaimRequest(KEY, b"1", BODY, 0.0, log.now + 1), log.now)
     log.now += 2
     assert [row.verdict for row in host.expire(log.now)] == [Verdict.UNAVAILABLE]
     assert not host.take_batch()
@@ -156,13 +156,13 @@
 def test_crowded_key_stays_held():
     """Claims beyond the limit are not stored, so their key is never freed."""
     table = ClaimTable(WINDOW_S)
-    nonces = [bytes([index]) for index in range(RIVALS_PER_KEY + 1)]
+    nonces = [bytes([index]) for index in range(MAX_CLAIMS_PER_KEY + 1)]
     for offset, nonce in enumerate(nonces):
         table.replay(offset, 1.0, Claim(KEY, nonce, "a", 1, BODY, 0.0))
     for offset, nonce in enumerate(nonces[:-1]):
         table.replay(100 + offset, 1.0, Release(KEY, nonce))
     assert table.holder(KEY) is not None
-    assert len(table.rows[KEY]) == RIVALS_PER_KEY
+    assert len(table.claims[KEY]) == MAX_CLAIMS_PER_KEY
 
 
 def test_bad_record_is_passed_over():
@@ -189,7 +189,7 @@
     """Of two concurrent claims one wins, and the other is released by its host."""
     log, host, other = FakeLog(), make_host("a"), make_host("b")
     for index, claimer in enumerate((host, other)):
-        claimer.want(ClaimRequest(KEY, b"%d" % index, BODY, 0.0, FAR), log.now)
+        claimer.submit(ClaimRequest(KEY, b"%d" % index, BODY, 0.0, FAR), log.now)
         log.append(claimer.take_batch())
         claimer.append_done()
     assert catch_up(log, host, other) == [Verdict.WON, Verdict.HELD]
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from godwitladder.claims.actor import Note, ReleaseClaim, SubmitClaim
+from godwitladder.claims.actor import AppendCrashEvent, ReleaseClaim, SubmitClaim
 from godwitladder.claims.tracker import ClaimResult, Verdict
 from godwitladder.clock import ManualClock
 from godwitladder.configuration.model import Service, ServiceKind, Target
@@ -36,7 +36,7 @@
     def tell(self, message) -> None:
         self.told.append(message)
         if isinstance(message, SubmitClaim):
-            message.reply.put(ClaimResult(message.wanted.nonce, self.verdict))
+            message.reply.put(ClaimResult(message.request.nonce, self.verdict))
 
     def kinds(self) -> list[type]:
         return [type(message) for message in self.told]
@@ -125,7 +125,12 @@
     watch.run = end(RequestState.COMPLETED)
     assert watch.serve(call, {}, None) == [None]
     assert watch.standing(crash_digest(call)) is QuarantineStatus.CLEAR
-    assert watch.claims.kinds() == [Note, SubmitClaim, Note, ReleaseClaim]
+    assert watch.claims.kinds() == [
+        AppendCrashEvent,
+        SubmitClaim,
+        AppendCrashEvent,
+        ReleaseClaim,
+    ]
     assert isinstance(watch.mesh.sent[-1], Cleared)
 
 
