--- a/godwitladder/quarantine/acknowledgements.py
+++ b/godwitladder/quarantine/acknowledgements.py
@@ -12,7 +12,7 @@
 from godwitladder.ids import HostId
 
 
-class NoteEchoes:
+class EventAcknowledgements:
     """Events of this host that peers have not yet sent back.
 
     Parameters
@@ -34,30 +34,30 @@
         self.missing: dict[str, set[HostId]] = {}
         self.complete: dict[str, threading.Event] = {}
 
-    def expect(self, report: str, peers: Collection[HostId]) -> None:
-        """Expect ``report`` back from each of ``peers``; call before it is sent."""
+    def expect(self, event_id: str, peers: Collection[HostId]) -> None:
+        """Expect ``event_id`` back from each of ``peers``; call before it is sent."""
         with self.lock:
-            self.missing[report] = set(peers)
-            self.complete[report] = threading.Event()
+            self.missing[event_id] = set(peers)
+            self.complete[event_id] = threading.Event()
             if not peers:
-                self.complete[report].set()
+                self.complete[event_id].set()
 
-    def note(self, report: str, peer: HostId) -> None:
-        """Record that ``peer`` has sent ``report``."""
+    def acknowledge(self, event_id: str, peer: HostId) -> None:
+        """Record that ``peer`` has sent ``event_id``."""
         with self.lock:
-            missing = self.missing.get(report)
+            missing = self.missing.get(event_id)
             if missing is None:
                 return
             missing.discard(peer)
             if not missing:
-                self.complete[report].set()
+                self.complete[event_id].set()
 
-    def wait(self, report: str, seconds: float) -> bool:
-        """Wait until all peers have sent ``report`` back, at most ``seconds``.
+    def wait(self, event_id: str, seconds: float) -> bool:
+        """Wait until all peers have sent ``event_id`` back, at most ``seconds``.
 
         Returns whether all have. The event is no longer tracked afterwards.
         """
-        heard = self.clock.wait(self.complete[report], seconds)
+        acknowledged = self.clock.wait(self.complete[event_id], seconds)
         with self.lock:
-            del self.missing[report], self.complete[report]
-        return heard
+            del self.missing[event_id], self.complete[event_id]
+        return acknowledged
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -24,19 +24,19 @@
 from godwitladder.membership.links import Link
 from godwitladder.membership.mesh import Mesh
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
-from godwitladder.quarantine.acknowledgements import NoteEchoes
+from godwitladder.quarantine.acknowledgements import EventAcknowledgements
 from godwitladder.quarantine.records import Cleared, Crash, CrashEvent, Lifted
 from godwitladder.serving.calls import Call, CallRefused
 
 log = component_logger("quarantine")
 
-PROBE_S = 1.0
-TRIAL_WAIT_S = 3.0
-TRIAL_RETRY_S = 2.0
-ECHO_S = 0.5
+PROBE_TIMEOUT_S = 1.0
+TRIAL_CLAIM_TIMEOUT_S = 3.0
+TRIAL_RETRY_AFTER_S = 2.0
+ACK_TIMEOUT_S = 0.5
 """A peer that has not acknowledged an event by then is taken as unreachable."""
-SEEN_REPORTS = 10_000
-UNKNOWN_STREAM = 404
+MAX_SEEN_EVENTS = 10_000
+UNKNOWN_STREAM_STATUS = 404
 SUSPECT_TEXT = (
     "A target crashed while it ran this request. Such requests run one at a time, "
     "and another is running, or none can be agreed on."
@@ -82,7 +82,7 @@
         Suspect and quarantined requests.
     seen : dict
         Ids of the latest events that were applied, in order of arrival.
-    echoes : NoteEchoes
+    acknowledgements : EventAcknowledgements
         Events of this host that peers have not yet acknowledged.
     """
 
@@ -101,7 +101,7 @@
         self.clock = clock
         self.table = Quarantine()
         self.seen: dict[str, None] = {}
-        self.echoes = NoteEchoes(clock)
+        self.acknowledgements = EventAcknowledgements(clock)
         self.lock = threading.Lock()
 
     def serve(self, call: Call, environ: Mapping, start_response) -> Iterable[bytes]:
@@ -114,88 +114,90 @@
             the trial now.
         """
         digest = crash_digest(call)
-        standing = self.standing(digest)
-        if standing is QuarantineStatus.QUARANTINED:
+        status = self.status(digest)
+        if status is QuarantineStatus.QUARANTINED:
             call.on_end(RequestState.NOT_RUN)
-            raise CallRefused(quarantined(digest))
+            raise CallRefused(quarantined_refusal(digest))
         trial = Trial()
-        if standing is QuarantineStatus.SUSPECT and not self._begin_trial(trial):
+        if status is QuarantineStatus.SUSPECT and not self._begin_trial(trial):
             call.on_end(RequestState.NOT_RUN)
-            raise CallRefused(suspected())
-        inner = call.on_end
+            raise CallRefused(suspect_refusal())
+        call_on_end = call.on_end
 
         def on_end(state: RequestState) -> None:
             # Report a crash before the caller is answered. Otherwise the
             # caller's retry could reach a target before the crash event
             # reaches the other hosts.
-            self._note_end(call, digest, trial.release is not None, state)
+            self._record_end(call, digest, trial.release is not None, state)
             if trial.release:
                 trial.release()
-            inner(state)
+            call_on_end(state)
 
-        def before() -> Refusal | None:
-            return self._late_refusal(digest, trial)
+        def before_dispatch() -> Refusal | None:
+            return self._check_before_dispatch(digest, trial)
 
-        watched = dataclasses.replace(call, on_end=on_end, before_dispatch=before)
+        watched = dataclasses.replace(
+            call, on_end=on_end, before_dispatch=before_dispatch
+        )
         return self.run(watched, environ, start_response)
 
-    def standing(self, digest: BodyDigest) -> QuarantineStatus:
+    def status(self, digest: BodyDigest) -> QuarantineStatus:
         """Return the quarantine status of the request with ``digest``."""
         with self.lock:
             return self.table.status(digest, self.clock.monotonic())
 
     def handle_message(self, link: Link, message: CrashEvent) -> None:
         """Apply a peer's event, and forward it if it is new."""
-        self.echoes.note(message.report, link.peer)
+        self.acknowledgements.acknowledge(message.report, link.peer)
         if self.apply(message, 0.0):
             self.mesh.broadcast(message)
 
-    def replay(self, note: CrashEvent, time: float) -> None:
+    def replay(self, event: CrashEvent, time: float) -> None:
         """Apply an event from the log; ``time`` is its log time."""
-        self.apply(note, max(0.0, self.clock.wall() - time))
+        self.apply(event, max(0.0, self.clock.wall() - time))
 
-    def apply(self, note: CrashEvent, age_s: float) -> bool:
+    def apply(self, event: CrashEvent, age_s: float) -> bool:
         """Apply an event, unless it is a duplicate or too old to have an effect.
 
         Returns whether the event was applied. ``age_s`` is its age in seconds.
         """
         with self.lock:
-            if note.report in self.seen or age_s > HOLD_S:
+            if event.report in self.seen or age_s > HOLD_S:
                 return False
-            self.seen[note.report] = None
-            if len(self.seen) > SEEN_REPORTS:
+            self.seen[event.report] = None
+            if len(self.seen) > MAX_SEEN_EVENTS:
                 del self.seen[next(iter(self.seen))]
-            self._apply(note, self.clock.monotonic() - age_s)
+            self._apply(event, self.clock.monotonic() - age_s)
             return True
 
-    def _apply(self, note: CrashEvent, at: float) -> None:
-        if isinstance(note, Crash):
-            self.table.record_crash(note.target, note.digest, note.trial, at)
-        elif isinstance(note, Cleared):
-            self.table.clear(note.digest)
+    def _apply(self, event: CrashEvent, at: float) -> None:
+        if isinstance(event, Crash):
+            self.table.record_crash(event.target, event.digest, event.trial, at)
+        elif isinstance(event, Cleared):
+            self.table.clear(event.digest)
         else:
-            self.table.lift(note.digest)
+            self.table.lift(event.digest)
 
-    def publish(self, note: CrashEvent) -> None:
+    def publish(self, event: CrashEvent) -> None:
         """Apply an event of this host and send it to all other hosts."""
-        self.apply(note, 0.0)
-        self.mesh.broadcast(note)
-        self.claims.tell(AppendCrashEvent(note))
-        log.warning("Published a crash event", extra={"note": repr(note)})
+        self.apply(event, 0.0)
+        self.mesh.broadcast(event)
+        self.claims.tell(AppendCrashEvent(event))
+        log.warning("Published a crash event", extra={"note": repr(event)})
 
-    def publish_crash(self, note: Crash) -> None:
+    def publish_crash(self, event: Crash) -> None:
         """Publish a crash, and wait until the peers have acknowledged it.
 
         If the caller were answered earlier, its retry could reach a peer that
         does not know of the crash yet, and crash another target.
         """
         peers = {link.peer for link in self.mesh.current()}
-        self.echoes.expect(note.report, peers)
-        self.publish(note)
-        if not self.echoes.wait(note.report, ECHO_S):
+        self.acknowledgements.expect(event.report, peers)
+        self.publish(event)
+        if not self.acknowledgements.wait(event.report, ACK_TIMEOUT_S):
             log.warning(
                 "Not all peers have acknowledged a crash event",
-                extra={"note": repr(note)},
+                extra={"note": repr(event)},
             )
 
     def remaining_quarantines(self) -> dict[BodyDigest, float]:
@@ -209,7 +211,9 @@
         """Lift a quarantine on all hosts."""
         self.publish(Lifted(secrets.token_hex(8), digest, operator))
 
-    def _late_refusal(self, digest: BodyDigest, trial: "Trial") -> Refusal | None:
+    def _check_before_dispatch(
+        self, digest: BodyDigest, trial: "Trial"
+    ) -> Refusal | None:
         """Check a request again just before it is sent to a target.
 
         Copies of a request that were admitted before its first crash was known
@@ -217,11 +221,11 @@
         the trial, as if it had arrived after the crash; the others are refused.
         Returns the refusal, or None if the request may be sent.
         """
-        standing = self.standing(digest)
-        if standing is QuarantineStatus.QUARANTINED:
-            return quarantined(digest)
-        if standing is QuarantineStatus.SUSPECT and not trial.release:
-            return None if self._begin_trial(trial) else suspected()
+        status = self.status(digest)
+        if status is QuarantineStatus.QUARANTINED:
+            return quarantined_refusal(digest)
+        if status is QuarantineStatus.SUSPECT and not trial.release:
+            return None if self._begin_trial(trial) else suspect_refusal()
         return None
 
     def _begin_trial(self, trial: "Trial") -> bool:
@@ -234,7 +238,7 @@
         period = int(self.clock.wall() // HOLD_S)
         key = hashlib.sha256(b"trial %d" % period).digest()[:KEY_BYTES]
         nonce = nonce_bytes(secrets.token_hex(12))
-        due = self.clock.monotonic() + TRIAL_WAIT_S
+        due = self.clock.monotonic() + TRIAL_CLAIM_TIMEOUT_S
         reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
         self.claims.tell(
             SubmitClaim(ClaimRequest(key, nonce, bytes(BODY_BYTES), 0.0, due), reply)
@@ -244,17 +248,17 @@
         trial.release = lambda: self.claims.tell(ReleaseClaim(key, nonce))
         return True
 
-    def _note_end(
+    def _record_end(
         self, call: Call, digest: BodyDigest, trial: bool, state: RequestState
     ) -> None:
-        report = secrets.token_hex(8)
+        event_id = secrets.token_hex(8)
         if state is RequestState.COMPLETED:
-            if self.standing(digest) is QuarantineStatus.SUSPECT:
-                self.publish(Cleared(report, digest))
-        elif state is RequestState.MAY_HAVE_RUN and self._is_gone(call):
-            self.publish_crash(Crash(report, call.row.target, digest, trial))
+            if self.status(digest) is QuarantineStatus.SUSPECT:
+                self.publish(Cleared(event_id, digest))
+        elif state is RequestState.MAY_HAVE_RUN and self._has_crashed(call):
+            self.publish_crash(Crash(event_id, call.row.target, digest, trial))
 
-    def _is_gone(self, call: Call) -> bool:
+    def _has_crashed(self, call: Call) -> bool:
         """Return whether the target's process ended while it ran ``call``.
 
         In that case the target refuses connections, or the process that
@@ -266,13 +270,13 @@
             return False
         try:
             if call.service.kind is ServiceKind.PLAIN:
-                connect(target.address, PROBE_S).close()
+                connect(target.address, PROBE_TIMEOUT_S).close()
                 return False
-            resume_stream(target.address, call.row.stream, 0, PROBE_S).close()
+            resume_stream(target.address, call.row.stream, 0, PROBE_TIMEOUT_S).close()
         except NotSent as error:
-            return _is_refused(error)
+            return _is_connection_refused(error)
         except TargetRefused as error:
-            return error.status == UNKNOWN_STREAM
+            return error.status == UNKNOWN_STREAM_STATUS
         except MayHaveRun:
             return False
         return False
@@ -292,17 +296,17 @@
     return BodyDigest(hashlib.sha256(text).hexdigest())
 
 
-def quarantined(digest: BodyDigest) -> Refusal:
+def quarantined_refusal(digest: BodyDigest) -> Refusal:
     """Return the refusal for a quarantined request."""
     return refuse(Reason.QUARANTINED, QUARANTINED_TEXT.format(digest))
 
 
-def suspected() -> Refusal:
+def suspect_refusal() -> Refusal:
     """Return the refusal for a suspect that can't run as the trial now."""
-    return refuse(Reason.QUARANTINED, SUSPECT_TEXT, TRIAL_RETRY_S)
+    return refuse(Reason.QUARANTINED, SUSPECT_TEXT, TRIAL_RETRY_AFTER_S)
 
 
-def _is_refused(error: BaseException | None) -> bool:
+def _is_connection_refused(error: BaseException | None) -> bool:
     """Return whether ``error`` was caused by a refused connection.
 
     If a whole machine or rack is down, connections time out instead.
--- a/tests/quarantine/test_hosts.py
+++ b/tests/quarantine/test_hosts.py
@@ -12,25 +12,25 @@
 from tests.fleet import OPERATOR_TOKEN, Fleet, wait_until
 
 ENGINES = 4
-LETTERS = 12
+BYSTANDERS = 12
 POISON = "a poisoned prompt"
 
 
 def add_engines(fleet: Fleet) -> list[str]:
     """Start engines that can crash; return a list that receives the crashed ones."""
-    ended: list[str] = []
+    crashed: list[str] = []
     for index in range(ENGINES):
         name = f"engine-a{index}"
-        fleet.engines[name] = start_ending(fleet, name, ended)
-    return ended
+        fleet.engines[name] = start_crashing_engine(fleet, name, crashed)
+    return crashed
 
 
-def start_ending(fleet: Fleet, name: str, ended: list[str]):
+def start_crashing_engine(fleet: Fleet, name: str, crashed: list[str]):
     def hang_up(*args):
         raise Hangup
 
     def crash() -> None:
-        ended.append(name)
+        crashed.append(name)
         server.standin.await_events = hang_up
         server.shutdown()
         server.server_close()
@@ -46,7 +46,7 @@
     return fleet.chat(host, text, headers=headers, **body)
 
 
-def told(answer) -> tuple[str, str]:
+def refusal_of(answer) -> tuple[str, str]:
     body = json.loads(answer.data)
     return body["reason"], body["outcome"]
 
@@ -60,22 +60,23 @@
     not run until an operator lifts the quarantine. The requests that ran
     beside it are tried and answered, and so are similar prompts.
     """
-    ended = add_engines(fleet)
+    crashed = add_engines(fleet)
     for name, zone in (("host-a1", "a"), ("host-a2", "a"), ("host-b1", "b")):
         fleet.add_host(name, zone)
     fleet.wait_ready()
     fleet.configure()
     hosts = itertools.cycle(fleet.hosts)
-    with ThreadPoolExecutor(LETTERS) as pool:
-        beside = [
+    with ThreadPoolExecutor(BYSTANDERS) as pool:
+        bystanders = [
             pool.submit(
                 ask, fleet, host, f"letter {index}", f"b{index}", simulate_output=60
             )
-            for index, host in zip(range(LETTERS), hosts, strict=False)
+            for index, host in zip(range(BYSTANDERS), hosts, strict=False)
         ]
         wait_until(
             lambda: (
-                sum(map(len, map(fleet.run_records, fleet.engines.values()))) == LETTERS
+                sum(map(len, map(fleet.run_records, fleet.engines.values())))
+                == BYSTANDERS
             ),
             "the letters to run",
         )
@@ -83,21 +84,25 @@
             ask(fleet, host, POISON, f"k{index}" if index % 2 else "")
             for index, host in zip(range(9), hosts, strict=False)
         ]
-        struck = [row.result() for row in beside]
-    assert len(ended) == 2
-    assert [told(row) for row in answers[:2]] == [("target_lost", "may_have_run")] * 2
-    assert {told(row) for row in answers[2:]} == {("quarantined", "not_run")}
-    assert {row.status for row in struck} <= {200, 502}
-    for index, host in zip(range(LETTERS), hosts, strict=False):
+        bystander_answers = [row.result() for row in bystanders]
+    assert len(crashed) == 2
+    assert [refusal_of(row) for row in answers[:2]] == [
+        ("target_lost", "may_have_run")
+    ] * 2
+    assert {refusal_of(row) for row in answers[2:]} == {("quarantined", "not_run")}
+    assert {row.status for row in bystander_answers} <= {200, 502}
+    for index, host in zip(range(BYSTANDERS), hosts, strict=False):
         again = ask(fleet, host, f"letter {index}", f"c{index}")
         assert again.status == 200, again.data
     assert ask(fleet, fleet.hosts[0], POISON.upper(), "like").status == 200
     lift(fleet)
     wait_until(
-        lambda: told(ask(fleet, fleet.hosts[2], POISON, "lifted"))[0] != "quarantined",
+        lambda: (
+            refusal_of(ask(fleet, fleet.hosts[2], POISON, "lifted"))[0] != "quarantined"
+        ),
         "the lifted request to run",
     )
-    assert len(ended) == 3
+    assert len(crashed) == 3
 
 
 def lift(fleet: Fleet) -> None:
--- a/tests/quarantine/test_table.py
+++ b/tests/quarantine/test_table.py
@@ -23,12 +23,12 @@
     assert table.status("letter", 1.0) is QuarantineStatus.SUSPECT
     table.record_crash("t2", "poison", True, 20.0)
     table.record_crash("t2", "fresh", False, 21.0)
-    standings = {
+    statuses = {
         digest: table.status(digest, 22.0)
         for digest in ("poison", "letter", "question", "fresh")
     }
-    assert standings.pop("poison") is QuarantineStatus.QUARANTINED
-    assert set(standings.values()) == {QuarantineStatus.CLEAR}
+    assert statuses.pop("poison") is QuarantineStatus.QUARANTINED
+    assert set(statuses.values()) == {QuarantineStatus.CLEAR}
 
 
 def test_bystander_that_is_reported_first_is_cleared_as_well():
@@ -66,11 +66,11 @@
     table, crashes, now = Quarantine(), 0, 0.0
     for digest in order:
         now += MERGE_S + 1
-        standing = table.status(digest, now)
-        if standing is QuarantineStatus.QUARANTINED:
+        status = table.status(digest, now)
+        if status is QuarantineStatus.QUARANTINED:
             assert digest == "poison"
             continue
-        trial = standing is QuarantineStatus.SUSPECT
+        trial = status is QuarantineStatus.SUSPECT
         if digest != "poison":
             table.clear(digest)
             continue
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -15,7 +15,7 @@
 from godwitladder.decisions.quarantine import HOLD_S, QuarantineStatus
 from godwitladder.outcomes import Reason, RequestState
 from godwitladder.quarantine.records import Cleared, Crash
-from godwitladder.quarantine.watch import ECHO_S, CrashWatch, crash_digest
+from godwitladder.quarantine.watch import ACK_TIMEOUT_S, CrashWatch, crash_digest
 from godwitladder.scheduler.rows import RequestRow
 from godwitladder.serving.calls import Call, CallRefused
 from godwitladder.standins.ports import free_ports
@@ -121,10 +121,10 @@
     watch = make_watch(end(RequestState.MAY_HAVE_RUN))
     call = make_call("letter")
     watch.serve(call, {}, None)
-    assert watch.standing(crash_digest(call)) is QuarantineStatus.SUSPECT
+    assert watch.status(crash_digest(call)) is QuarantineStatus.SUSPECT
     watch.run = end(RequestState.COMPLETED)
     assert watch.serve(call, {}, None) == [None]
-    assert watch.standing(crash_digest(call)) is QuarantineStatus.CLEAR
+    assert watch.status(crash_digest(call)) is QuarantineStatus.CLEAR
     assert watch.claims.kinds() == [
         AppendCrashEvent,
         SubmitClaim,
@@ -168,14 +168,14 @@
     Events arrive both over links and through the log.
     """
     watch = make_watch(end(RequestState.COMPLETED))
-    note = Crash("report", "t1", "d", False)
-    watch.handle_message(FakeLink("peer"), note)
-    watch.handle_message(FakeLink("peer"), note)
-    assert watch.mesh.sent == [note]
+    event = Crash("report", "t1", "d", False)
+    watch.handle_message(FakeLink("peer"), event)
+    watch.handle_message(FakeLink("peer"), event)
+    assert watch.mesh.sent == [event]
     watch.handle_message(FakeLink("peer"), Cleared("second", "d"))
-    watch.replay(note, watch.clock.wall())
+    watch.replay(event, watch.clock.wall())
     watch.replay(Crash("third", "t2", "d", False), watch.clock.wall() - HOLD_S - 1)
-    assert watch.standing("d") is QuarantineStatus.CLEAR
+    assert watch.status("d") is QuarantineStatus.CLEAR
 
 
 def test_digest_is_of_the_messages_alone():
@@ -203,10 +203,10 @@
     thread = threading.Thread(target=serve)
     thread.start()
     wait_until(lambda: watch.mesh.sent, "the note to be sent")
-    note = watch.mesh.sent[0]
-    watch.handle_message(FakeLink("near"), note)
+    event = watch.mesh.sent[0]
+    watch.handle_message(FakeLink("near"), event)
     assert not answered.is_set()
-    watch.handle_message(FakeLink("far"), note)
+    watch.handle_message(FakeLink("far"), event)
     thread.join()
     assert answered.is_set()
 
@@ -219,5 +219,5 @@
     thread.start()
     wait_until(lambda: watch.mesh.sent, "the note to be sent")
     while thread.is_alive():
-        watch.clock.advance(ECHO_S)
+        watch.clock.advance(ACK_TIMEOUT_S)
         thread.join(0.01)
