--- a/godwitladder/orders/issuer.py
+++ b/godwitladder/orders/issuer.py
@@ -7,11 +7,11 @@
 A target that checks fencing numbers rejects a late order. Targets that ignore
 fencing numbers are protected as follows: no write starts after the lease has
 expired, according to the holder's own clock, read immediately before the write;
-a write is aborted after `SEND_S`; and a successor is granted the lease only
-`GUARD_S` after it has expired. One case remains: a process may be paused
+a write is aborted after `SEND_TIMEOUT_S`; and a successor is granted the lease only
+`LEASE_GUARD_S` after it has expired. One case remains: a process may be paused
 between reading the clock and writing, and its order may arrive after that of
 the successor. This is not prevented but repaired: each order carries the whole
-state, and the issuer reads the target's state every `RECHECK_S` and sends the
+state, and the issuer reads the target's state every `RECHECK_INTERVAL_S` and sends the
 order again if it differs.
 """
 
@@ -32,8 +32,8 @@
 from godwitladder.logs import component_logger
 from godwitladder.orders.stream import NotGranted, OrderStream
 from godwitladder.orders.wire import (
-    OldFence,
     OrderFailed,
+    StaleFence,
     TargetOrder,
     desired_order,
     read_order,
@@ -42,15 +42,22 @@
 
 log = component_logger("orders")
 
-SEND_S = 2.0
-PERIOD_S = 1.0
-RECHECK_S = 30.0
-RETRY_S = 5.0
+SEND_TIMEOUT_S = 2.0
+POLL_INTERVAL_S = 1.0
+RECHECK_INTERVAL_S = 30.0
+RETRY_INTERVAL_S = 5.0
 # Number of targets that receive orders concurrently, so that a slow target does
 # not delay the others.
-WORKERS = 8
-WEIGHT_TRIES = 3
-FAILURES = (NotGranted, NotSent, MayHaveRun, OrderFailed, OldFence, WeightsUnavailable)
+MAX_CONCURRENT_ORDERS = 8
+MAX_WEIGHT_ATTEMPTS = 3
+FAILURES = (
+    NotGranted,
+    NotSent,
+    MayHaveRun,
+    OrderFailed,
+    StaleFence,
+    WeightsUnavailable,
+)
 
 
 class OrderIssuer:
@@ -77,7 +84,7 @@
     due : dict
         For each target, the order that was last checked and the monotonic
         time in seconds of its next check.
-    busy : set
+    in_progress : set
         Targets that are being checked or receiving an order.
     """
 
@@ -98,10 +105,12 @@
         self.config = config
         self.hosts: Iterable[HostId] = ()
         self.due: dict[TargetName, tuple[TargetOrder, float]] = {}
-        self.busy: set[TargetName] = set()
+        self.in_progress: set[TargetName] = set()
         self.lock = threading.Lock()
         self.stopping = threading.Event()
-        self.workers = ThreadPoolExecutor(WORKERS, thread_name_prefix="order")
+        self.workers = ThreadPoolExecutor(
+            MAX_CONCURRENT_ORDERS, thread_name_prefix="order"
+        )
 
     def start(self) -> None:
         """Start the thread that checks targets."""
@@ -114,15 +123,15 @@
 
     def run(self) -> None:
         """Check targets periodically until stopped."""
-        while not self.clock.wait(self.stopping, PERIOD_S):
-            for name in self.mine():
+        while not self.clock.wait(self.stopping, POLL_INTERVAL_S):
+            for name in self.due_targets():
                 with self.lock:
-                    if name in self.busy:
+                    if name in self.in_progress:
                         continue
-                    self.busy.add(name)
-                self.workers.submit(self.look_after, name)
+                    self.in_progress.add(name)
+                self.workers.submit(self.reconcile, name)
 
-    def mine(self) -> list[TargetName]:
+    def due_targets(self) -> list[TargetName]:
         """Return the targets that this host is responsible for and must check now."""
         now = self.clock.monotonic()
         return [
@@ -133,13 +142,13 @@
             and choose_host(self.hosts, name) == self.host
         ]
 
-    def look_after(self, name: TargetName) -> None:
+    def reconcile(self, name: TargetName) -> None:
         """Check one target, and send it an order if its state is not as specified."""
-        wait_s = RETRY_S
+        wait_s = RETRY_INTERVAL_S
         order = None
         try:
             order = self.order(name)
-            wait_s = RECHECK_S
+            wait_s = RECHECK_INTERVAL_S
         except FAILURES as error:
             log.warning(
                 "Could not bring a target to its desired state",
@@ -147,26 +156,26 @@
             )
         finally:
             with self.lock:
-                self.busy.discard(name)
+                self.in_progress.discard(name)
                 due = self.clock.monotonic() + wait_s
-                wanted = order or self._wanted(name)
-                if wanted:
-                    self.due[name] = (wanted, due)
+                desired = order or self._desired_order(name)
+                if desired:
+                    self.due[name] = (desired, due)
 
     def order(self, name: TargetName) -> TargetOrder | None:
         """Bring one target to its desired state; return that state."""
         state = self.config()
         target = state.targets.get(name)
         order = target and desired_order(target)
-        if not order or read_order(target.address, SEND_S) == order:
+        if not order or read_order(target.address, SEND_TIMEOUT_S) == order:
             return order
-        self._await_weights(order)
+        self._ensure_weights(order)
         # Connect before requesting the lease, so that nothing blocks between
         # reading the clock and writing.
-        connection = connect(target.address, SEND_S)
+        connection = connect(target.address, SEND_TIMEOUT_S)
         try:
             lease = self.stream.lease(name, state.numbers.get(name, 0))
-            if self.clock.monotonic() >= lease.until:
+            if self.clock.monotonic() >= lease.expires_s:
                 raise NotGranted(f"the lease of {name} has expired")
             write_order(connection, order, lease.fence)
         finally:
@@ -176,17 +185,17 @@
         )
         return order
 
-    def _await_weights(self, order: TargetOrder) -> None:
+    def _ensure_weights(self, order: TargetOrder) -> None:
         """Ensure that the store has all weights; each read takes a slot."""
         if self.weights is None:
             return
         for name in filter(None, (order.model, *order.adapters)):
-            self._await_weight(name)
+            self._ensure_weight(name)
             # The target itself reads the store again when it gets the order.
             self.stream.await_weight_slot()
 
-    def _await_weight(self, name: str) -> None:
-        for _ in range(WEIGHT_TRIES):
+    def _ensure_weight(self, name: str) -> None:
+        for _ in range(MAX_WEIGHT_ATTEMPTS):
             self.stream.await_weight_slot()
             try:
                 self.weights.check(name)
@@ -203,6 +212,6 @@
         last, due = self.due.get(name, (None, now))
         return order != last or now >= due
 
-    def _wanted(self, name: TargetName) -> TargetOrder | None:
+    def _desired_order(self, name: TargetName) -> TargetOrder | None:
         target = self.config().targets.get(name)
         return desired_order(target) if target else None
--- a/godwitladder/orders/stream.py
+++ b/godwitladder/orders/stream.py
@@ -20,12 +20,12 @@
     decode_record,
     encode_record,
 )
-from godwitladder.orders.table import OrderBook
+from godwitladder.orders.table import OrderTable
 
 ORDER_STREAM = "orders"
 LEASE_S = 10.0
 # Number of times that the stream is read to find an appended record.
-READS = 3
+MAX_READS = 3
 
 
 class NotGranted(GodwitladderError):
@@ -36,20 +36,20 @@
     """
 
 
-class Leased:
+class HeldLease:
     """A lease as seen by its holder.
 
     Parameters
     ----------
     fence : int
         Fencing number of the lease.
-    until : float
+    expires_s : float
         Monotonic time in seconds at which the lease expires.
     """
 
-    def __init__(self, fence: Offset, until: float) -> None:
+    def __init__(self, fence: Offset, expires_s: float) -> None:
         self.fence = fence
-        self.until = until
+        self.expires_s = expires_s
 
 
 class OrderStream:
@@ -66,7 +66,7 @@
     holder : str
         Host and incarnation of this process.
     weight_reads_per_s : float
-        See `OrderBook`; the same on every host.
+        See `OrderTable`; the same on every host.
     """
 
     def __init__(
@@ -75,10 +75,10 @@
         self.client = client
         self.clock = clock
         self.holder = holder
-        self.book = OrderBook(weight_reads_per_s)
+        self.table = OrderTable(weight_reads_per_s)
         self.lock = threading.Lock()
 
-    def lease(self, target: TargetName, version: int) -> Leased:
+    def lease(self, target: TargetName, version: int) -> HeldLease:
         """Obtain a lease of ``target``.
 
         Raises
@@ -91,12 +91,12 @@
         # The holder measures the lease from before its record is sent, other
         # readers from when the log stored it, so for the holder it expires
         # first.
-        asked = self.clock.monotonic()
+        requested_at = self.clock.monotonic()
         record = Lease(target, self.holder, nonce, version, LEASE_S)
-        fence = self._ask(record, nonce, self.book.fences)
+        fence = self._append_and_read(record, nonce, self.table.fences)
         if fence is None:
             raise NotGranted(f"another process has the lease of {target}")
-        return Leased(fence, asked + LEASE_S)
+        return HeldLease(fence, requested_at + LEASE_S)
 
     def await_weight_slot(self) -> None:
         """Wait until this host may read the weight store once.
@@ -108,9 +108,9 @@
         """
         nonce = Nonce(secrets.token_hex(8))
         record = WeightRead(self.holder, nonce)
-        self.clock.sleep(self._ask(record, nonce, self.book.slots))
+        self.clock.sleep(self._append_and_read(record, nonce, self.table.slots))
 
-    def _ask(self, record: OrderRecord, nonce: Nonce, answers: dict):
+    def _append_and_read(self, record: OrderRecord, nonce: Nonce, answers: dict):
         """Append ``record`` and read the stream until ``answers`` has its nonce."""
         try:
             self.client.append(ORDER_STREAM, [encode_record(record)])
@@ -119,28 +119,28 @@
         except LogUnavailable:
             pass  # It may have been stored; reading the stream shows that.
         with self.lock:
-            for _ in range(READS):
+            for _ in range(MAX_READS):
                 self._read_to_end()
                 if nonce in answers:
                     return answers[nonce]
         raise NotGranted("the record did not appear in the stream")
 
     def _read_to_end(self) -> None:
-        following = None
-        while following is None or self.book.next < following:
+        end = None
+        while end is None or self.table.next < end:
             try:
-                page = self.client.read(ORDER_STREAM, self.book.next)
+                page = self.client.read(ORDER_STREAM, self.table.next)
             except LogUnavailable as error:
                 raise NotGranted(str(error)) from error
-            for row in page.records:
-                self.book.replay(row.offset, row.time, _decode(row))
+            for record in page.records:
+                self.table.replay(record.offset, record.time, _decode(record))
             if not page.records:
                 return
-            following = page.next
+            end = page.next
 
 
-def _decode(row: Record) -> OrderRecord | None:
+def _decode(record: Record) -> OrderRecord | None:
     try:
-        return decode_record(row.data)
+        return decode_record(record.data)
     except BadRecord:
         return None
--- a/godwitladder/orders/table.py
+++ b/godwitladder/orders/table.py
@@ -8,8 +8,8 @@
 arbitrary order. Without slots, all targets would load weights at once, and the
 store would reject most of the reads.
 
-`GUARD_S`: a holder starts no write after its lease has expired, and aborts a
-write after `godwitladder.orders.issuer.SEND_S`, 2 s. A successor that waits one
+`LEASE_GUARD_S`: a holder starts no write after its lease has expired, and aborts a
+write after `godwitladder.orders.issuer.SEND_TIMEOUT_S`, 2 s. A successor that waits one
 second longer than that can't overlap with such a write, even if the clocks of
 the host and the log drift apart by 10 % over the duration of a lease.
 """
@@ -19,27 +19,27 @@
 from godwitladder.ids import Nonce, Offset, TargetName
 from godwitladder.orders.records import Lease, OrderRecord, WeightRead
 
-GUARD_S = 3.0
+LEASE_GUARD_S = 3.0
 # Grants and slots are looked up once, within seconds of their record, so only
 # the latest are kept.
-KEPT = 1000
+MAX_RECENT_GRANTS = 1000
 
 
 @dataclass(frozen=True)
-class Held:
+class GrantedLease:
     """The latest lease granted for a target; ``time`` is its log time."""
 
     lease: Lease
     fence: Offset
     time: float
 
-    def free_at(self) -> float:
+    def available_from(self) -> float:
         """Return the log time from which another holder may get a lease."""
-        return self.time + self.lease.lease_s + GUARD_S
+        return self.time + self.lease.lease_s + LEASE_GUARD_S
 
 
 @dataclass
-class OrderBook:
+class OrderTable:
     """Leases and slots granted by the records of the stream.
 
     Parameters
@@ -58,16 +58,16 @@
         lease that was denied.
     slots : dict
         Delay in seconds from the record of each slot to its read, by nonce.
-    slot_free : float
+    next_slot_time : float
         Log time of the next free slot.
     """
 
     weight_reads_per_s: float
     next: Offset = Offset(0)
-    held: dict[TargetName, Held] = field(default_factory=dict)
+    held: dict[TargetName, GrantedLease] = field(default_factory=dict)
     fences: dict[Nonce, Offset | None] = field(default_factory=dict)
     slots: dict[Nonce, float] = field(default_factory=dict)
-    slot_free: float = 0.0
+    next_slot_time: float = 0.0
 
     def replay(self, offset: Offset, time: float, record: OrderRecord | None) -> None:
         """Apply the record at ``offset``; None for one that can't be decoded."""
@@ -75,15 +75,15 @@
             return
         self.next = Offset(offset + 1)
         if isinstance(record, Lease):
-            self._judge_lease(offset, time, record)
+            self._apply_lease(offset, time, record)
         elif isinstance(record, WeightRead):
-            self._give_slot(time, record)
+            self._assign_slot(time, record)
 
-    def _judge_lease(self, offset: Offset, time: float, lease: Lease) -> None:
+    def _apply_lease(self, offset: Offset, time: float, lease: Lease) -> None:
         granted = self._is_granted(time, lease)
         if granted:
-            self.held[lease.target] = Held(lease, offset, time)
-        _keep(self.fences, lease.nonce, offset if granted else None)
+            self.held[lease.target] = GrantedLease(lease, offset, time)
+        _store_recent(self.fences, lease.nonce, offset if granted else None)
 
     def _is_granted(self, time: float, lease: Lease) -> bool:
         held = self.held.get(lease.target)
@@ -95,15 +95,15 @@
             return False
         # A process sends the orders for a target from a single thread, so its
         # own earlier order has already ended.
-        return held.lease.holder == lease.holder or time >= held.free_at()
+        return held.lease.holder == lease.holder or time >= held.available_from()
 
-    def _give_slot(self, time: float, read: WeightRead) -> None:
-        start = max(time, self.slot_free)
-        self.slot_free = start + 1.0 / self.weight_reads_per_s
-        _keep(self.slots, read.nonce, start - time)
+    def _assign_slot(self, time: float, read: WeightRead) -> None:
+        start = max(time, self.next_slot_time)
+        self.next_slot_time = start + 1.0 / self.weight_reads_per_s
+        _store_recent(self.slots, read.nonce, start - time)
 
 
-def _keep(rows: dict, nonce: Nonce, value) -> None:
-    rows[nonce] = value
-    while len(rows) > KEPT:
-        del rows[next(iter(rows))]
+def _store_recent(recent: dict, nonce: Nonce, value) -> None:
+    recent[nonce] = value
+    while len(recent) > MAX_RECENT_GRANTS:
+        del recent[next(iter(recent))]
--- a/godwitladder/orders/wire.py
+++ b/godwitladder/orders/wire.py
@@ -26,7 +26,7 @@
     role: str
 
 
-class OldFence(GodwitladderError):
+class StaleFence(GodwitladderError):
     """The target has already accepted an order with a higher fencing number."""
 
 
@@ -71,7 +71,7 @@
 
     Raises
     ------
-    OldFence
+    StaleFence
         If the target has accepted an order of a later issuer.
     OrderFailed
         If it is unknown whether the target accepted the order.
@@ -86,6 +86,6 @@
     finally:
         connection.close()
     if status == 409:
-        raise OldFence(f"fencing number {fence} is outdated")
+        raise StaleFence(f"fencing number {fence} is outdated")
     if status != 200:
         raise OrderFailed(f"target responded to an order with status {status}")
--- a/tests/claims/test_forwarding.py
+++ b/tests/claims/test_forwarding.py
@@ -103,14 +103,14 @@
     assert ask(hosts["a"], "c") is None
 
 
-def test_call_is_passed_on_once():
+def test_call_is_relayed_at_most_once():
     """A call is relayed at most once, so it does not circulate between hosts."""
     hosts = make_hosts(a=["b"], b=["a", "d"], d=["b", "c"], c=["d"])
     assert ask(hosts["a"], "c") is None
     assert not hosts["c"].app.calls
 
 
-def test_answer_too_long_for_a_message_is_none():
+def test_answer_over_the_message_limit_is_not_sent():
     """An answer over the message limit is not sent, so it does not break the link."""
     hosts = make_hosts(a=["c"], c=["a"])
     hosts["c"].app.body = bytes(MAX_ANSWER_BYTES + 1)
--- a/tests/claims/test_hosts.py
+++ b/tests/claims/test_hosts.py
@@ -140,7 +140,7 @@
 
 
 @pytest.mark.parametrize("fault", [{"outage": True}, {"cut_zones": ["a"]}])
-def test_outage_refuses_at_once_and_burns_no_key(fleet, fault):
+def test_outage_refuses_immediately_and_leaves_key_usable(fleet, fault):
     """In an outage the caller gets "not run" and a time to retry after.
 
     The log responds to no host, or to none in availability zone a. The claim is
@@ -163,7 +163,7 @@
     assert runs(fleet, key) == 1
 
 
-def test_slow_log_that_applies_late_burns_no_key(fleet):
+def test_claim_stored_late_leaves_key_usable(fleet):
     """The caller is refused, and its retry runs although the claim was stored late.
 
     The log responds only after the host has stopped waiting, but stores the
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -52,7 +52,7 @@
         IssuedKeys("a", 2, WINDOW_S).use(key, "d", "body", 12.0)
 
 
-def test_key_signed_by_nobody_is_no_issued_key():
+def test_key_without_a_valid_signature_is_not_an_issued_key():
     """A caller can't forge a key that names a host of its choice."""
     key = IssuedKeys("a", 1, WINDOW_S).issue("advisers", 10.0)
     with pytest.raises(ForgedKey):
@@ -62,7 +62,7 @@
     assert read_key(SECRET, "order-7") is None
 
 
-def test_date_is_read_from_a_uuid_of_version_7_alone():
+def test_timestamp_is_read_only_from_a_uuid_of_version_7():
     """Only a UUID of version 7 yields a timestamp; other keys yield 0."""
     dated = uuid.UUID(int=(1_700_000_000_123 << 80) | (7 << 76) | (2 << 62))
     assert uuid7_time_s(str(dated)) == 1_700_000_000.123
@@ -80,7 +80,7 @@
     won.change(RequestState.DISPATCHED)
 
 
-def test_answers_kept_for_repeats_are_bounded():
+def test_answers_retained_for_retries_are_bounded():
     """Answers retained for retries are bounded in memory and time."""
     now = [1.0]
     repeats = JoinableRequests(lambda: now[0])
--- a/tests/claims/test_machine.py
+++ b/tests/claims/test_machine.py
@@ -242,7 +242,7 @@
 
 
 @pytest.mark.parametrize("steps", [15, 40])
-def test_any_interleaving_runs_a_key_once_and_burns_none(steps):
+def test_any_interleaving_runs_a_key_once_and_frees_released_keys(steps):
     """A key runs at most once per window, and a released key becomes free.
 
     Hosts claim, release, crash, freeze and restart in any order. Batches are
--- a/tests/claims/test_tracker.py
+++ b/tests/claims/test_tracker.py
@@ -72,7 +72,7 @@
     assert late.table.holder(KEY).offset == 0
 
 
-def test_snapshot_holds_against_a_rival_between_it_and_the_first_record():
+def test_snapshot_precedes_a_competing_claim_stored_before_it():
     """Guards against a competing claim that precedes the snapshot.
 
     The competing claim lost to the first record, which has been dropped since.
@@ -94,7 +94,7 @@
     assert late.table.holder(KEY).nonce == b"1"
 
 
-def test_records_dropped_unread_fail_the_claims_under_way():
+def test_records_dropped_before_reading_fail_pending_claims():
     """Guards against a claim that is won although earlier records are missing.
 
     A host is frozen for longer than the log's retention, and records that it
@@ -114,7 +114,7 @@
     assert host.take_batch() == [Release(KEY, b"1")]
 
 
-def test_dated_key_is_refused_after_the_window_and_other_keys_are_free():
+def test_key_with_timestamp_is_refused_outside_the_window():
     """A key with a timestamp is refused once its claim may have been evicted."""
     log, host = FakeLog(), make_host("a")
     assert claim(log, host, b"1", key_time_s=log.now) == [Verdict.WON]
@@ -134,7 +134,7 @@
     assert claim(log, other, b"2", body=b"else-def") == [Verdict.REUSED]
 
 
-def test_known_outage_refuses_at_once():
+def test_known_outage_refuses_immediately():
     """A known outage refuses a claim immediately, without waiting for its timeout."""
     log, host = FakeLog(), make_host("a")
     catch_up(log, host)
@@ -153,7 +153,7 @@
     assert not host.take_batch()
 
 
-def test_crowded_key_stays_held():
+def test_key_with_too_many_claims_stays_held():
     """Claims beyond the limit are not stored, so their key is never freed."""
     table = ClaimTable(WINDOW_S)
     nonces = [bytes([index]) for index in range(MAX_CLAIMS_PER_KEY + 1)]
@@ -165,7 +165,7 @@
     assert len(table.claims[KEY]) == MAX_CLAIMS_PER_KEY
 
 
-def test_bad_record_is_passed_over():
+def test_invalid_record_is_skipped():
     """An invalid record neither stops the reader nor holds a key."""
     host = make_host("a")
     records = (Record(0, 1.0, b"\xff"), Record(1, 1.0, encode_record(_claim())))
--- a/tests/orders/test_issuer.py
+++ b/tests/orders/test_issuer.py
@@ -8,9 +8,9 @@
 from godwitladder.configuration.state import ConfigState
 from godwitladder.engines.wire import connect
 from godwitladder.orders import issuer as issuer_module
-from godwitladder.orders.issuer import RECHECK_S, OrderIssuer
+from godwitladder.orders.issuer import RECHECK_INTERVAL_S, OrderIssuer
 from godwitladder.orders.stream import LEASE_S, NotGranted, OrderStream
-from godwitladder.orders.wire import OldFence, TargetOrder, write_order
+from godwitladder.orders.wire import StaleFence, TargetOrder, write_order
 from godwitladder.standins.engine import start_engine
 from tests.configuration.fakes import FakeClient, FakeLog
 from tests.fleet import wait_until
@@ -40,7 +40,7 @@
         self.advance(seconds)
 
 
-class World:
+class Harness:
     """One engine, and issuers on two hosts that are both responsible for it."""
 
     def __init__(self, checks_fence):
@@ -57,73 +57,73 @@
             name, "a", stream, None, self.clock, lambda: self.states[name]
         )
         issuer.hosts = (name,)
-        self.want(name, NEW, 2)
+        self.set_desired(name, NEW, 2)
         return issuer
 
-    def want(self, name, order, number):
+    def set_desired(self, name, order, number):
         target = Target(self.engine.address, "a", ("letters",), **vars(order))
         self.states[name] = ConfigState(targets={"t": target}, numbers={"t": number})
 
-    def taken(self):
+    def accepted_models(self):
         return [row["model"] for row in self.engine.standin.orders]
 
 
 @pytest.fixture(params=[True, False])
-def world(request):
-    world = World(request.param)
-    yield world
-    world.engine.shutdown()
-    world.engine.server_close()
+def harness(request):
+    harness = Harness(request.param)
+    yield harness
+    harness.engine.shutdown()
+    harness.engine.server_close()
 
 
-def test_target_gets_one_order_from_two_hosts_that_both_feel_responsible(world):
+def test_target_gets_one_order_from_two_responsible_hosts(harness):
     """Guards against two hosts that both send an order for the same ticket.
 
     Each host is alone in its own list of live hosts and sees a new ticket.
     Both request the lease before either has sent an order. One obtains it, and
     the other finds the target in its desired state at its next check.
     """
-    one, two = world.issuers.values()
+    one, two = harness.issuers.values()
     client = two.stream.client
-    client.after_append = lambda: one.look_after("t")
+    client.after_append = lambda: one.reconcile("t")
     one.stream.lease("t", 2)
-    two.look_after("t")
-    assert world.taken() == ["letters-2"]
-    world.clock.advance(RECHECK_S)
-    two.look_after("t")
-    assert world.taken() == ["letters-2"]
+    two.reconcile("t")
+    assert harness.accepted_models() == ["letters-2"]
+    harness.clock.advance(RECHECK_INTERVAL_S)
+    two.reconcile("t")
+    assert harness.accepted_models() == ["letters-2"]
 
 
-def test_holder_that_was_paused_past_its_lease_does_not_write(world):
+def test_holder_paused_past_its_lease_does_not_write(harness):
     """Guards against an order that is sent after its lease has expired.
 
     A process is paused for a minute after its lease was recorded. It does not
     notice the pause itself, but reads its clock before the write.
     """
-    issuer = world.issuers["one"]
-    issuer.stream.client.after_append = lambda: world.clock.advance(60)
+    issuer = harness.issuers["one"]
+    issuer.stream.client.after_append = lambda: harness.clock.advance(60)
     with pytest.raises(NotGranted):
         issuer.order("t")
-    assert world.taken() == []
+    assert harness.accepted_models() == []
 
 
-def test_successor_waits_out_the_lease_and_a_write_under_way(world):
+def test_successor_waits_for_the_lease_and_a_write_in_progress(harness):
     """Guards against a successor that overlaps with a dead holder's order.
 
     The holder dies while its order is still being sent to the target.
     """
-    one, two = world.issuers.values()
+    one, two = harness.issuers.values()
     first = one.stream.lease("t", 1)
-    world.clock.advance(LEASE_S + 1)
+    harness.clock.advance(LEASE_S + 1)
     with pytest.raises(NotGranted):
         two.order("t")
-    world.clock.advance(2)
+    harness.clock.advance(2)
     two.order("t")
-    assert world.engine.standin.fence > first.fence
-    assert world.taken() == ["letters-2"]
+    assert harness.engine.standin.fence > first.fence
+    assert harness.accepted_models() == ["letters-2"]
 
 
-def test_order_that_comes_late_is_refused_or_healed(world):
+def test_late_order_is_rejected_or_corrected(harness):
     """Guards against a target that keeps the state of a late order.
 
     A process is paused between reading its clock and the write, so its order
@@ -131,68 +131,68 @@
     rejects it. One that ignores them accepts it, and receives a new order at
     the issuer's next check.
     """
-    one, two = world.issuers.values()
+    one, two = harness.issuers.values()
     late = one.stream.lease("t", 1)
-    connection = connect(world.engine.address, 2.0)
-    world.clock.advance(60)
-    two.look_after("t")
-    if world.engine.standin.knobs["checks_fence"]:
-        with pytest.raises(OldFence):
+    connection = connect(harness.engine.address, 2.0)
+    harness.clock.advance(60)
+    two.reconcile("t")
+    if harness.engine.standin.knobs["checks_fence"]:
+        with pytest.raises(StaleFence):
             write_order(connection, OLD, late.fence)
     else:
         write_order(connection, OLD, late.fence)
-        assert world.taken()[-1] == "letters-1"
-    world.clock.advance(RECHECK_S)
-    assert two.mine() == ["t"]
-    two.look_after("t")
-    assert world.taken()[-1] == "letters-2"
+        assert harness.accepted_models()[-1] == "letters-1"
+    harness.clock.advance(RECHECK_INTERVAL_S)
+    assert two.due_targets() == ["t"]
+    two.reconcile("t")
+    assert harness.accepted_models()[-1] == "letters-2"
 
 
-def test_host_that_is_behind_with_tickets_takes_nothing_back(world):
+def test_host_with_outdated_tickets_reverts_nothing(harness):
     """Guards against an issuer that reverts a ticket it has not seen yet.
 
     A host that has not yet seen ticket 2 becomes the issuer.
     """
-    one, two = world.issuers.values()
+    one, two = harness.issuers.values()
     one.order("t")
-    world.want("two", OLD, 1)
-    world.clock.advance(60)
+    harness.set_desired("two", OLD, 1)
+    harness.clock.advance(60)
     with pytest.raises(NotGranted):
         two.order("t")
-    assert world.taken() == ["letters-2"]
+    assert harness.accepted_models() == ["letters-2"]
 
 
-def test_lost_answer_to_a_lease_is_settled_by_reading(world):
-    world.issuers["one"].stream.client.lose = 1
-    world.issuers["one"].order("t")
-    assert world.taken() == ["letters-2"]
+def test_lost_append_response_is_resolved_by_reading(harness):
+    harness.issuers["one"].stream.client.lose = 1
+    harness.issuers["one"].order("t")
+    assert harness.accepted_models() == ["letters-2"]
 
 
-def test_nothing_is_ordered_while_the_log_is_away(world):
-    issuer = world.issuers["one"]
+def test_nothing_is_ordered_while_the_log_is_unavailable(harness):
+    issuer = harness.issuers["one"]
     issuer.stream.client.cut = True
-    issuer.look_after("t")
-    assert world.taken() == []
-    assert issuer.mine() == []
-    world.clock.advance(issuer_module.RETRY_S)
-    assert issuer.mine() == ["t"]
+    issuer.reconcile("t")
+    assert harness.accepted_models() == []
+    assert issuer.due_targets() == []
+    harness.clock.advance(issuer_module.RETRY_INTERVAL_S)
+    assert issuer.due_targets() == ["t"]
 
 
-def test_weight_store_that_turns_a_read_away_is_asked_in_turn(world):
+def test_each_read_of_a_busy_weight_store_takes_a_slot(harness):
     """Each attempt to read takes a slot while the store is busy.
 
     The store answers 429 because clients outside this system read it too.
     """
-    issuer = world.issuers["one"]
-    issuer.weights = Weights(world.clock, busy=2)
+    issuer = harness.issuers["one"]
+    issuer.weights = Weights(harness.clock, busy=2)
     issuer.order("t")
     times = [time for time, _ in issuer.weights.reads]
     assert len(times) == 3
     assert min(b - a for a, b in zip(times, times[1:], strict=False)) >= 0.25
-    issuer.weights = Weights(world.clock, busy=9)
-    world.want("one", OLD, 3)
-    issuer.look_after("t")
-    assert world.taken() == ["letters-2"]
+    issuer.weights = Weights(harness.clock, busy=9)
+    harness.set_desired("one", OLD, 3)
+    issuer.reconcile("t")
+    assert harness.accepted_models() == ["letters-2"]
 
 
 def test_a_ticket_loads_a_model_once_in_a_fleet(fleet):
--- a/tests/orders/test_table.py
+++ b/tests/orders/test_table.py
@@ -9,7 +9,7 @@
     decode_record,
     encode_record,
 )
-from godwitladder.orders.table import GUARD_S, OrderBook
+from godwitladder.orders.table import LEASE_GUARD_S, OrderTable
 
 LEASE_S = 10.0
 STEPS = st.lists(
@@ -32,19 +32,21 @@
     the maximum duration of a write have passed. Fencing numbers increase, and
     no target is reverted to an older ticket.
     """
-    book = OrderBook(4.0)
+    table = OrderTable(4.0)
     granted = {"a": [], "b": []}
     time = 0.0
     for offset, (pause, target, holder, version) in enumerate(steps):
         time += pause
         lease = Lease(target, holder, str(offset), version, LEASE_S)
-        book.replay(offset, time, decode_record(encode_record(lease)))
-        if book.fences[str(offset)] is not None:
+        table.replay(offset, time, decode_record(encode_record(lease)))
+        if table.fences[str(offset)] is not None:
             granted[target].append((time, holder, offset, version))
-    for rows in granted.values():
-        for before, after in zip(rows, rows[1:], strict=False):
+    for leases in granted.values():
+        for before, after in zip(leases, leases[1:], strict=False):
             assert after[2] > before[2] and after[3] >= before[3]
-            assert after[1] == before[1] or after[0] >= before[0] + LEASE_S + GUARD_S
+            assert (
+                after[1] == before[1] or after[0] >= before[0] + LEASE_S + LEASE_GUARD_S
+            )
 
 
 @given(st.lists(st.floats(0, 3), min_size=2, max_size=40))
@@ -53,11 +55,11 @@
 
     That happens after a ticket has changed every target.
     """
-    book = OrderBook(4.0)
+    table = OrderTable(4.0)
     time, starts = 0.0, []
     for offset, pause in enumerate(pauses):
         time += pause
-        book.replay(offset, time, WeightRead(f"host-{offset % 3}", str(offset)))
-        starts.append(time + book.slots[str(offset)])
+        table.replay(offset, time, WeightRead(f"host-{offset % 3}", str(offset)))
+        starts.append(time + table.slots[str(offset)])
     gaps = [b - a for a, b in zip(starts, starts[1:], strict=False)]
     assert min(gaps) >= 0.25 - 1e-9
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -162,7 +162,7 @@
     assert not watch.mesh.sent
 
 
-def test_note_that_comes_twice_or_late_changes_nothing():
+def test_duplicate_or_old_event_changes_nothing():
     """Old and duplicate events are ignored.
 
     Events arrive both over links and through the log.
@@ -190,7 +190,7 @@
     assert digests[0] == digests[1] != digests[2]
 
 
-def test_a_caller_is_answered_once_the_peers_know_of_its_crash():
+def test_caller_is_answered_once_peers_acknowledged_its_crash():
     """Guards against a retry that reaches a peer which does not know of the crash."""
     watch = make_watch(end(RequestState.MAY_HAVE_RUN))
     watch.mesh.links = [FakeLink("near"), FakeLink("far")]
@@ -211,7 +211,7 @@
     assert answered.is_set()
 
 
-def test_a_peer_out_of_reach_holds_up_no_answer_for_long():
+def test_unreachable_peer_delays_an_answer_only_briefly():
     """Guards against callers that wait for an unreachable peer."""
     watch = make_watch(end(RequestState.MAY_HAVE_RUN))
     watch.mesh.links = [FakeLink("lost")]
