--- a/godwitladder/orders/issuer.py
+++ b/godwitladder/orders/issuer.py
@@ -174,7 +174,7 @@
         # reading the clock and writing.
         connection = connect(target.address, SEND_TIMEOUT_S)
         try:
-            lease = self.stream.lease(name, state.numbers.get(name, 0))
+            lease = self.stream.lease(name, state.target_ticket_numbers.get(name, 0))
             if self.clock.monotonic() >= lease.expires_s:
                 raise NotGranted(f"the lease of {name} has expired")
             write_order(connection, order, lease.fence)
