--- a/tests/claims/test_forwarding.py
+++ b/tests/claims/test_forwarding.py
@@ -61,7 +61,7 @@
     return hosts
 
 
-def ask(host: Forwarder, to: str, incarnation: int = 1):
+def forward_call(host: Forwarder, to: str, incarnation: int = 1):
     deadline = host.clock.monotonic() + 20
     return host.forward(to, incarnation, ENVIRON, b"one euro", deadline)
 
@@ -81,7 +81,7 @@
     the holder reply so, and the answer is expected from the others.
     """
     hosts = make_hosts(**links)
-    answer = ask(hosts["a"], "c")
+    answer = forward_call(hosts["a"], "c")
     assert (answer.status, answer.body) == ("200 OK", b"charged")
     [environ] = hosts["c"].app.calls
     assert environ["HTTP_IDEMPOTENCY_KEY"] == "order-7"
@@ -92,7 +92,7 @@
 def test_call_for_a_process_that_is_gone_has_no_answer():
     """A restarted host does not know the keys of its previous incarnation."""
     hosts = make_hosts(a=["c"], c=["a"])
-    assert ask(hosts["a"], "c", incarnation=9) is None
+    assert forward_call(hosts["a"], "c", incarnation=9) is None
     assert not hosts["c"].app.calls
 
 
@@ -100,13 +100,13 @@
     """The caller does not keep waiting for a host that died during its call."""
     hosts = make_hosts(a=["c"], c=["a"])
     hosts["a"].mesh.lose = True
-    assert ask(hosts["a"], "c") is None
+    assert forward_call(hosts["a"], "c") is None
 
 
 def test_call_is_relayed_at_most_once():
     """A call is relayed at most once, so it does not circulate between hosts."""
     hosts = make_hosts(a=["b"], b=["a", "d"], d=["b", "c"], c=["d"])
-    assert ask(hosts["a"], "c") is None
+    assert forward_call(hosts["a"], "c") is None
     assert not hosts["c"].app.calls
 
 
@@ -114,4 +114,4 @@
     """An answer over the message limit is not sent, so it does not break the link."""
     hosts = make_hosts(a=["c"], c=["a"])
     hosts["c"].app.body = bytes(MAX_ANSWER_BYTES + 1)
-    assert ask(hosts["a"], "c") is None
+    assert forward_call(hosts["a"], "c") is None
--- a/tests/claims/test_hosts.py
+++ b/tests/claims/test_hosts.py
@@ -43,7 +43,7 @@
 
 
 @pytest.fixture(autouse=True)
-def sound(fleet):
+def without_faults(fleet):
     """Start each test without faults, and reset injected faults afterwards."""
     for host in fleet.hosts:
         wait_until(
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -31,15 +31,15 @@
     """Resolves every claim with one verdict and records all messages."""
 
     verdict: Verdict = Verdict.WON
-    told: list = field(default_factory=list)
+    messages: list = field(default_factory=list)
 
     def tell(self, message) -> None:
-        self.told.append(message)
+        self.messages.append(message)
         if isinstance(message, SubmitClaim):
             message.reply.put(ClaimResult(message.request.nonce, self.verdict))
 
     def kinds(self) -> list[type]:
-        return [type(message) for message in self.told]
+        return [type(message) for message in self.messages]
 
 
 @dataclass(frozen=True)
@@ -110,8 +110,8 @@
     watch.serve(make_call("poison"), {}, None)
     ran = len(trials)
     assert refusals[:ran] == [None] * ran
-    told = {(row.reason, row.outcome) for row in refusals[ran:]}
-    assert told == {(Reason.QUARANTINED, RequestState.NOT_RUN)}
+    outcomes = {(row.reason, row.outcome) for row in refusals[ran:]}
+    assert outcomes == {(Reason.QUARANTINED, RequestState.NOT_RUN)}
     crashes = [row for row in watch.mesh.sent if isinstance(row, Crash)]
     assert [row.trial for row in crashes] == trials
 
@@ -202,7 +202,7 @@
 
     thread = threading.Thread(target=serve)
     thread.start()
-    wait_until(lambda: watch.mesh.sent, "the note to be sent")
+    wait_until(lambda: watch.mesh.sent, "the event to be sent")
     event = watch.mesh.sent[0]
     watch.handle_message(FakeLink("near"), event)
     assert not answered.is_set()
@@ -217,7 +217,7 @@
     watch.mesh.links = [FakeLink("lost")]
     thread = threading.Thread(target=lambda: watch.serve(make_call("poison"), {}, None))
     thread.start()
-    wait_until(lambda: watch.mesh.sent, "the note to be sent")
+    wait_until(lambda: watch.mesh.sent, "the event to be sent")
     while thread.is_alive():
         watch.clock.advance(ACK_TIMEOUT_S)
         thread.join(0.01)
