--- a/tests/orders/test_issuer.py
+++ b/tests/orders/test_issuer.py
@@ -165,14 +165,14 @@
 
 
 def test_lost_append_response_is_resolved_by_reading(harness):
-    harness.issuers["one"].stream.client.lose = 1
+    harness.issuers["one"].stream.client.lost_answers = 1
     harness.issuers["one"].order("t")
     assert harness.accepted_models() == ["letters-2"]
 
 
 def test_nothing_is_ordered_while_the_log_is_unavailable(harness):
     issuer = harness.issuers["one"]
-    issuer.stream.client.cut = True
+    issuer.stream.client.disconnected = True
     issuer.reconcile("t")
     assert harness.accepted_models() == []
     assert issuer.due_targets() == []
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -21,7 +21,7 @@
 from godwitladder.serving.losses import AnswerLost, LossRegistry, digest_call
 from godwitladder.serving.proxying import RoutedProxy
 from godwitladder.serving.upstream import StreamTruncated
-from godwitladder.standins.ingress import start_engine
+from godwitladder.standins.routed import start_engine
 from tests.fleet import wait_until
 from tests.platform.test_adapter import CONFIG
 
@@ -354,7 +354,7 @@
     threading.Timer(0.4, disconnected.set).start()
     answer = bench.call("/stream/x", gone=disconnected.is_set)
     assert answer.truncated
-    wait_until(lambda: engine.broken == 1, "the stream to break")
+    wait_until(lambda: engine.broken_connections == 1, "the stream to break")
     assert not bench.watcher.calls
 
 
