--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -1,9 +1,9 @@
-"""The actor that owns a host's claims, and its two threads that use the log.
+"""The actor that owns a host's claims, and the two threads that access the log.
 
-The writer appends what has gathered in one batch window and reads at once
-what that append settled; the reader follows the stream for what other hosts
-append. A read by the writer goes over a connection that has just worked, so a
-reader whose connection went silent holds no claim up.
+The writer appends the records queued during one batch window, then reads the
+stream immediately to resolve the claims among them. The reader follows the
+stream for records of other hosts. The writer reads over a connection that has
+just worked, so that claims are not delayed when the reader's connection hangs.
 """
 
 import functools
@@ -28,100 +28,100 @@
 from godwitladder.ids import HostId, Incarnation, Offset
 from godwitladder.logs import component_logger
 from godwitladder.metrics import Metrics
-from godwitladder.quarantine.records import CrashNote
+from godwitladder.quarantine.records import CrashEvent
 from godwitladder.scheduler.messages import Tick
 from godwitladder.settings import ClaimSettings
 
 log = component_logger("claims")
 
-READ_WAIT_S = 2.0
+READ_POLL_TIMEOUT_S = 2.0
 IDLE_CHECK_S = 0.5
 
 
 @dataclass(frozen=True)
 class SubmitClaim:
-    """Claim a key and put the verdict into ``reply``."""
+    """Claim a key and put the result into ``reply``."""
 
-    wanted: ClaimRequest
-    reply: "queue.SimpleQueue[Settled]"
+    request: ClaimRequest
+    reply: "queue.SimpleQueue[ClaimResult]"
 
 
 @dataclass(frozen=True)
 class ReleaseClaim:
-    """Free the key of a claim that never will be dispatched."""
+    """Release a claim that will never be dispatched."""
 
     key: bytes
     nonce: bytes
 
 
 @dataclass(frozen=True)
-class Note:
-    """Append a note on a crash."""
+class AppendCrashEvent:
+    """Append a crash event to the stream."""
 
-    note: CrashNote
+    event: CrashEvent
 
 
 @dataclass(frozen=True)
 class SubscribeCrashEvents:
-    """Call ``take`` with each note that is read and the log's time of it."""
+    """Call ``callback`` with each crash event read from the stream and its log time."""
 
-    take: Callable[[CrashNote, float], None]
+    callback: Callable[[CrashEvent, float], None]
 
 
 @dataclass(frozen=True)
 class TakeBatch:
-    """Ask for the records to append now."""
+    """Request the records to append now."""
 
 
 @dataclass(frozen=True)
 class BatchDone:
-    """The append under way was answered, or it failed."""
+    """Report that the append in progress succeeded or failed."""
 
     failed: bool
 
 
 @dataclass(frozen=True)
 class PageRead:
-    """A page of the stream."""
+    """Hand over a page that was read from the stream."""
 
     page: Page
 
 
 @dataclass(frozen=True)
 class ReadFailed:
-    """The log did not answer a read."""
+    """Report that the log did not respond to a read."""
 
 
 @dataclass(frozen=True)
 class NextOffset:
-    """Ask for the offset to read from."""
+    """Request the offset to read from."""
 
 
 @dataclass(frozen=True)
 class IsIdle:
-    """Ask whether nothing is left to append."""
+    """Ask whether no records are queued or being appended."""
 
 
 @dataclass(frozen=True)
 class HasCaughtUp:
-    """Ask whether the stream was read to its end."""
+    """Ask whether the last read reached the end of the stream."""
 
 
 class Claims(pykka.ThreadingActor):
-    """Owns the claims of one host.
+    """Actor that owns the claims of one host.
 
     Parameters
     ----------
     host, incarnation : HostId, Incarnation
-        Who claims.
+        Identity of the claiming process.
     settings : ClaimSettings
-        Window and batch.
+        Settings such as the claim window and the retention of the log.
     clock : Clock
         The host's clock.
     metrics : Metrics
-        Where to count.
+        Counts the verdicts.
     work : threading.Event
-        Set when there is something to append.
+        Set when there are records to append.
     """
 
     def __init__(
@@ -138,109 +138,109 @@
         self.clock = clock
         self.metrics = metrics
         self.work = work
-        self.collector = ClaimTracker(host, incarnation, ClaimTable(settings.window_s))
-        self.take_note: Callable[[CrashNote, float], None] = lambda note, time: None
+        self.tracker = ClaimTracker(host, incarnation, ClaimTable(settings.window_s))
+        self.on_event: Callable[[CrashEvent, float], None] = lambda event, time: None
         self.replies: dict[bytes, queue.SimpleQueue[ClaimResult]] = {}
 
     def on_receive(self, message):
-        """Take ``message`` in and wake the writer if there is work."""
-        answer = self.take(message)
-        if self.collector.outgoing:
+        """Handle ``message`` and wake the writer if there are records to append."""
+        answer = self.handle(message)
+        if self.tracker.outgoing:
             self.work.set()
         return answer
 
     @functools.singledispatchmethod
-    def take(self, message):
-        """Take one message in."""
+    def handle(self, message):
+        """Handle one message."""
         raise TypeError(f"unknown message {message!r}")
 
-    @take.register
+    @handle.register
     def _(self, message: SubmitClaim) -> None:
-        self.replies[message.wanted.nonce] = message.reply
-        settled = self.collector.want(message.wanted, self.clock.monotonic())
-        if settled:
-            self._reply([settled])
+        self.replies[message.request.nonce] = message.reply
+        result = self.tracker.submit(message.request, self.clock.monotonic())
+        if result:
+            self._reply([result])
 
-    @take.register
+    @handle.register
     def _(self, message: ReleaseClaim) -> None:
         self.replies.pop(message.nonce, None)
-        self.collector.give_up(message.key, message.nonce)
+        self.tracker.release(message.key, message.nonce)
 
-    @take.register
-    def _(self, message: Note) -> None:
-        self.collector.outgoing.append(message.note)
+    @handle.register
+    def _(self, message: AppendCrashEvent) -> None:
+        self.tracker.outgoing.append(message.event)
 
-    @take.register
+    @handle.register
     def _(self, message: SubscribeCrashEvents) -> None:
-        self.take_note = message.take
+        self.on_event = message.callback
 
-    @take.register
+    @handle.register
     def _(self, message: TakeBatch) -> list[StreamRecord]:
-        return self.collector.take_batch()
+        return self.tracker.take_batch()
 
-    @take.register
+    @handle.register
     def _(self, message: BatchDone) -> None:
         if message.failed:
-            self.collector.append_failed(self.clock.monotonic())
+            self.tracker.append_failed(self.clock.monotonic())
         else:
-            self.collector.append_done()
+            self.tracker.append_done()
 
-    @take.register
+    @handle.register
     def _(self, message: PageRead) -> None:
-        settled = self.collector.read(message.page)
-        # Notes before verdicts: a page may hold the note that a trial has
-        # crashed a target, and the claim of the next trial behind it. Told of
-        # the claim first, the waiting thread would dispatch a request that is
-        # quarantined, and a third target would go.
-        for note, time in self.collector.notes:
-            self.take_note(note, time)
-        self.collector.notes.clear()
-        self._reply(settled)
-
-    @take.register
+        results = self.tracker.read(message.page)
+        # Process crash events before results. A page may hold the event of a
+        # trial that crashed a target, followed by the claim of the next trial.
+        # If the waiting thread received the result first, it would dispatch a
+        # quarantined request and crash a third target.
+        for event, time in self.tracker.crash_events:
+            self.on_event(event, time)
+        self.tracker.crash_events.clear()
+        self._reply(results)
+
+    @handle.register
     def _(self, message: ReadFailed) -> None:
-        self.collector.read_failed()
+        self.tracker.read_failed()
 
-    @take.register
+    @handle.register
     def _(self, message: NextOffset) -> Offset:
-        return self.collector.table.next
+        return self.tracker.table.next
 
-    @take.register
+    @handle.register
     def _(self, message: IsIdle) -> bool:
-        return is_idle(self.collector)
+        return is_idle(self.tracker)
 
-    @take.register
+    @handle.register
     def _(self, message: HasCaughtUp) -> bool:
-        return self.collector.caught_up
+        return self.tracker.caught_up
 
-    @take.register
+    @handle.register
     def _(self, message: Tick) -> None:
-        self._reply(self.collector.expire(self.clock.monotonic()))
-        self.collector.snapshot(self.settings.retention_s / 2)
+        self._reply(self.tracker.expire(self.clock.monotonic()))
+        self.tracker.snapshot(self.settings.retention_s / 2)
 
-    def _reply(self, settled: list[ClaimResult]) -> None:
-        for row in settled:
-            self.metrics.claims.inc({"verdict": row.verdict.value})
-            reply = self.replies.pop(row.nonce, None)
+    def _reply(self, results: list[ClaimResult]) -> None:
+        for result in results:
+            self.metrics.claims.inc({"verdict": result.verdict.value})
+            reply = self.replies.pop(result.nonce, None)
             if reply:
-                reply.put(row)
+                reply.put(result)
 
 
 class ClaimLogThreads:
-    """The threads between the actor and the log.
+    """Reader and writer threads between the actor and the log.
 
     Parameters
     ----------
     claims : pykka.ActorRef
-        The actor of `Claims`.
+        The actor of class `Claims`.
     client : LogClient
-        The log.
+        Client of the platform's log.
     clock : Clock
         The host's clock.
     work : threading.Event
-        Set by the actor when there is something to append.
+        Set by the actor when there are records to append.
     batch_s : float
-        How long to gather records for one append.
+        Batch window: how long records are queued before an append, in seconds.
     """
 
     def __init__(
@@ -264,24 +264,29 @@
             threading.Thread(target=run, name=name, daemon=True).start()
 
     def stop(self) -> None:
-        """Stop after the calls in progress."""
+        """Stop both threads after their current calls."""
         self.stopping.set()
         self.work.set()
 
     def read(self, wait_s: float) -> None:
-        """Read one page and hand it over."""
+        """Read one page and send it to the actor.
+
+        ``wait_s`` is how long the log waits for new records, in seconds.
+        """
         start = self.claims.ask(NextOffset())
         self.claims.tell(PageRead(self.client.read(CLAIM_STREAM, start, wait_s)))
 
     def append(self) -> None:
-        """Append what has gathered and read what it settled."""
+        """Append the queued records, then read the stream to resolve their claims."""
         batch = self.claims.ask(TakeBatch())
         if not batch:
             return
         try:
             self.client.append(CLAIM_STREAM, [encode_record(row) for row in batch])
         except LogUnavailable as error:
-            log.warning("An append was not answered", extra={"error": str(error)})
+            log.warning(
+                "Append to the claims stream failed", extra={"error": str(error)}
+            )
             self.claims.tell(BatchDone(True))
             self.clock.wait(self.stopping, RETRY_DELAY_S)
             return
@@ -296,24 +301,24 @@
                 self.clock.wait(self.stopping, self.batch_s)
                 self.append()
         except pykka.ActorDeadError:
-            log.info("The writer ended with its actor")
+            log.info("Writer thread stopped because its actor has stopped")
 
     def _follow(self) -> None:
         wait_s = 0.0
         try:
             while not self.stopping.is_set():
                 answered = self._try_read(wait_s)
-                wait_s = READ_WAIT_S if answered else 0.0
+                wait_s = READ_POLL_TIMEOUT_S if answered else 0.0
                 if not answered:
                     self.clock.wait(self.stopping, RETRY_DELAY_S)
         except pykka.ActorDeadError:
-            log.info("The reader ended with its actor")
+            log.info("Reader thread stopped because its actor has stopped")
 
     def _try_read(self, wait_s: float) -> bool:
         try:
             self.read(wait_s)
         except LogUnavailable as error:
             self.claims.tell(ReadFailed())
-            log.warning("A read was not answered", extra={"error": str(error)})
+            log.warning("Read of the claims stream failed", extra={"error": str(error)})
             return False
         return True
--- a/godwitladder/orders/issuer.py
+++ b/godwitladder/orders/issuer.py
@@ -1,16 +1,18 @@
-"""Brings targets to the state that tickets order.
-
-Each host looks after the targets of its zone for which it has the highest
-rendezvous weight. Two hosts may think so at once; the lease decides.
-
-A target that checks fencing numbers refuses an order that comes late. For one
-that ignores them the guard is: no write begins after the lease, by the
-holder's own clock read right before it; a write is given up after `SEND_S`;
-and a successor is granted the lease only `GUARD_S` after its end. What
-remains is a process that is paused between that look at the clock and the
-write. Its order may arrive after the successor's. It is healed, not
-prevented: orders carry the whole state, and the issuer reads the target again
-every `RECHECK_S` and orders anew where it differs.
+"""Brings targets to the state that the tickets specify.
+
+Each host is responsible for the targets of its availability zone for which it
+has the highest rendezvous weight. Two hosts may consider themselves responsible
+at the same time; the lease decides between them.
+
+A target that checks fencing numbers rejects a late order. Targets that ignore
+fencing numbers are protected as follows: no write starts after the lease has
+expired, according to the holder's own clock, read immediately before the write;
+a write is aborted after `SEND_TIMEOUT_S`; and a successor is granted the lease only
+`LEASE_GUARD_S` after it has expired. One case remains: a process may be paused
+between reading the clock and writing, and its order may arrive after that of
+the successor. This is not prevented but repaired: each order carries the whole
+state, and the issuer reads the target's state every `RECHECK_INTERVAL_S` and sends the
+order again if it differs.
 """
 
 import threading
@@ -30,8 +32,8 @@
 from godwitladder.logs import component_logger
 from godwitladder.orders.stream import NotGranted, OrderStream
 from godwitladder.orders.wire import (
-    OldFence,
     OrderFailed,
+    StaleFence,
     TargetOrder,
     desired_order,
     read_order,
@@ -40,27 +42,35 @@
 
 log = component_logger("orders")
 
-SEND_S = 2.0
-PERIOD_S = 1.0
-RECHECK_S = 30.0
-RETRY_S = 5.0
-# Targets whose orders are under way at once; a slow one holds up no other.
-WORKERS = 8
-WEIGHT_TRIES = 3
-FAILURES = (NotGranted, NotSent, MayHaveRun, OrderFailed, OldFence, WeightsUnavailable)
+SEND_TIMEOUT_S = 2.0
+POLL_INTERVAL_S = 1.0
+RECHECK_INTERVAL_S = 30.0
+RETRY_INTERVAL_S = 5.0
+# Number of targets that receive orders concurrently, so that a slow target does
+# not delay the others.
+MAX_CONCURRENT_ORDERS = 8
+MAX_WEIGHT_ATTEMPTS = 3
+FAILURES = (
+    NotGranted,
+    NotSent,
+    MayHaveRun,
+    OrderFailed,
+    StaleFence,
+    WeightsUnavailable,
+)
 
 
 class OrderIssuer:
-    """Looks over this zone's targets from time to time.
+    """Periodically checks the targets of this availability zone and sends orders.
 
     Parameters
     ----------
     host, zone : HostId, Zone
-        This host.
+        Name and availability zone of this host.
     stream : OrderStream
         Grants leases and slots.
     weights : WeightClient or None
-        The weight store, if the settings name one.
+        Client of the weight store, if the settings name one.
     clock : Clock
         The host's clock.
     config : callable
@@ -69,7 +79,13 @@
     Attributes
     ----------
     hosts : tuple of HostId
-        The live hosts of this zone, set by whoever knows them.
+        The live hosts of this availability zone. Must be kept up to date from
+        outside this class.
+    due : dict
+        For each target, the order that was last checked and the monotonic
+        time in seconds of its next check.
+    in_progress : set
+        Targets that are being checked or receiving an order.
     """
 
     def __init__(
@@ -89,32 +105,34 @@
         self.config = config
         self.hosts: Iterable[HostId] = ()
         self.due: dict[TargetName, tuple[TargetOrder, float]] = {}
-        self.busy: set[TargetName] = set()
+        self.in_progress: set[TargetName] = set()
         self.lock = threading.Lock()
         self.stopping = threading.Event()
-        self.workers = ThreadPoolExecutor(WORKERS, thread_name_prefix="order")
+        self.workers = ThreadPoolExecutor(
+            MAX_CONCURRENT_ORDERS, thread_name_prefix="order"
+        )
 
     def start(self) -> None:
-        """Start to look after targets."""
+        """Start the thread that checks targets."""
         threading.Thread(target=self.run, name="orders", daemon=True).start()
 
     def stop(self) -> None:
-        """Begin no further order."""
+        """Start no further orders."""
         self.stopping.set()
         self.workers.shutdown(wait=False, cancel_futures=True)
 
     def run(self) -> None:
-        """Look after targets until told to stop."""
-        while not self.clock.wait(self.stopping, PERIOD_S):
-            for name in self.mine():
+        """Check targets periodically until stopped."""
+        while not self.clock.wait(self.stopping, POLL_INTERVAL_S):
+            for name in self.due_targets():
                 with self.lock:
-                    if name in self.busy:
+                    if name in self.in_progress:
                         continue
-                    self.busy.add(name)
-                self.workers.submit(self.look_after, name)
+                    self.in_progress.add(name)
+                self.workers.submit(self.reconcile, name)
 
-    def mine(self) -> list[TargetName]:
-        """Return the targets that are due for a look by this host."""
+    def due_targets(self) -> list[TargetName]:
+        """Return the targets that this host is responsible for and must check now."""
         now = self.clock.monotonic()
         return [
             TargetName(name)
@@ -124,62 +142,67 @@
             and choose_host(self.hosts, name) == self.host
         ]
 
-    def look_after(self, name: TargetName) -> None:
-        """Order one target if it is not what it should be."""
-        wait_s = RETRY_S
+    def reconcile(self, name: TargetName) -> None:
+        """Check one target, and send it an order if its state is not as specified."""
+        wait_s = RETRY_INTERVAL_S
         order = None
         try:
             order = self.order(name)
-            wait_s = RECHECK_S
+            wait_s = RECHECK_INTERVAL_S
         except FAILURES as error:
-            log.warning("No order", extra={"target": name, "error": str(error)})
+            log.warning(
+                "Could not bring a target to its desired state",
+                extra={"target": name, "error": str(error)},
+            )
         finally:
             with self.lock:
-                self.busy.discard(name)
+                self.in_progress.discard(name)
                 due = self.clock.monotonic() + wait_s
-                wanted = order or self._wanted(name)
-                if wanted:
-                    self.due[name] = (wanted, due)
+                desired = order or self._desired_order(name)
+                if desired:
+                    self.due[name] = (desired, due)
 
     def order(self, name: TargetName) -> TargetOrder | None:
-        """Bring one target to the state in force; return that state."""
+        """Bring one target to its desired state; return that state."""
         state = self.config()
         target = state.targets.get(name)
         order = target and desired_order(target)
-        if not order or read_order(target.address, SEND_S) == order:
+        if not order or read_order(target.address, SEND_TIMEOUT_S) == order:
             return order
-        self._await_weights(order)
-        # The connection is open before the lease is asked for, so that
-        # between the look at the clock and the write there is nothing to
-        # wait for.
-        connection = connect(target.address, SEND_S)
+        self._ensure_weights(order)
+        # Connect before requesting the lease, so that nothing blocks between
+        # reading the clock and writing.
+        connection = connect(target.address, SEND_TIMEOUT_S)
         try:
             lease = self.stream.lease(name, state.target_ticket_numbers.get(name, 0))
-            if self.clock.monotonic() >= lease.until:
-                raise NotGranted(f"the lease of {name} has passed")
+            if self.clock.monotonic() >= lease.expires_s:
+                raise NotGranted(f"the lease of {name} has expired")
             write_order(connection, order, lease.fence)
         finally:
             connection.close()
-        log.info("A target was ordered", extra={"target": name, "fence": lease.fence})
+        log.info(
+            "Sent an order to a target", extra={"target": name, "fence": lease.fence}
+        )
         return order
 
-    def _await_weights(self, order: TargetOrder) -> None:
-        """Make sure that the store has all weights, a slot for each read."""
+    def _ensure_weights(self, order: TargetOrder) -> None:
+        """Ensure that the store has all weights; each read takes a slot."""
         if self.weights is None:
             return
         for name in filter(None, (order.model, *order.adapters)):
-            self._await_weight(name)
-            # The order makes the target read the store once more.
+            self._ensure_weight(name)
+            # The target itself reads the store again when it gets the order.
             self.stream.await_weight_slot()
 
-    def _await_weight(self, name: str) -> None:
-        for _ in range(WEIGHT_TRIES):
+    def _ensure_weight(self, name: str) -> None:
+        for _ in range(MAX_WEIGHT_ATTEMPTS):
             self.stream.await_weight_slot()
             try:
                 self.weights.check(name)
                 return
             except WeightsBusy:
-                # Someone outside reads too; each try takes its turn anew.
+                # Clients outside this system also read the store. Take a new
+                # slot for each attempt.
                 continue
         raise WeightsUnavailable(f"the weight store was busy for {name}")
 
@@ -189,6 +212,6 @@
         last, due = self.due.get(name, (None, now))
         return order != last or now >= due
 
-    def _wanted(self, name: TargetName) -> TargetOrder | None:
+    def _desired_order(self, name: TargetName) -> TargetOrder | None:
         target = self.config().targets.get(name)
         return desired_order(target) if target else None
--- a/godwitladder/orders/stream.py
+++ b/godwitladder/orders/stream.py
@@ -1,4 +1,4 @@
-"""One host's view of the orders stream: append a record and see its fate."""
+"""Appends records to the orders stream and reads back whether they were granted."""
 
 import secrets
 import threading
@@ -20,41 +20,53 @@
     decode_record,
     encode_record,
 )
-from godwitladder.orders.table import OrderBook
+from godwitladder.orders.table import OrderTable
 
 ORDER_STREAM = "orders"
 LEASE_S = 10.0
-# A record whose append got no answer is looked for this many times.
-READS = 3
+# Number of times that the stream is read to find an appended record.
+MAX_READS = 3
 
 
 class NotGranted(GodwitladderError):
-    """The lease is another's, or the log can't tell."""
+    """A lease or slot could not be obtained.
 
+    Another process holds the lease, the lease expired before its use, or the log
+    gave no answer.
+    """
+
+
+class HeldLease:
+    """A lease as seen by its holder.
 
-class Leased:
-    """A lease as its holder knows it; ``until`` is monotonic seconds."""
+    Parameters
+    ----------
+    fence : int
+        Fencing number of the lease.
+    expires_s : float
+        Monotonic time in seconds at which the lease expires.
+    """
 
-    def __init__(self, fence: Offset, until: float) -> None:
+    def __init__(self, fence: Offset, expires_s: float) -> None:
         self.fence = fence
-        self.until = until
+        self.expires_s = expires_s
 
 
 class OrderStream:
-    """Appends to the stream and replays it when there is something to ask.
+    """Requests leases and slots through the orders stream.
 
-    An idle host reads nothing.
+    The stream is read only after a request, so an idle host reads nothing.
 
     Parameters
     ----------
     client : LogClient
-        The platform's log.
+        Client of the platform's log.
     clock : Clock
-        For the holder's own view of its lease.
+        The host's clock, by which the holder measures its lease.
     holder : str
-        This process: host and incarnation.
+        Host and incarnation of this process.
     weight_reads_per_s : float
-        See `OrderBook`; the same on every host.
+        See `OrderTable`; the same on every host.
     """
 
     def __init__(
@@ -63,70 +75,72 @@
         self.client = client
         self.clock = clock
         self.holder = holder
-        self.book = OrderBook(weight_reads_per_s)
+        self.table = OrderTable(weight_reads_per_s)
         self.lock = threading.Lock()
 
-    def lease(self, target: TargetName, version: int) -> Leased:
-        """Return a lease of ``target``.
+    def lease(self, target: TargetName, version: int) -> HeldLease:
+        """Obtain a lease of ``target``.
 
         Raises
         ------
         NotGranted
-            Another holds it, or the log did not tell.
+            If the lease was denied, or the log did not respond or did not
+            return the record.
         """
         nonce = Nonce(secrets.token_hex(8))
-        # The lease is counted from before its record was sent, the log
-        # counts it from when it took the record: the holder stops first.
-        asked = self.clock.monotonic()
+        # The holder measures the lease from before its record is sent, other
+        # readers from when the log stored it, so for the holder it expires
+        # first.
+        requested_at = self.clock.monotonic()
         record = Lease(target, self.holder, nonce, version, LEASE_S)
-        fence = self._ask(record, nonce, self.book.fences)
+        fence = self._append_and_read(record, nonce, self.table.fences)
         if fence is None:
-            raise NotGranted(f"another process orders {target}")
-        return Leased(fence, asked + LEASE_S)
+            raise NotGranted(f"another process has the lease of {target}")
+        return HeldLease(fence, requested_at + LEASE_S)
 
     def await_weight_slot(self) -> None:
-        """Return when this host may read the weight store once.
+        """Wait until this host may read the weight store once.
 
         Raises
         ------
         NotGranted
-            The log did not tell.
+            If the log did not respond or did not return the record.
         """
         nonce = Nonce(secrets.token_hex(8))
         record = WeightRead(self.holder, nonce)
-        self.clock.sleep(self._ask(record, nonce, self.book.slots))
+        self.clock.sleep(self._append_and_read(record, nonce, self.table.slots))
 
-    def _ask(self, record: OrderRecord, nonce: Nonce, answers: dict):
-        """Append ``record`` and read the stream until its fate is known."""
+    def _append_and_read(self, record: OrderRecord, nonce: Nonce, answers: dict):
+        """Append ``record`` and read the stream until ``answers`` has its nonce."""
         try:
             self.client.append(ORDER_STREAM, [encode_record(record)])
         except LogNotReached as error:
             raise NotGranted(str(error)) from error
         except LogUnavailable:
-            pass  # It may be there; the stream tells.
+            pass  # It may have been stored; reading the stream shows that.
         with self.lock:
-            for _ in range(READS):
+            for _ in range(MAX_READS):
                 self._read_to_end()
                 if nonce in answers:
                     return answers[nonce]
-        raise NotGranted("the record did not show up in the stream")
+        raise NotGranted("the record did not appear in the stream")
 
     def _read_to_end(self) -> None:
-        following = None
-        while following is None or self.book.next < following:
+        end = None
+        while end is None or self.table.next < end:
             try:
-                page = self.client.read(ORDER_STREAM, self.book.next)
+                page = self.client.read(ORDER_STREAM, self.table.next)
             except LogUnavailable as error:
                 raise NotGranted(str(error)) from error
-            for row in page.records:
-                self.book.replay(row.offset, row.time, _decode(row))
+            for record in page.records:
+                self.table.replay(record.offset, record.time, _decode(record))
             if not page.records:
                 return
-            following = page.next
+            end = page.next
 
 
-def _decode(row: Record) -> OrderRecord | None:
+def _decode(record: Record) -> OrderRecord | None:
     try:
-        return decode_record(row.data)
+        return decode_record(record.data)
     except BadRecord:
         return None
--- a/godwitladder/quarantine/acknowledgements.py
+++ b/godwitladder/quarantine/acknowledgements.py
@@ -1,7 +1,8 @@
-"""Waits until peers are known to have read a note.
+"""Waits until peers have acknowledged a crash event.
 
-Each host passes a note on once, over all its links, so the one that wrote it
-has it back from every peer that read it.
+Each host forwards an event once, over all its links. The host that published
+the event therefore receives it back from every peer that has read it, and
+counts that as an acknowledgement.
 """
 
 import threading
@@ -11,13 +12,20 @@
 from godwitladder.ids import HostId
 
 
-class NoteEchoes:
-    """Notes of this host that peers have yet to send back.
+class EventAcknowledgements:
+    """Events of this host that peers have not yet sent back.
 
     Parameters
     ----------
     clock : Clock
         The host's clock.
+
+    Attributes
+    ----------
+    missing : dict
+        Peers that have not yet sent back each event, by the event's id.
+    complete : dict
+        For each event id, set once no peer is missing.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -26,27 +34,30 @@
         self.missing: dict[str, set[HostId]] = {}
         self.complete: dict[str, threading.Event] = {}
 
-    def expect(self, report: str, peers: Collection[HostId]) -> None:
-        """Await the note ``report`` from each of ``peers``; call before it is sent."""
+    def expect(self, event_id: str, peers: Collection[HostId]) -> None:
+        """Expect ``event_id`` back from each of ``peers``; call before it is sent."""
         with self.lock:
-            self.missing[report] = set(peers)
-            self.complete[report] = threading.Event()
+            self.missing[event_id] = set(peers)
+            self.complete[event_id] = threading.Event()
             if not peers:
-                self.complete[report].set()
+                self.complete[event_id].set()
 
-    def note(self, report: str, peer: HostId) -> None:
-        """Take in that ``peer`` has sent the note ``report``."""
+    def acknowledge(self, event_id: str, peer: HostId) -> None:
+        """Record that ``peer`` has sent ``event_id``."""
         with self.lock:
-            missing = self.missing.get(report)
+            missing = self.missing.get(event_id)
             if missing is None:
                 return
             missing.discard(peer)
             if not missing:
-                self.complete[report].set()
+                self.complete[event_id].set()
+
+    def wait(self, event_id: str, seconds: float) -> bool:
+        """Wait until all peers have sent ``event_id`` back, at most ``seconds``.
 
-    def wait(self, report: str, seconds: float) -> bool:
-        """Wait for the rest, ``seconds`` at most; return whether all have it."""
-        heard = self.clock.wait(self.complete[report], seconds)
+        Returns whether all have. The event is no longer tracked afterwards.
+        """
+        acknowledged = self.clock.wait(self.complete[event_id], seconds)
         with self.lock:
-            del self.missing[report], self.complete[report]
-        return heard
+            del self.missing[event_id], self.complete[event_id]
+        return acknowledged
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -1,4 +1,4 @@
-"""What a host does with requests whose target crashed, with fakes at its edges."""
+"""How a host treats requests whose target crashed, tested with fakes."""
 
 import dataclasses
 import itertools
@@ -7,7 +7,7 @@
 
 import pytest
 
-from godwitladder.claims.actor import Note, ReleaseClaim, SubmitClaim
+from godwitladder.claims.actor import AppendCrashEvent, ReleaseClaim, SubmitClaim
 from godwitladder.claims.tracker import ClaimResult, Verdict
 from godwitladder.clock import ManualClock
 from godwitladder.configuration.model import Service, ServiceKind, Target
@@ -15,7 +15,7 @@
 from godwitladder.decisions.quarantine import HOLD_S, QuarantineStatus
 from godwitladder.outcomes import Reason, RequestState
 from godwitladder.quarantine.records import Cleared, Crash
-from godwitladder.quarantine.watch import ECHO_S, CrashWatch, crash_digest
+from godwitladder.quarantine.watch import ACK_TIMEOUT_S, CrashWatch, crash_digest
 from godwitladder.scheduler.rows import RequestRow
 from godwitladder.serving.calls import Call, CallRefused
 from godwitladder.standins.ports import free_ports
@@ -28,29 +28,29 @@
 
 @dataclass
 class FakeClaims:
-    """Settles every claim with one verdict and keeps what it was told."""
+    """Resolves every claim with one verdict and records all messages."""
 
     verdict: Verdict = Verdict.WON
-    told: list = field(default_factory=list)
+    messages: list = field(default_factory=list)
 
     def tell(self, message) -> None:
-        self.told.append(message)
+        self.messages.append(message)
         if isinstance(message, SubmitClaim):
-            message.reply.put(ClaimResult(message.wanted.nonce, self.verdict))
+            message.reply.put(ClaimResult(message.request.nonce, self.verdict))
 
     def kinds(self) -> list[type]:
-        return [type(message) for message in self.told]
+        return [type(message) for message in self.messages]
 
 
 @dataclass(frozen=True)
 class FakeLink:
-    """A link that only has a name."""
+    """Link that has only a peer name."""
 
     peer: str
 
 
 class FakeMesh:
-    """Keeps what was broadcast; nobody is linked unless a test says so."""
+    """Records broadcast messages; has no links unless a test adds some."""
 
     def __init__(self) -> None:
         self.sent: list = []
@@ -89,11 +89,11 @@
     ("verdict", "trials"), [(Verdict.WON, [False, True]), (Verdict.HELD, [False])]
 )
 def test_copies_that_wait_are_refused_before_they_are_written(verdict, trials):
-    """Of many copies in the queue one takes a target, and one more on trial.
+    """Guards against queued copies of a request that each crash a target.
 
-    All were let in before the news of the first crash. Each is checked again
-    before its first byte: the next is the trial, if that can be claimed, and
-    all others are refused as not run.
+    All copies were admitted before the first crash was known. Each is checked
+    again before its first byte is sent: the next one becomes the trial, if
+    that can be claimed, and all others are refused as not run.
     """
     inner = end(RequestState.MAY_HAVE_RUN)
     depth = itertools.count()
@@ -110,30 +110,35 @@
     watch.serve(make_call("poison"), {}, None)
     ran = len(trials)
     assert refusals[:ran] == [None] * ran
-    told = {(row.reason, row.outcome) for row in refusals[ran:]}
-    assert told == {(Reason.QUARANTINED, RequestState.NOT_RUN)}
+    outcomes = {(row.reason, row.outcome) for row in refusals[ran:]}
+    assert outcomes == {(Reason.QUARANTINED, RequestState.NOT_RUN)}
     crashes = [row for row in watch.mesh.sent if isinstance(row, Crash)]
     assert [row.trial for row in crashes] == trials
 
 
 def test_suspect_runs_alone_and_is_cleared_by_its_end():
-    """A bystander's next try claims the one trial, ends well, and is cleared."""
+    """A bystander's retry claims the trial, completes, and is cleared."""
     watch = make_watch(end(RequestState.MAY_HAVE_RUN))
     call = make_call("letter")
     watch.serve(call, {}, None)
-    assert watch.standing(crash_digest(call)) is QuarantineStatus.SUSPECT
+    assert watch.status(crash_digest(call)) is QuarantineStatus.SUSPECT
     watch.run = end(RequestState.COMPLETED)
     assert watch.serve(call, {}, None) == [None]
-    assert watch.standing(crash_digest(call)) is QuarantineStatus.CLEAR
-    assert watch.claims.kinds() == [Note, SubmitClaim, Note, ReleaseClaim]
+    assert watch.status(crash_digest(call)) is QuarantineStatus.CLEAR
+    assert watch.claims.kinds() == [
+        AppendCrashEvent,
+        SubmitClaim,
+        AppendCrashEvent,
+        ReleaseClaim,
+    ]
     assert isinstance(watch.mesh.sent[-1], Cleared)
 
 
 @pytest.mark.parametrize("verdict", [Verdict.HELD, Verdict.UNAVAILABLE])
 def test_suspect_without_its_trial_is_refused_as_not_run(verdict):
-    """While another suspect runs, or the log is out, a suspect is refused.
+    """A suspect is refused while another one runs or the log is unavailable.
 
-    Its key is freed, since it did not run and may be sent again.
+    It ends as not run, so its key is released and the request can be retried.
     """
     watch = make_watch(end(RequestState.MAY_HAVE_RUN))
     watch.serve(make_call("letter"), {}, None)
@@ -148,7 +153,7 @@
 
 
 def test_lost_answer_of_a_live_target_is_no_crash():
-    """A service that lost one answer goes on, and so do its other calls."""
+    """A target that lost an answer but still accepts connections has not crashed."""
     server = start_service()
     watch = make_watch(end(RequestState.MAY_HAVE_RUN), server.address)
     watch.serve(make_call("order", PLAIN), {}, None)
@@ -157,21 +162,24 @@
     assert not watch.mesh.sent
 
 
-def test_note_that_comes_twice_or_late_changes_nothing():
-    """Notes come over links and by the log; an old one suspects nobody anew."""
+def test_duplicate_or_old_event_changes_nothing():
+    """Old and duplicate events are ignored.
+
+    Events arrive both over links and through the log.
+    """
     watch = make_watch(end(RequestState.COMPLETED))
-    note = Crash("report", "t1", "d", False)
-    watch.handle_message(FakeLink("peer"), note)
-    watch.handle_message(FakeLink("peer"), note)
-    assert watch.mesh.sent == [note]
+    event = Crash("report", "t1", "d", False)
+    watch.handle_message(FakeLink("peer"), event)
+    watch.handle_message(FakeLink("peer"), event)
+    assert watch.mesh.sent == [event]
     watch.handle_message(FakeLink("peer"), Cleared("second", "d"))
-    watch.replay(note, watch.clock.wall())
+    watch.replay(event, watch.clock.wall())
     watch.replay(Crash("third", "t2", "d", False), watch.clock.wall() - HOLD_S - 1)
-    assert watch.standing("d") is QuarantineStatus.CLEAR
+    assert watch.status("d") is QuarantineStatus.CLEAR
 
 
 def test_digest_is_of_the_messages_alone():
-    """The same prompt is known again with other settings; a like one is not."""
+    """The digest ignores other fields of the body, but not a different prompt."""
     row = make_call("poison").row
     bodies = [
         b'{"messages": ["x"], "max_tokens": 5}',
@@ -182,8 +190,8 @@
     assert digests[0] == digests[1] != digests[2]
 
 
-def test_a_caller_is_answered_once_the_peers_know_of_its_crash():
-    """Guards against a next try that meets a peer without the news."""
+def test_caller_is_answered_once_peers_acknowledged_its_crash():
+    """Guards against a retry that reaches a peer which does not know of the crash."""
     watch = make_watch(end(RequestState.MAY_HAVE_RUN))
     watch.mesh.links = [FakeLink("near"), FakeLink("far")]
     answered = threading.Event()
@@ -194,22 +202,22 @@
 
     thread = threading.Thread(target=serve)
     thread.start()
-    wait_until(lambda: watch.mesh.sent, "the note to be sent")
-    note = watch.mesh.sent[0]
-    watch.handle_message(FakeLink("near"), note)
+    wait_until(lambda: watch.mesh.sent, "the event to be sent")
+    event = watch.mesh.sent[0]
+    watch.handle_message(FakeLink("near"), event)
     assert not answered.is_set()
-    watch.handle_message(FakeLink("far"), note)
+    watch.handle_message(FakeLink("far"), event)
     thread.join()
     assert answered.is_set()
 
 
-def test_a_peer_out_of_reach_holds_up_no_answer_for_long():
-    """Guards against callers that wait for a peer which will never answer."""
+def test_unreachable_peer_delays_an_answer_only_briefly():
+    """Guards against callers that wait for an unreachable peer."""
     watch = make_watch(end(RequestState.MAY_HAVE_RUN))
     watch.mesh.links = [FakeLink("lost")]
     thread = threading.Thread(target=lambda: watch.serve(make_call("poison"), {}, None))
     thread.start()
-    wait_until(lambda: watch.mesh.sent, "the note to be sent")
+    wait_until(lambda: watch.mesh.sent, "the event to be sent")
     while thread.is_alive():
-        watch.clock.advance(ECHO_S)
+        watch.clock.advance(ACK_TIMEOUT_S)
         thread.join(0.01)
