--- a/examples/tickets_in_memory.py
+++ b/examples/tickets_in_memory.py
@@ -1,7 +1,7 @@
-"""Judge tickets with the ledger alone, without a log, hosts or threads.
+"""Evaluate tickets with a ledger alone, without a log, hosts or threads.
 
-The ledger is a pure function of records in their order: give it the records
-of any append-only log, and every process reaches the same verdicts.
+The ledger is a pure function of the ordered records. Every process that replays
+the records of the same append-only log reaches the same verdicts.
 """
 
 from godwitladder.configuration.ledger import Ledger
@@ -15,7 +15,7 @@
 
 
 def main() -> Ledger:
-    """Print each verdict; return a ledger that went through a snapshot."""
+    """Print each verdict; return the ledger decoded from its own snapshot."""
     ledger = Ledger()
     for offset, text in enumerate(RECORDS):
         entry = ledger.replay(offset, 0.0, text.encode())
--- a/godwitladder/configuration/__init__.py
+++ b/godwitladder/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration by numbered tickets, replayed from the platform's log."""
+"""Configuration built by replaying numbered change tickets from the platform log."""
--- a/godwitladder/configuration/exchange.py
+++ b/godwitladder/configuration/exchange.py
@@ -1,4 +1,4 @@
-"""The actor that exchanges the configuration with other hosts."""
+"""Actor that exchanges configuration state with peers."""
 
 import functools
 
@@ -10,15 +10,15 @@
 
 
 class ConfigExchange(pykka.ThreadingActor):
-    """Takes what peers say of their configuration, one message at a time.
+    """Handles peers' messages about the configuration, one at a time.
 
-    Packing and reading a large state takes a while; done here, it holds up
-    no link.
+    Encoding and decoding a large state is slow. A separate actor keeps that
+    work off the threads that serve the peer links.
 
     Parameters
     ----------
     follower : ConfigFollower
-        Keeps this host's configuration.
+        Maintains this host's copy of the configuration.
     """
 
     def __init__(self, follower: ConfigFollower) -> None:
@@ -26,12 +26,12 @@
         self.follower = follower
 
     def on_receive(self, message) -> None:
-        """Take ``message`` in."""
+        """Handle ``message``."""
         self.take(message)
 
     @functools.singledispatchmethod
     def take(self, message) -> None:
-        """Take one message in."""
+        """Handle ``message`` according to its type."""
         raise TypeError(f"unknown message {message!r}")
 
     @take.register
--- a/godwitladder/configuration/follower.py
+++ b/godwitladder/configuration/follower.py
@@ -1,4 +1,4 @@
-"""Keeps one host's replica up to date: reads the log, asks peers, snapshots."""
+"""Keeps a host's replica current from the log and peers, and writes snapshots."""
 
 import hashlib
 import threading
@@ -16,60 +16,63 @@
 
 log = component_logger("config")
 
-# A connection that went silent is noticed this long plus the client's timeout
-# after it was last used, and a ticket must be in force within 14 s even then.
+# Long-poll time of a read. A dead connection is detected this long plus the
+# client's timeout after its last use, and a ticket must take effect within 14 s
+# even in that case.
 READ_WAIT_S = 3.0
 RETRY_S = 0.5
-# A peer is ahead for a moment after every ticket. One that stays ahead for
-# two seconds read something that the log doesn't show this host.
+# Every ticket puts some peers ahead for a moment. A peer that stays ahead for
+# longer than this has read records that the log does not return to this host.
 BEHIND_S = 2.0
-# A state is several hundred kilobytes. A peer whose answers lead nowhere, for
-# one of another version, must not be asked for it every second.
+# A state takes several hundred kilobytes. The interval doubles with each request,
+# so that a peer whose answers are unusable, for example one of another version,
+# is not asked every second.
 REQUEST_PERIOD_S = 1.0
 REQUEST_PERIOD_MAX_S = 60.0
-# Four snapshots within the time that records are kept: three in a row may be
-# missed, and the next one is still in time.
+# Snapshots per retention period of the log. With four, three in a row may fail
+# and the next one is still written before the records expire.
 SNAPSHOTS_KEPT = 4
-# Bounds the replay of a host that starts.
+# Limits the number of records that a starting host replays after a snapshot.
 SNAPSHOT_RECORDS = 1000
 SNAPSHOT_RETRY_S = 10.0
-# Hosts come due spread over this part of the period, so that as a rule one
-# writes and the others see it before their turn.
+# Jitter, as a fraction of the snapshot period. It spreads the hosts' due times, so
+# that usually one host writes and the others see its snapshot before they are due.
 SNAPSHOT_SPREAD = 0.2
 
 
 @dataclass
 class Waiter:
-    """Someone who waits until the records below ``offset`` are replayed."""
+    """A thread's wait until all records below ``offset`` are replayed."""
 
     offset: Offset
     replayed: threading.Event = field(default_factory=threading.Event)
 
 
 class ConfigFollower:
-    """Replays the stream in a thread of its own.
+    """Replays the configuration stream in its own thread.
 
     Parameters
     ----------
     client : LogClient
-        Where to read the stream.
+        Client of the log that holds the stream.
     clock : Clock
-        For pauses and for the age of snapshots.
+        Clock for waits, request intervals and the age of snapshots.
     publish : callable
-        Called with the ledger whenever it has changed, in order.
+        Called with the ledger after each change, in the order of the changes.
     host : HostId
-        This host.
+        Id of this host.
     stream : str
-        Name of the stream.
+        Name of the configuration stream.
     retention_s : float
-        How long the log keeps records, in seconds.
+        Retention time of records in the log, in seconds.
 
     Attributes
     ----------
     send : callable
-        Sends a message to a host; set before `start`.
+        Sends a message to a host and returns whether it was sent; must be set
+        before `start`.
     reachable : bool
-        Whether the log answered last time.
+        Whether the last read from the log succeeded.
     """
 
     def __init__(
@@ -106,25 +109,31 @@
 
     @property
     def ledger(self) -> Ledger:
-        """The ledger in force."""
+        """The replica's current ledger."""
         return self.replica.ledger
 
     def start(self) -> None:
-        """Start to follow."""
+        """Start the thread that follows the stream."""
         self.thread.start()
 
     def stop(self) -> None:
-        """Stop after the read in progress."""
+        """Make the thread stop after the current read."""
         self.stopping.set()
 
     def run(self) -> None:
-        """Follow until told to stop."""
+        """Follow the stream until `stop` is called."""
         while not self.stopping.is_set():
             if not self.follow_once():
                 self.clock.wait(self.stopping, RETRY_S)
 
     def follow_once(self) -> bool:
-        """Read one page and replay it; return False where a pause is due."""
+        """Read and replay one page of the stream.
+
+        Returns
+        -------
+        bool
+            False if the caller should wait before it reads again.
+        """
         cursor, ledger = self.replica.cursor(), self.ledger
         following = self.replica.phase is Phase.FOLLOWING
         wait_s = READ_WAIT_S if following and self.caught_up.is_set() else 0.0
@@ -133,15 +142,19 @@
         except LogUnavailable as error:
             with self.lock:
                 if self.reachable or not self.failed:
-                    log.warning("The log did not answer", extra={"error": str(error)})
+                    log.warning(
+                        "Reading the configuration log failed",
+                        extra={"error": str(error)},
+                    )
                 self.reachable, self.failed = False, True
                 self.replica.lose_log()
             self.ask_peers()
             return False
         with self.lock:
             self.reachable = True
-            # A peer's state may have come in during the read. A page from
-            # before it would look like a log that lost its last records.
+            # Discard the page if a peer's state was installed during the read.
+            # A page older than that state looks like a log that lost its last
+            # records.
             if self.ledger is ledger:
                 self._take_page(page)
         self.ask_peers()
@@ -149,13 +162,13 @@
         return self.replica.phase is Phase.FOLLOWING or bool(page.records)
 
     def hear(self, host: HostId, offset: int) -> None:
-        """Take in the offset that a peer has in force."""
+        """Record the offset that a peer's state has reached."""
         with self.lock:
             self.peers[host] = offset
         self.ask_peers()
 
     def ask_peers(self) -> None:
-        """Ask a peer that is ahead for its state, each in its turn."""
+        """Request the state of a peer that is ahead, rotating among such peers."""
         now = self.clock.monotonic()
         with self.lock:
             if not self._wants_state(max(self.peers.values(), default=-1), now):
@@ -175,25 +188,38 @@
                 self.peers.pop(host, None)
 
     def answer(self) -> ConfigSnapshot | None:
-        """Return the answer to a peer's request; None while there is no state."""
+        """Return the answer to a peer's request, or None before catching up."""
         with self.lock:
             return ConfigSnapshot(self._encode()) if self.caught_up.is_set() else None
 
     def take_state(self, message: ConfigSnapshot) -> None:
-        """Take in a peer's state."""
+        """Install a peer's state if it is ahead of this host's."""
         with self.lock:
             try:
                 taken = self.replica.take_state(message.data)
             except BadSnapshot as error:
-                log.warning("A bad state from a peer", extra={"error": str(error)})
+                log.warning(
+                    "A peer sent an invalid configuration snapshot",
+                    extra={"error": str(error)},
+                )
                 return
             if taken:
-                log.info("Took a peer's state", extra={"offset": self.ledger.next})
+                log.info(
+                    "Installed the configuration state of a peer",
+                    extra={"offset": self.ledger.next},
+                )
                 self.request_period_s = REQUEST_PERIOD_S
                 self._changed()
 
     def await_offset(self, offset: Offset, wait_s: float) -> AuditEntry | None:
-        """Return the verdict at ``offset``, waiting up to ``wait_s`` for it."""
+        """Wait up to ``wait_s`` seconds for the record at ``offset`` to be replayed.
+
+        Returns
+        -------
+        AuditEntry or None
+            The record's audit entry; None if it was not replayed in time, has
+            no entry or is no longer in the audit trail.
+        """
         waiter = Waiter(Offset(offset + 1))
         with self.lock:
             if self.ledger.next <= offset:
@@ -210,7 +236,14 @@
     def await_ticket(
         self, digest: str, start: Offset, wait_s: float
     ) -> AuditEntry | None:
-        """Return the verdict on content ``digest`` at ``start`` or later."""
+        """Wait up to ``wait_s`` seconds for a ticket with content ``digest``.
+
+        Returns
+        -------
+        AuditEntry or None
+            The first audit entry with this digest at offset ``start`` or
+            later; None if there was none in time.
+        """
         due = self.clock.monotonic() + wait_s
         while True:
             with self.lock:
@@ -227,7 +260,7 @@
         entries = self.replica.take_page(page)
         for entry in entries:
             log.info(
-                "A ticket was judged",
+                "A ticket was evaluated",
                 extra={"ticket": entry.number, "verdict": entry.verdict.value},
             )
         if self.replica.phase is not phase:
@@ -239,12 +272,16 @@
         phase, extra = self.replica.phase, {"offset": self.ledger.next}
         if phase is Phase.FORKED:
             log.error(
-                "The log lost records that are in force", extra=extra | vars(page)
+                "The log no longer holds records that this host has replayed",
+                extra=extra | vars(page),
             )
         elif phase is Phase.SEEKING:
-            log.warning("Records expired unread, a snapshot is sought", extra=extra)
+            log.warning(
+                "Records expired before they were read, looking for a snapshot",
+                extra=extra,
+            )
         else:
-            log.info("The log is followed", extra=extra)
+            log.info("Following the configuration log", extra=extra)
 
     def _changed(self) -> None:
         self.publish(self.ledger)
@@ -280,7 +317,9 @@
         try:
             self.client.append(self.stream, [data])
         except LogUnavailable as error:
-            log.warning("No snapshot was written", extra={"error": str(error)})
+            log.warning(
+                "Writing a configuration snapshot failed", extra={"error": str(error)}
+            )
 
     def _due(self) -> bool:
         replica = self.replica
@@ -294,6 +333,6 @@
         return self.clock.wall() - last > period * late
 
     def _turn(self, offset: Offset) -> float:
-        """Return a number from 0 to 1, its own for each host and snapshot."""
+        """Return a jitter from 0 to 1, derived from this host's id and ``offset``."""
         digest = hashlib.sha256(f"{self.host} {offset}".encode()).digest()
         return int.from_bytes(digest[:4]) / 2**32
--- a/godwitladder/configuration/judgement.py
+++ b/godwitladder/configuration/judgement.py
@@ -1,4 +1,4 @@
-"""Whether a ticket may be applied to the objects in force. Pure."""
+"""Pure checks of whether a ticket may be applied to the current objects."""
 
 import enum
 from collections.abc import Iterator, Mapping
@@ -14,9 +14,17 @@
 class Rejection(enum.Enum):
     """Why a ticket was rejected.
 
-    INVALID: it can't be read. OUTDATED: an object it touches was written by
-    a higher number. CONFLICT: its number stands for other content.
-    INCONSISTENT: with it, objects would not fit together.
+    Attributes
+    ----------
+    INVALID
+        It cannot be parsed or fails a field check.
+    OUTDATED
+        A ticket with a higher number wrote or removed one of its objects.
+    CONFLICT
+        Its number was already used by a ticket with different content.
+    INCONSISTENT
+        It would break a reference between objects or make a unique value
+        belong to two objects.
     """
 
     INVALID = "invalid"
@@ -31,18 +39,30 @@
     floor: int,
     ticket: Ticket,
 ) -> tuple[Rejection | None, tuple[Finding, ...]]:
-    """Return why ``ticket`` must be rejected, or None, with all findings.
+    """Check ``ticket`` against the current objects.
 
-    Only what the ticket touches is looked at. A look at every object took
-    17 ms at 3,200 workspaces, and a host that starts replays a thousand
-    tickets before it can serve.
+    Only the objects that the ticket writes and those related to them are
+    checked. Checking every object takes 17 ms with 3,200 workspaces, and a
+    starting host replays a thousand tickets before it can serve.
 
     Parameters
     ----------
+    objects : mapping
+        Last version of each object; removed ones have the value None.
     holders : dict
-        Which object in force holds each value of `unique_values`.
+        The current object that owns each value of `unique_values`.
     floor : int
-        An object without a row can only be written by a higher number.
+        Highest number of the removals whose rows were deleted. An object
+        without a row can only be written by a ticket with a higher number.
+    ticket : Ticket
+        The ticket to check.
+
+    Returns
+    -------
+    cause : Rejection or None
+        Why the ticket must be rejected; None if it may be applied.
+    findings : tuple of Finding
+        Everything that is wrong with the ticket.
     """
     numbers = Findings()
     same = False
@@ -73,7 +93,7 @@
 def _judge_references(
     objects: Mapping[ObjectName, Versioned], ticket: Ticket, findings: Findings
 ) -> None:
-    """Note references of the ticket to objects that would not exist."""
+    """Report references in the ticket to objects that would not exist."""
     for name, value in ticket.writes.items():
         for other in _references(name, value):
             held = objects.get(other)
@@ -85,7 +105,7 @@
 def _judge_removals(
     objects: Mapping[ObjectName, Versioned], ticket: Ticket, findings: Findings
 ) -> None:
-    """Note objects in force that refer to one that the ticket removes."""
+    """Report current objects that refer to an object that the ticket removes."""
     removed = {name for name, value in ticket.writes.items() if value is None}
     if not removed:
         return
@@ -107,11 +127,11 @@
 
 
 def _judge_unique(holders: Holders, ticket: Ticket, findings: Findings) -> None:
-    """Note bearer keys and addresses that two objects would hold.
+    """Report bearer keys and addresses that would belong to two objects.
 
-    A key held by two workspaces would serve its callers in whichever tier
-    comes last in a table. A target listed twice would be given twice the
-    work that its slots allow.
+    The callers of a key that belongs to two workspaces would be served in the
+    tier of whichever workspace comes last in the table. A target listed twice
+    would be given twice the work that its slots allow.
     """
     written: Holders = {}
     for name, value in ticket.writes.items():
@@ -125,7 +145,7 @@
 
 
 def unique_values(name: ObjectName, value: Any) -> Iterator[tuple[str, str]]:
-    """Yield what no other object may hold; a removed one holds nothing."""
+    """Yield kind and value of whatever must be unique; nothing if removed."""
     if value is None:
         return
     if name.table == ObjectKind.WORKSPACE.value:
--- a/godwitladder/configuration/ledger.py
+++ b/godwitladder/configuration/ledger.py
@@ -1,9 +1,9 @@
 """The configuration as a pure function of the log's records.
 
 Every host replays the same records in the same order and so reaches the same
-verdicts, without any agreement between hosts. All that a verdict depends on
-is part of the ledger and of its snapshots, so that a host that starts from a
-snapshot judges the next ticket as one that replayed everything.
+verdicts without coordination. Everything that a verdict depends on is part of
+the ledger and of its snapshots, so a host that starts from a snapshot reaches
+the same verdict on the next ticket as a host that replayed the whole log.
 """
 
 import enum
@@ -25,21 +25,23 @@
 from godwitladder.findings import Finding, InvalidInput
 from godwitladder.ids import Offset, TicketNumber
 
-# A day of tickets at the target size, so that the trail in memory reaches as
-# far back as the records of a log that keeps them for a day.
+# One day of tickets at the largest supported size, so that the audit trail in
+# memory reaches as far back as the records of a log with one day of retention.
 AUDIT_KEPT = 2400
-# The answer to an append is lost and the ticket sent again within minutes;
-# ten hours of tickets at the target size are ample to know it again.
+# Ten hours of tickets at the largest supported size. A ticket whose append was not
+# acknowledged is sent again within minutes, so it is still recognized.
 ACCEPTED_KEPT = 1000
 FINDINGS_KEPT = 20
-# Some months of removals at the target size, in a few megabytes.
+# Some months of removals at the largest supported size; the rows take a few
+# megabytes.
 REMOVED_KEPT = 10_000
-# Stands before a snapshot. TOML allows no NUL, so no ticket starts like this.
+# Magic bytes at the start of a snapshot. TOML allows no NUL, so no valid ticket
+# starts with them.
 SNAPSHOT_MARK = b"\x00godwitladder snapshot\n"
 
 
 class Verdict(enum.Enum):
-    """What became of a ticket."""
+    """Outcome of a ticket."""
 
     ACCEPTED = "accepted"
     REPEATED = "repeated"
@@ -48,18 +50,26 @@
 
 @dataclass(frozen=True)
 class AuditEntry:
-    """One line of the audit trail.
+    """One entry of the audit trail: a ticket and its verdict.
 
     Attributes
     ----------
+    offset : int
+        Offset of the ticket's record in the log.
     time : float
-        The log's own time of the record, in seconds since the epoch.
+        The log's timestamp of the record, in seconds since the epoch.
+    number : int
+        The ticket's number; 0 if it could not be read.
+    operator, reason : str
+        As given in the ticket; empty if it could not be read.
+    verdict : Verdict
+        Outcome of the ticket.
     findings : tuple of Finding
-        Why it was rejected, the first ``FINDINGS_KEPT``.
+        Why it was rejected; at most the first ``FINDINGS_KEPT``.
     cause : Rejection or None
-        The kind of the rejection.
+        Kind of the rejection; None if it was not rejected.
     digest : str
-        Digest of the ticket's content; empty where it could not be read.
+        Digest of the ticket's content; empty if it could not be read.
     """
 
     offset: Offset
@@ -75,7 +85,7 @@
 
 @dataclass(frozen=True)
 class Accepted:
-    """An accepted ticket, remembered to know it again."""
+    """An accepted ticket, kept to recognize it when it is sent again."""
 
     number: TicketNumber
     operator: str
@@ -85,28 +95,29 @@
 
 @dataclass
 class Ledger:
-    """The state in force and the verdict on every ticket that led to it.
+    """The current objects and the verdicts on the tickets that led to them.
 
     Attributes
     ----------
     objects : dict
-        Each object ever written, with the ticket that wrote it last. A
-        removed object stays as a row with value None, so that an older
-        ticket can't bring it back; the last ``REMOVED_KEPT`` of these do.
-    floor : int
-        Highest number of the removals no longer kept as rows. An object that
-        has no row can only be written by a higher one.
+        Row of each object, with the ticket that wrote it last. A removed
+        object keeps a row with value None, so that an older ticket can't
+        restore it. At most ``REMOVED_KEPT`` such rows are kept, those with
+        the highest ticket numbers.
     accepted : dict
         The last ``ACCEPTED_KEPT`` accepted tickets by number.
     audit : deque
-        The last ``AUDIT_KEPT`` verdicts.
+        The last ``AUDIT_KEPT`` audit entries.
     next : int
         Offset of the first record not yet replayed.
     tail : str
-        SHA-256 of the record before ``next``, by which a log that was
-        restored from another copy is told from the one replayed.
+        SHA-256 of the record before ``next``, to detect that the log was
+        restored from another copy; empty before the first record.
+    floor : int
+        Highest ticket number among the removals whose rows were deleted. An
+        object without a row can only be written by a higher number.
     holders : dict
-        Index of ``objects``: who holds each value that may be held once.
+        Index of ``objects``: the owner of each value that must be unique.
     """
 
     objects: dict[ObjectName, Versioned] = field(default_factory=dict)
@@ -122,7 +133,7 @@
             self._hold(name, row.value)
 
     def table(self, kind: ObjectKind) -> Mapping[str, Any]:
-        """Return the objects of ``kind`` in force, by name."""
+        """Return the current objects of ``kind`` by name, without removed ones."""
         return {
             name.name: row.value
             for name, row in self.objects.items()
@@ -130,11 +141,16 @@
         }
 
     def replay(self, offset: Offset, time: float, data: bytes) -> AuditEntry | None:
-        """Judge the record at ``offset``; return its audit entry, if it has one.
+        """Apply the record at ``offset``.
 
-        A record below ``next`` was judged before and changes nothing, so
-        that a duplicate delivery can't bring an older state back. A snapshot
-        repeats what the records before it say, and changes nothing either.
+        A record below ``next`` was replayed before and is ignored, so that a
+        duplicate delivery can't restore an older state. A snapshot only repeats
+        the effect of the records before it and changes no object.
+
+        Returns
+        -------
+        AuditEntry or None
+            The ticket's audit entry; None for a snapshot or an old record.
         """
         if offset < self.next:
             return None
@@ -147,15 +163,15 @@
         return entry
 
     def keep_newer(self, older: "Ledger") -> None:
-        """Take from ``older`` the objects that a higher number wrote there.
+        """Copy the objects from ``older`` that have a higher ticket number there.
 
-        Between two states of one log there is none, whichever is the later.
-        Only where records were lost from the log for good can there be one,
-        and then the state in force must not go back.
+        Two states of the same log never differ in this way, whichever is the
+        later. A difference means that the log lost records for good, and then
+        the current state must not revert to older objects.
         """
         for name, row in older.objects.items():
             held = self.objects.get(name)
-            # Without a row it may have been removed, and its row dropped.
+            # An object without a row may have been removed and its row deleted.
             if row.number > (held.number if held else self.floor):
                 self._write(name, row)
 
@@ -191,11 +207,22 @@
     def judge(
         self, ticket: Ticket
     ) -> tuple[Verdict, Rejection | None, tuple[Finding, ...]]:
-        """Return the verdict that ``ticket`` would get as the next record."""
+        """Return the verdict that ``ticket`` would get as the next record.
+
+        Returns
+        -------
+        verdict : Verdict
+            Outcome of the ticket.
+        cause : Rejection or None
+            Kind of the rejection; None if it is not rejected.
+        findings : tuple of Finding
+            Why it is rejected.
+        """
         same = self.accepted.get(ticket.number)
-        # Asked before the objects' numbers: a ticket sent again after a lost
-        # answer was accepted, even where a later one has since replaced some
-        # of its objects. "Rejected" would be untrue to its operator.
+        # This check precedes the comparison of the objects' ticket numbers. A
+        # ticket that is sent again after a lost acknowledgement was accepted, even
+        # if a later ticket has since replaced some of its objects, so reporting it
+        # as rejected would be wrong.
         if same and same.digest == ticket.digest:
             return Verdict.REPEATED, None, ()
         if same:
@@ -223,7 +250,7 @@
             self._drop_removed()
 
     def _drop_removed(self) -> None:
-        """Bound the rows of removed objects, the lowest numbers first."""
+        """Delete excess rows of removed objects, lowest ticket numbers first."""
         rows = [
             (row.number, name)
             for name, row in self.objects.items()
@@ -236,7 +263,7 @@
     def _write(self, name: ObjectName, row: Versioned) -> None:
         old = self.objects.get(name)
         for held in unique_values(name, old and old.value):
-            # Another object of the same ticket may have taken it over.
+            # Another object in the same ticket may own the value by now.
             if self.holders.get(held) == name:
                 del self.holders[held]
         self.objects[name] = row
@@ -248,12 +275,12 @@
 
 
 def record_digest(data: bytes) -> str:
-    """Return the digest by which two copies of a record are compared."""
+    """Return the SHA-256 hex digest used to compare copies of a record."""
     return hashlib.sha256(data).hexdigest()
 
 
 def make_state(ledger: Ledger) -> ConfigState:
-    """Return the view of ``ledger`` as it stands."""
+    """Return an immutable view of the current objects of ``ledger``."""
     workspaces = ledger.table(ObjectKind.WORKSPACE)
     keys = {
         digest: name
--- a/godwitladder/configuration/messages.py
+++ b/godwitladder/configuration/messages.py
@@ -1,4 +1,4 @@
-"""What hosts ask each other about the configuration."""
+"""Messages in which hosts exchange configuration state."""
 
 from dataclasses import dataclass
 
@@ -9,7 +9,10 @@
 @peer_message
 @dataclass(frozen=True)
 class ConfigRequest:
-    """Asks for the state of a host that is said to be ahead."""
+    """Requests the state of a peer that reported a higher offset.
+
+    ``host`` is the requesting host, to which the answer is sent.
+    """
 
     host: HostId
 
@@ -17,6 +20,6 @@
 @peer_message
 @dataclass(frozen=True)
 class ConfigSnapshot:
-    """Answers a `ConfigRequest`; ``data`` is in the form of a snapshot."""
+    """Answers a `ConfigRequest`; ``data`` is an encoded snapshot."""
 
     data: bytes
--- a/godwitladder/configuration/model.py
+++ b/godwitladder/configuration/model.py
@@ -1,4 +1,4 @@
-"""The objects that operators create: tiers, workspaces, services, targets."""
+"""Objects that operators configure: tiers, workspaces, services and targets."""
 
 import enum
 from dataclasses import dataclass
@@ -15,14 +15,14 @@
 
 
 class ServiceKind(enum.Enum):
-    """How a service is spoken to."""
+    """Protocol of a service."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class TargetState(enum.Enum):
-    """Whether a target takes new work."""
+    """Whether a target may be given new work."""
 
     ACTIVE = "active"
     LEAVING = "leaving"
@@ -30,7 +30,7 @@
 
 
 class ObjectKind(enum.Enum):
-    """The kinds of object, each the name of its table in a ticket."""
+    """Kinds of objects; each value is the name of the table in a ticket."""
 
     TIER = "tiers"
     WORKSPACE = "workspaces"
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class Tier:
-    """How much a request matters; rank 0 matters most."""
+    """Priority class of requests; rank 0 is the highest priority."""
 
     rank: int = checked(not_negative)
 
@@ -52,16 +52,17 @@
     Attributes
     ----------
     tier : str
-        The tier of its requests, unless the caller lowers it.
+        Default tier of its requests; a caller may choose a lower one.
     key_digests : tuple of str
         SHA-256 of each bearer key, in lower-case hex.
     share : float
-        Weight in the fair share among workspaces of a tier.
+        Weight in fair sharing among the workspaces of a tier.
     quota : int
-        Requests that may run at once; 0 for no bound of its own.
-    token_rate, token_burst : float
-        Tokens that may be run a second, over all hosts, and beyond that at
-        once; a rate of 0 for no bound.
+        Maximum number of concurrent requests; 0 for no limit of its own.
+    token_rate : float
+        Token quota over all hosts, in tokens per second; 0 for no limit.
+    token_burst : float
+        Tokens that may be used at once beyond the rate.
     """
 
     tier: TierName
@@ -74,16 +75,19 @@
 
 @dataclass(frozen=True)
 class Service:
-    """Something that callers ask for by name.
+    """A service that callers address by name.
 
     Attributes
     ----------
+    kind : ServiceKind
+        Protocol of the service.
     idempotent : bool
-        Whether running a request twice does no harm.
+        Whether a request may safely run twice.
     timeout_s : float
-        Deadline of a request that states none, in seconds from its arrival.
+        Default deadline of a request, in seconds from its arrival.
     max_output : int
-        Output tokens that a caller may declare, for a model service.
+        Maximum number of output tokens that a caller may declare; applies to
+        model services.
     """
 
     kind: ServiceKind
@@ -94,25 +98,34 @@
 
 @dataclass(frozen=True)
 class Target:
-    """An engine or a plain service's process.
+    """An inference engine or a process of a plain service.
 
     Attributes
     ----------
+    address : str
+        Host and port.
     zone : str
-        Whose hosts share one queue for it.
-    place : str
-        The availability zone it stands in, where that is a part of ``zone``.
+        Zone whose hosts share one queue for this target.
+    services : tuple of str
+        Names of the services that it runs.
     slots : int
-        Requests it runs at once.
+        Maximum number of requests that it runs concurrently.
     memory_tokens : int
-        Tokens of context that fit its memory; 0 for a plain service.
+        Context tokens that fit in its memory; 0 for a plain service.
     prefill_tps, decode_tps : float
-        Tokens a second expected before any were measured.
+        Assumed speed in tokens per second until one is measured.
     checks_fence : bool
-        Whether it refuses orders with an old fencing number.
-    model, adapters, role : str, tuple of str, str
-        What it is ordered to have loaded and to be; all empty for a target
-        that takes no orders.
+        Whether it rejects orders with an outdated fencing number.
+    state : TargetState
+        Whether it may be given new work.
+    model : str
+        Model that it is ordered to load; empty if it takes no orders.
+    adapters : tuple of str
+        Adapters that it is ordered to load; empty if it takes no orders.
+    role : str
+        Role that it is ordered to assume; empty if it takes no orders.
+    place : str
+        Its availability zone, if that is only a part of ``zone``.
     """
 
     address: str = checked(host_port)
@@ -141,7 +154,7 @@
 
 @dataclass(frozen=True, order=True)
 class ObjectName:
-    """Names one object of the configuration."""
+    """Identifies an object by the names of its table and itself."""
 
     table: str
     name: str
@@ -152,7 +165,7 @@
 
 @dataclass(frozen=True)
 class Versioned:
-    """An object with the ticket that wrote it; ``value`` None means removed."""
+    """An object and the ticket that last wrote it; ``value`` is None if removed."""
 
     number: int
     operator: str
--- a/godwitladder/configuration/replica.py
+++ b/godwitladder/configuration/replica.py
@@ -1,7 +1,7 @@
-"""How one host's ledger keeps up with the log and with its peers.
+"""State machine that keeps a host's ledger current with the log and its peers.
 
-Pure: pages, peers' states and failures are handed in. The state in force
-never goes back, whatever the log then shows.
+It does no I/O: the caller passes in pages, peers' states and log failures. The
+current state never reverts to an older one, whatever the log returns later.
 """
 
 import enum
@@ -19,12 +19,20 @@
 
 
 class Phase(enum.Enum):
-    """Where a replica stands to the log.
+    """Relation of a replica to the log.
 
-    FOLLOWING: it replays each record. CHECKING: the log was away, and its
-    last record is compared before more is replayed. SEEKING: records expired
-    before it read them, and it looks for a snapshot. FORKED: the log no
-    longer holds what was replayed from it.
+    Attributes
+    ----------
+    FOLLOWING
+        The replica replays each record.
+    CHECKING
+        The log was unavailable, or a peer's state was installed. The last
+        replayed record is compared with the log before more are replayed.
+    SEEKING
+        Records expired before they were read, and the replica looks for a
+        snapshot.
+    FORKED
+        The log no longer holds the records that were replayed from it.
     """
 
     FOLLOWING = "following"
@@ -35,20 +43,29 @@
 
 @dataclass
 class Replica:
-    """A ledger and its place in the log.
+    """A ledger and its position in the log.
 
     Attributes
     ----------
+    ledger : Ledger
+        The current state.
+    phase : Phase
+        Relation to the log.
     caught_up : bool
-        Whether it has reached the end of the log once, or a peer's state.
+        Whether it has once reached the end of the log or installed a peer's
+        state.
     sought : list of Record
-        Records read while it looked for a snapshot.
+        Records read while looking for a snapshot.
+    sought_from : int
+        Offset at which the search for a snapshot started.
     snapshot_time : float or None
-        The log's time of the newest snapshot seen, in seconds.
+        The log's timestamp of the newest snapshot read, in seconds since the
+        epoch.
     snapshot_offset : int
         Offset of that snapshot, or of the first record replayed.
     first_time : float or None
-        The log's time of the first record seen since its start.
+        The log's timestamp of the first record replayed since the host's
+        start, in seconds since the epoch.
     """
 
     ledger: Ledger = field(default_factory=Ledger)
@@ -70,15 +87,15 @@
         return self.ledger.next
 
     def lose_log(self) -> None:
-        """Note that the log did not answer."""
-        # A log that comes back may have been restored from an older copy.
-        # Hosts that then went on at their old offset would skip the records
-        # written there anew, and no longer agree with hosts that start later.
+        """Record that a read from the log failed."""
+        # After an outage, the log may have been restored from an older copy. A
+        # host that continued at its old offset would skip the records written
+        # since the restore and disagree with hosts that start later.
         if self.phase is Phase.FOLLOWING:
             self.phase = Phase.CHECKING
 
     def take_page(self, page: Page) -> list[AuditEntry]:
-        """Take in what a read from `cursor` gave; return the new verdicts."""
+        """Process a page read at `cursor` and return the new audit entries."""
         if self.phase is Phase.SEEKING:
             return self._seek(page)
         if page.next < self.ledger.next:
@@ -96,20 +113,26 @@
         return entries
 
     def take_state(self, data: bytes) -> bool:
-        """Take in a peer's state if it is ahead; return whether it was.
+        """Install a peer's state if it is ahead of this host's.
+
+        A state is a function of the log up to its offset. A state at a higher
+        offset is therefore the one that this host would reach by replaying the
+        log, and a state at a lower offset is outdated.
 
-        A state is a function of the log up to its offset, so one of a higher
-        offset is what this host would reach by itself, and one of a lower
-        offset is old.
+        Returns
+        -------
+        bool
+            Whether the state was installed.
 
         Raises
         ------
         BadSnapshot
-            The peer sent something else.
+            If ``data`` is not a valid snapshot.
         """
         ledger = decode_snapshot(data)
-        # A fresh ledger also takes the state of a peer at offset 0, else a
-        # new host in an outage would never be ready where there is no ticket.
+        # A host that has not caught up also installs a peer's state at offset 0.
+        # Otherwise a host that starts during an outage of the log would never
+        # become ready while the stream is still empty.
         if self.phase is Phase.FORKED or ledger.next < self.ledger.next:
             return False
         if ledger.next == self.ledger.next and self.caught_up:
@@ -120,19 +143,19 @@
         return True
 
     def wants_state(self, offset: int) -> bool:
-        """Return whether the state of a peer at ``offset`` would help."""
+        """Return whether this host needs the state of a peer at ``offset``."""
         if self.phase in (Phase.FOLLOWING, Phase.FORKED):
             return False
         return offset > self.ledger.next or not self.caught_up
 
     def _same_log(self, page: Page) -> bool:
-        """Return whether the log still holds the last record replayed."""
+        """Return whether the log still holds the last replayed record."""
         last = self.ledger.next - 1
         for record in page.records:
             if record.offset == last:
                 return record_digest(record.data) == self.ledger.tail
-        # Nothing was replayed yet, or the record has expired: the log can't
-        # be told from the one before, nor is there a sign that it changed.
+        # If nothing was replayed yet or the record has expired, there is nothing
+        # to compare and no sign that the log was replaced.
         return last < 0 or page.first > last
 
     def _replay(self, records: tuple[Record, ...] | list[Record]) -> list[AuditEntry]:
@@ -155,10 +178,10 @@
         self.sought_from = first
 
     def _seek(self, page: Page) -> list[AuditEntry]:
-        """Look for a snapshot whose later records are all at hand.
+        """Look for a snapshot for which all later records have been read.
 
-        One whose state is older than the first record read leaves a gap
-        between, and tickets in the gap would be missing for good.
+        If the state of a snapshot ends before the first record read, the tickets
+        in the gap would be missing for good, so such a snapshot is skipped.
         """
         if page.first > self.cursor():
             self._start_seeking(page.first)
--- a/godwitladder/configuration/snapshots.py
+++ b/godwitladder/configuration/snapshots.py
@@ -1,8 +1,8 @@
-"""Snapshots: the whole state of a ledger as one record or message.
+"""Encoding of a ledger's whole state as one log record or peer message.
 
-Records of the log expire. A snapshot that was appended before they do lets a
-host that starts later reach the state that a full replay would have given it.
-The form is CBOR, deflated, behind a mark with which no ticket can start.
+Records of the log expire. A snapshot appended before they do lets a host that
+starts later reach the same state as a full replay. The format is CBOR,
+compressed with zlib, after magic bytes with which no ticket can start.
 """
 
 import dataclasses
@@ -26,18 +26,18 @@
 from godwitladder.ids import Offset
 from godwitladder.tables import read_table
 
-# Bounds what a damaged record can make a host unpack; the state at the
-# target size takes a few megabytes.
+# Limits the memory that decompressing a damaged record can take. A state at the
+# largest supported size takes a few megabytes.
 UNPACKED_BYTES = 67_108_864
 
 
 class BadSnapshot(GodwitladderError):
-    """Bytes that are no snapshot."""
+    """Raised for data that is not a valid snapshot."""
 
 
 @dataclass(frozen=True)
 class ObjectRow:
-    """Name and writer of one object in a snapshot."""
+    """Name of an object in a snapshot and the ticket that last wrote it."""
 
     table: str
     name: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class SnapshotHead:
-    """The parts of a ledger that are no rows."""
+    """Scalar fields of a ledger in a snapshot."""
 
     next: int
     tail: str
@@ -57,7 +57,7 @@
 
 
 def encode_snapshot(ledger: Ledger) -> bytes:
-    """Return ``ledger`` as a snapshot."""
+    """Return ``ledger`` encoded as a snapshot."""
     body = {
         "head": dataclasses.asdict(
             SnapshotHead(ledger.next, ledger.tail, ledger.floor)
@@ -70,12 +70,12 @@
 
 
 def decode_snapshot(data: bytes) -> Ledger:
-    """Return the ledger in ``data``.
+    """Return the ledger encoded in ``data``.
 
     Raises
     ------
     BadSnapshot
-        The bytes are damaged, or of a form that this version doesn't know.
+        If the data is damaged or in a format that this version does not know.
     """
     body = _unpack(data)
     findings = Findings()
@@ -86,7 +86,7 @@
         audit = [_read(row, AuditEntry, findings) for row in body["audit"]]
         findings.raise_if_any()
     except (KeyError, TypeError, ValueError, GodwitladderError) as error:
-        raise BadSnapshot(f"not a snapshot: {error!r}") from error
+        raise BadSnapshot(f"invalid snapshot: {error!r}") from error
     return Ledger(
         objects=dict(objects),
         accepted={row.number: row for row in accepted},
@@ -99,13 +99,13 @@
 
 def _unpack(data: bytes) -> Any:
     if not data.startswith(SNAPSHOT_MARK):
-        raise BadSnapshot("the mark is missing")
+        raise BadSnapshot("the magic bytes at the start of a snapshot are missing")
     reader = zlib.decompressobj()
     try:
         plain = reader.decompress(data[len(SNAPSHOT_MARK) :], UNPACKED_BYTES)
         return cbor2.loads(plain)
     except (zlib.error, cbor2.CBORDecodeError, ValueError, RecursionError) as error:
-        raise BadSnapshot(f"not a snapshot: {error!r}") from error
+        raise BadSnapshot(f"invalid snapshot: {error!r}") from error
 
 
 def _object_row(name: ObjectName, row: Versioned) -> list:
@@ -135,5 +135,5 @@
 
 def _encode_enum(encoder: Any, value: Any) -> None:
     if not isinstance(value, enum.Enum):
-        raise TypeError(f"{value!r} has no form in a snapshot")
+        raise TypeError(f"cannot encode {value!r} in a snapshot")
     encoder.encode(value.value)
--- a/godwitladder/configuration/state.py
+++ b/godwitladder/configuration/state.py
@@ -1,4 +1,4 @@
-"""The configuration in force, as what the rest of a host reads."""
+"""Immutable view of the current configuration for the rest of a host."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -14,16 +14,19 @@
 
 @dataclass(frozen=True)
 class ConfigState:
-    """An immutable view of the objects in force at one offset.
+    """The current objects at one offset of the log.
 
     Attributes
     ----------
     offset : int
-        Offset of the next record to replay; never goes back.
-    keys : dict
-        Workspace name for each digest of a bearer key.
-    numbers : dict
-        Number of the ticket that wrote each target last.
+        Offset of the next record to replay; never decreases.
+    tiers, workspaces, services, targets : mapping
+        The current objects by name.
+    keys : mapping
+        Workspace name by digest of a bearer key.
+    numbers : mapping
+        Number of the ticket that last wrote each target, by the target's name;
+        removed targets are included.
     """
 
     offset: Offset = Offset(0)
--- a/godwitladder/configuration/tickets.py
+++ b/godwitladder/configuration/tickets.py
@@ -1,8 +1,8 @@
-"""Change tickets: numbered, in TOML, with the whole new state of each object.
+"""Parsing of numbered change tickets.
 
-A ticket has ``number``, ``operator``, ``reason``, any of the tables
-``tiers``, ``workspaces``, ``services`` and ``targets``, and ``remove``, a
-list of ``table.name``.
+A ticket is a TOML document with ``number``, ``operator``, ``reason``, any of the
+tables ``tiers``, ``workspaces``, ``services`` and ``targets``, and ``remove``, a
+list of ``table.name``. It holds the complete new value of each object it writes.
 """
 
 import hashlib
@@ -16,7 +16,8 @@
 from godwitladder.settings import parse_toml
 from godwitladder.tables import MAX_JSON_INTEGER, read_table
 
-# Bounds are constants and no settings: a verdict must be the same everywhere.
+# These limits are constants rather than settings, because every host must reach the
+# same verdict on a ticket.
 TICKET_BYTES = 1_048_576
 NAME_CHARS = 200
 HEAD = ("number", "operator", "reason", "remove")
@@ -25,14 +26,14 @@
 
 @dataclass(frozen=True)
 class Ticket:
-    """A ticket that was read without findings.
+    """A valid ticket.
 
     Attributes
     ----------
     writes : dict
-        New value for each object; None removes it.
+        New value of each object; None removes the object.
     digest : str
-        SHA-256 of the ticket's content, whatever its layout and comments.
+        SHA-256 of the parsed content; layout and comments do not affect it.
     """
 
     number: TicketNumber
@@ -43,12 +44,19 @@
 
 
 def read_ticket(data: bytes, name: str = "ticket") -> Ticket:
-    """Return the ticket in ``data``.
+    """Parse and check a ticket.
+
+    Parameters
+    ----------
+    data : bytes
+        The ticket as TOML.
+    name : str
+        Name of the ticket in findings.
 
     Raises
     ------
     InvalidInput
-        With every finding in the text.
+        If the ticket is invalid; carries every finding.
     """
     findings = Findings()
     if len(data) > TICKET_BYTES:
@@ -59,7 +67,8 @@
     try:
         ticket = _read(raw, name, findings) if raw is not None else None
     except RecursionError:
-        # A dotted key of thousands of parts is sound TOML; see parse_toml.
+        # A dotted key with thousands of parts is valid TOML, but the recursion
+        # over the nested tables exceeds the limit; see parse_toml.
         findings.add(name, "is nested too deeply")
     findings.raise_if_any()
     return ticket
