--- a/tests/configuration/fakes.py
+++ b/tests/configuration/fakes.py
@@ -1,4 +1,4 @@
-"""A log in memory and hosts on it, without threads or network."""
+"""In-memory log and hosts that follow it, without threads or network."""
 
 from godwitladder.clients.log import LogNotReached, LogUnavailable, Page, Record
 from godwitladder.clock import ManualClock
@@ -8,7 +8,7 @@
 
 
 class FakeLog:
-    """Streams in memory."""
+    """In-memory streams whose old records can expire."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -30,7 +30,7 @@
         return Page(Offset(first), Offset(first + len(rows)), tuple(found))
 
     def expire(self, stream, count):
-        """Drop the ``count`` oldest records."""
+        """Delete the ``count`` oldest records."""
         rows = self.records.get(stream, [])
         count = min(count, len(rows))
         del rows[:count]
@@ -38,7 +38,7 @@
 
 
 class FakeClient:
-    """One host's way to the log, which may be cut off or lose answers."""
+    """One host's log client, which can be disconnected or lose answers."""
 
     def __init__(self, log):
         self.log = log
@@ -48,7 +48,7 @@
 
     def append(self, stream, records):
         if self.cut:
-            raise LogNotReached("cut off")
+            raise LogNotReached("disconnected")
         offset = self.log.append(stream, records)
         self.after_append()
         if self.lose:
@@ -58,12 +58,12 @@
 
     def read(self, stream, start, wait_s=0.0):
         if self.cut:
-            raise LogNotReached("cut off")
+            raise LogNotReached("disconnected")
         return self.log.read(stream, start, wait_s)
 
 
 class FakeHosts:
-    """Followers that share a log and hear each other when told to."""
+    """Followers that share a log and exchange messages when the test says so."""
 
     def __init__(self, count=1, clock=None):
         self.clock = clock or ManualClock()
@@ -75,7 +75,7 @@
             self.add(f"host-{index}")
 
     def add(self, name):
-        """Start a host anew, with nothing kept."""
+        """Start a host, or restart it without its state."""
         self.published[name] = []
 
         def publish(ledger):
@@ -88,7 +88,7 @@
         return follower
 
     def deliver(self, host, sender, message):
-        """Carry a request to ``host`` and its answer back."""
+        """Deliver a request to ``host`` and its answer to ``sender``."""
         assert isinstance(message, ConfigRequest)
         answer = self.followers[host].answer()
         if answer:
@@ -96,7 +96,7 @@
         return True
 
     def heartbeat(self, sender, host):
-        """Let ``host`` hear the offset of ``sender``."""
+        """Report the offset of ``sender`` to ``host``."""
         self.followers[host].hear(HostId(sender), self.followers[sender].ledger.next)
 
     def submit(self, text):
@@ -109,7 +109,7 @@
 
 
 def ticket(number, body, operator="hanna"):
-    """Return a ticket's text; ``body`` is TOML of its tables."""
+    """Return a ticket as TOML; ``body`` holds its tables and removals."""
     return f'number = {number}\noperator = "{operator}"\nreason = "a test"\n{body}'
 
 
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -1,4 +1,4 @@
-"""A host's replica against a log and peers that fail."""
+"""Tests of a host's replica while the log and peers fail."""
 
 import pytest
 
@@ -17,10 +17,10 @@
 
 
 def test_new_host_in_an_outage_starts_from_a_peer():
-    """The log is down when a host is replaced.
+    """A host is replaced during an outage of the log.
 
-    It can't replay anything, so by itself it would refuse every caller until
-    the log is back. The first heartbeat of a peer makes it ask for the state.
+    The new host can't replay anything and alone would refuse every caller until
+    the log is back. A peer's first heartbeat must make it request the state.
     """
     hosts = FakeHosts(2)
     hosts.submit(ticket(1, tier("urgent", 3)))
@@ -37,7 +37,7 @@
 
 
 def test_peer_that_is_behind_takes_nothing_back():
-    """A host that was cut off for an hour answers with its old state."""
+    """A peer that lost its connection for an hour answers with its old state."""
     hosts = FakeHosts(2)
     hosts.submit(ticket(1, tier("urgent", 1)))
     hosts.follow("host-0")
@@ -51,7 +51,7 @@
 
 
 def test_zone_cut_off_from_the_log_hears_of_tickets_from_peers():
-    """One zone loses the platform, but its hosts still reach other hosts."""
+    """The hosts of one zone lose the log but still reach hosts elsewhere."""
     hosts = FakeHosts(2)
     hosts.submit(ticket(1, tier("urgent", 1)))
     for name in hosts.followers:
@@ -66,11 +66,12 @@
 
 @pytest.mark.parametrize("outage", [True, False])
 def test_log_restored_from_an_old_copy_reverts_nothing(outage):
-    """The platform loses the last record, then others are written there.
+    """The log loses its last record, and others are written at that offset.
 
-    A host that went on at its offset would skip tickets that new hosts
-    replay, and one that replayed the stream anew would go back. It keeps its
-    state, says so, and new hosts that hear of it take that state too.
+    A host that continued at its offset would skip tickets that new hosts
+    replay, and one that replayed the whole stream would revert to an older
+    state. It must keep its state and report the fork. A new host that learns
+    of its offset installs that state.
     """
     hosts = FakeHosts(2)
     hosts.submit(ticket(1, tier("urgent", 1)))
@@ -95,7 +96,7 @@
 
 
 def test_log_that_lags_for_a_moment_is_followed_on():
-    """A read lands on a replica of the log that is a record behind."""
+    """A read reaches a replica of the log that lags by one record."""
     hosts = FakeHosts()
     hosts.submit(ticket(1, tier("urgent", 1)))
     hosts.submit(ticket(2, tier("urgent", 2)))
@@ -110,10 +111,10 @@
 
 
 def test_state_that_comes_in_during_a_read_is_kept():
-    """A read hangs, and meanwhile a peer's state moves the host on.
+    """During a slow read, the host installs a peer's newer state.
 
-    The page then is from before that state. Taken for the log's end it would
-    look as if the log had lost records.
+    The page that was read is older than that state. If it were processed, it
+    would look as if the log had lost records.
     """
     hosts = FakeHosts(2)
     hosts.submit(ticket(1, tier("urgent", 1)))
@@ -134,11 +135,11 @@
 
 
 def test_snapshots_keep_the_state_past_the_expiry_of_records():
-    """Records are kept for a day, and one ticket stays in force for a week.
+    """A ticket stays in effect for a week, but records expire after a day.
 
-    Hosts append a snapshot before the records expire; without it a host
-    started after a day would find an empty log and serve nobody. With its
-    answers lost, it is written a few times and does no harm.
+    Hosts must append a snapshot before the records expire. Without one, a host
+    started after a day would find an empty log and serve nobody. If the answers
+    to the append are lost, the snapshot is harmlessly written a few times.
     """
     hosts = FakeHosts(3)
     hosts.submit(ticket(1, tier("urgent", 3)))
@@ -174,11 +175,11 @@
 
 
 def test_host_that_missed_everything_between_two_snapshots_catches_up():
-    """A host is paused for longer than the log keeps records.
+    """A host is suspended for longer than the retention time of the log.
 
-    The first snapshot that it finds was written late: it is of a state from
-    before records that have expired since. Started from there the host would
-    lack ticket 4 for good, so it goes on to the next one.
+    The first snapshot it finds was appended late: its state precedes records
+    that have expired since. A host that started from it would miss ticket 4
+    for good, so it must continue to the next snapshot.
     """
     hosts = FakeHosts(2)
     hosts.submit(ticket(1, tier("urgent", 1)))
@@ -200,10 +201,11 @@
 
 @pytest.mark.parametrize(("forked", "most"), [(True, 0), (False, 7)])
 def test_peers_are_not_asked_for_ever(forked, most):
-    """A peer is ahead, and its state is of no use for a minute.
+    """A peer is ahead for a minute, but its state can't be used.
 
-    Either the log lost what is in force here, or the answers of the peer, a
-    host of a later version, can't be read.
+    Either the log lost records that this host has replayed, or the peer runs a
+    later version and its answers can't be decoded. Requests must stop in the
+    first case and become rare in the second.
     """
     hosts = FakeHosts(1)
     hosts.submit(ticket(1, tier("urgent", 1)))
@@ -222,9 +224,10 @@
 
 
 def test_record_that_is_read_again_is_judged_once():
-    """After an outage a host reads its last record again, to compare it.
+    """After an outage, a host reads its last record again to compare it.
 
-    Judged a second time it would stand twice in the trail of this host alone.
+    If it were evaluated again, this host alone would have two audit entries for
+    it.
     """
     hosts = FakeHosts()
     hosts.submit(ticket(1, tier("urgent", 1)))
--- a/tests/configuration/test_ledger.py
+++ b/tests/configuration/test_ledger.py
@@ -1,4 +1,4 @@
-"""Verdicts on tickets."""
+"""Tests of the verdicts on tickets."""
 
 import hashlib
 import runpy
@@ -32,10 +32,10 @@
 
 
 def test_rejection_names_the_object_the_number_that_won_and_its_writer():
-    """Two operators race with tickets 5 and 6 on one tier; 6 lands first.
+    """Tickets 5 and 6 of two operators write one tier; 6 is appended first.
 
-    Ticket 5 also touches another tier. It is rejected as a whole, and its
-    operator reads which object lost to which ticket of whom.
+    Ticket 5 also writes another tier. It must be rejected as a whole, and the
+    finding must name the object, the ticket that won and that ticket's operator.
     """
     ledger, entries = replay(
         ticket(6, tier("urgent"), "mart"), ticket(5, tier("urgent", 3) + tier("low", 9))
@@ -50,10 +50,10 @@
 
 @pytest.mark.parametrize("other", [tier("urgent", 4), tier("another")])
 def test_same_number_with_other_content_is_a_conflict(other):
-    """Two operators drew the same number, for one object or for two.
+    """Two operators use the same number, for one object or for two.
 
-    The second one is told that the number is taken and by whom, whichever
-    objects it touches: the trail must not hold two accepted tickets 5.
+    Whichever objects the second ticket writes, its operator must be told who
+    already used the number. The audit trail must not hold two accepted tickets 5.
     """
     _, entries = replay(ticket(5, tier("urgent"), "mart"), ticket(5, other))
     assert entries[1].verdict is Verdict.REJECTED
@@ -62,10 +62,11 @@
 
 
 def test_ticket_sent_again_is_a_repeat_even_after_a_later_one():
-    """The answer to ticket 1 was lost, and ticket 2 replaced one of its objects.
+    """Ticket 1 is sent again after ticket 2 has replaced one of its objects.
 
-    Its operator sends ticket 1 again, with another layout. It was accepted,
-    so "rejected" would be untrue; and nothing of it comes back in force.
+    The answer to ticket 1 was lost, and its operator sends it again in another
+    layout. It was accepted, so the verdict must not be "rejected", and it must
+    not overwrite ticket 2.
     """
     first = ticket(1, tier("urgent") + tier("low", 5))
     ledger, entries = replay(first, ticket(2, tier("urgent", 1)), first + "\n# again")
@@ -100,9 +101,10 @@
 
 
 def test_key_moves_from_one_workspace_to_another():
-    """A workspace is split in two, and its bearer key goes along.
+    """A bearer key moves between two workspaces.
 
-    In one ticket, then back by two: each time it is held once.
+    First in one ticket, then back in two. The key must belong to one workspace
+    at every step.
     """
     a = f'[workspaces.a]\ntier = "urgent"\nkey_digests = ["{KEY}"]\n'
     b = a.replace("workspaces.a", "workspaces.b")
@@ -134,10 +136,10 @@
 
 
 def test_rows_of_removed_objects_are_bounded(monkeypatch):
-    """Targets come and go for years.
+    """The rows of removed objects must not accumulate over years.
 
-    The rows of the oldest removals are dropped, and a stale ticket still
-    can't bring one of those objects back; a new one can be written.
+    After the rows of the oldest removals are deleted, a stale ticket still must
+    not restore such an object, but a new ticket can write it.
     """
     monkeypatch.setattr("godwitladder.configuration.ledger.REMOVED_KEPT", 1)
     names = ("a", "b")
@@ -174,10 +176,10 @@
     ],
 )
 def test_record_that_breaks_readers_is_judged_like_any_other(text):
-    """Somebody publishes a record that makes a TOML reader or a check fail.
+    """A record in the log makes the TOML parser or a field check raise.
 
-    Each host replays it. An error that nobody expects would end the replay
-    on all of them at once and again after each restart; it is a rejection.
+    Every host replays it. An unhandled exception would end the replay on all
+    hosts at once and again after each restart, so it must become a rejection.
     """
     ledger, entries = replay(text, ticket(1, tier("urgent")))
     assert entries[0].cause is Rejection.INVALID
--- a/tests/configuration/test_machine.py
+++ b/tests/configuration/test_machine.py
@@ -1,4 +1,4 @@
-"""Hosts that replay, snapshot, ask peers and are replaced, against a naive replay."""
+"""Stateful test that compares replicas of three hosts with a naive replay."""
 
 import tomllib
 
@@ -24,7 +24,7 @@
 
 
 def naive_replay(texts):
-    """Return the ranks and tiers in force, by a list of all that was accepted."""
+    """Return number and rank or tier of each object, by a naive replay of ``texts``."""
     accepted, values = [], {}
     for text in texts:
         raw = tomllib.loads(text)
@@ -47,7 +47,7 @@
 
 
 def held(ledger):
-    """Return what ``ledger`` holds in the form of `naive_replay`."""
+    """Return the objects of ``ledger`` in the format of `naive_replay`."""
     return {
         (name.table[:-1], name.name): (
             row.number,
@@ -58,7 +58,10 @@
 
 
 class Replicas(RuleBasedStateMachine):
-    """Three hosts on one log; each must hold what a naive replay gives."""
+    """Three hosts follow one log; each must match a naive replay.
+
+    They read, write snapshots, exchange states, lose the log and are replaced.
+    """
 
     @initialize(pages=st.sampled_from([1, 3, 1000]))
     def start(self, pages):
@@ -113,7 +116,7 @@
 
     @rule(count=st.integers(1, 8))
     def expire(self, count):
-        """Drop old records, as long as a whole state is still in the log."""
+        """Delete old records if a snapshot in the rest allows a full recovery."""
         first = self.hosts.log.first.get("config", 0) + count
         rest = self.hosts.log.records.get("config", [])[count:]
         for row in rest:
@@ -142,7 +145,7 @@
             self.highest[name] = offset
 
     def teardown(self):
-        """Heal everything: each host catches up."""
+        """Reconnect all hosts and check that each one catches up."""
         end = len(self.records)
         names = list(self.hosts.followers)
         for name in names:
--- a/tests/configuration/test_operators.py
+++ b/tests/configuration/test_operators.py
@@ -1,4 +1,4 @@
-"""What operators are told of their tickets."""
+"""Tests of the answers to operators about their tickets."""
 
 import hashlib
 import io
@@ -37,7 +37,7 @@
 
 
 class Desk:
-    """One host's application on a fake log that is read after each append."""
+    """One host's operator application on a fake log, read after each append."""
 
     def __init__(self):
         self.hosts = FakeHosts()
@@ -50,7 +50,7 @@
         )
 
     def ask(self, method, path, body="", token="hanna"):
-        """Return status, headers and JSON of an answer."""
+        """Send a request; return status, headers and JSON of the answer."""
         path, _, query = path.partition("?")
         data = body.encode()
         environ = {
@@ -76,10 +76,10 @@
 
 
 def test_operators_in_a_race_both_read_the_true_verdict(desk):
-    """Two operators submit tickets 6 and 5 for one tier; 6 comes first.
+    """Two operators submit tickets 6 and 5 for one tier; 6 is appended first.
 
-    The second one reads at once that it lost, to whom and on which object,
-    and both find the same in the trail later.
+    The second operator must be told at once which object lost to which ticket
+    and whose it was, and the audit trail must show both the same verdicts.
     """
     assert desk.submit(ticket(6, tier("urgent"), "mart"), "mart")[2]["offset"] == 0
     status, _, answer = desk.submit(ticket(5, tier("urgent", 2)))
@@ -104,9 +104,9 @@
 
 
 def test_ticket_under_another_operators_name_is_refused(desk):
-    """A token of hanna comes with a ticket that names mart.
+    """A request with hanna's token carries a ticket that names mart.
 
-    Accepted, it would stand in the trail as mart's.
+    If it were accepted, the audit trail would attribute it to mart.
     """
     status, _, answer = desk.submit(ticket(1, tier("urgent"), "mart"), "hanna")
     assert (status, answer["outcome"]) == (403, "not_run")
@@ -126,7 +126,7 @@
 
 
 def test_outage_before_anything_is_sent_is_not_run(desk):
-    """The log takes no connections: the ticket is not in it, and never will be."""
+    """The log refuses connections, so the ticket certainly was not appended."""
     desk.client.cut = True
     status, headers, answer = desk.submit(ticket(1, tier("urgent")))
     assert (status, answer["outcome"]) == (503, "not_run")
@@ -134,11 +134,11 @@
 
 
 def test_lost_append_answer_is_settled_or_told_as_open(desk):
-    """The log takes tickets 1 and 2, and both answers are lost.
+    """The log appends tickets 1 and 2, but both answers are lost.
 
-    Ticket 1 shows up in the stream, and its operator reads the verdict.
-    Ticket 2 doesn't in time, and its operator reads that it may have been
-    taken and that the same ticket can be sent again.
+    Ticket 1 appears in the stream in time, and its operator gets the verdict.
+    Ticket 2 does not, and its operator is told that it may have been appended
+    and that the same ticket can be sent again.
     """
     desk.client.lose = 2
     status, _, answer = desk.submit(ticket(1, tier("urgent")))
@@ -156,8 +156,8 @@
 def test_ticket_waits_until_the_log_agrees_with_the_state(desk):
     """The log was restored from an old copy, and hosts hold a later state.
 
-    A ticket would be judged by some hosts against that state and by new
-    ones against the copy's.
+    Existing hosts would evaluate a ticket against that state and new hosts
+    against the restored one, so it must not be appended.
     """
     desk.submit(ticket(5, tier("urgent")))
     desk.hosts.log.records["config"].clear()
