--- a/godwitladder/configuration/tickets.py
+++ b/godwitladder/configuration/tickets.py
@@ -18,7 +18,7 @@
 
 # These limits are constants rather than settings, because every host must reach the
 # same verdict on a ticket.
-TICKET_BYTES = 1_048_576
+MAX_TICKET_BYTES = 1_048_576
 NAME_CHARS = 200
 HEAD = ("number", "operator", "reason", "remove")
 TABLES = tuple(kind.value for kind in ObjectKind)
@@ -59,8 +59,8 @@
         If the ticket is invalid; carries every finding.
     """
     findings = Findings()
-    if len(data) > TICKET_BYTES:
-        findings.add(name, f"has {len(data)} bytes, more than {TICKET_BYTES}")
+    if len(data) > MAX_TICKET_BYTES:
+        findings.add(name, f"has {len(data)} bytes, more than {MAX_TICKET_BYTES}")
         findings.raise_if_any()
     ticket = None
     raw = parse_toml(data, name, findings)
