--- a/godwitladder/configuration/ledger.py
+++ b/godwitladder/configuration/ledger.py
@@ -294,7 +294,7 @@
         services=ledger.table(ObjectKind.SERVICE),
         targets=ledger.table(ObjectKind.TARGET),
         keys=keys,
-        numbers={
+        target_ticket_numbers={
             name.name: row.number
             for name, row in ledger.objects.items()
             if name.table == ObjectKind.TARGET.value
