--- a/godwitladder/configuration/exchange.py
+++ b/godwitladder/configuration/exchange.py
@@ -27,23 +27,23 @@
 
     def on_receive(self, message) -> None:
         """Handle ``message``."""
-        self.take(message)
+        self.handle_message(message)
 
     @functools.singledispatchmethod
-    def take(self, message) -> None:
+    def handle_message(self, message) -> None:
         """Handle ``message`` according to its type."""
         raise TypeError(f"unknown message {message!r}")
 
-    @take.register
+    @handle_message.register
     def _(self, message: Heartbeat) -> None:
-        self.follower.hear(message.host, message.config_offset)
+        self.follower.record_peer_offset(message.host, message.config_offset)
 
-    @take.register
+    @handle_message.register
     def _(self, message: ConfigRequest) -> None:
-        answer = self.follower.answer()
+        answer = self.follower.make_snapshot()
         if answer:
             self.follower.send(message.host, answer)
 
-    @take.register
+    @handle_message.register
     def _(self, message: ConfigSnapshot) -> None:
-        self.follower.take_state(message)
+        self.follower.install_state(message)
--- a/godwitladder/configuration/follower.py
+++ b/godwitladder/configuration/follower.py
@@ -10,7 +10,7 @@
 from godwitladder.configuration.ledger import AuditEntry, Ledger
 from godwitladder.configuration.messages import ConfigRequest, ConfigSnapshot
 from godwitladder.configuration.replica import Phase, Replica
-from godwitladder.configuration.snapshots import BadSnapshot, encode_snapshot
+from godwitladder.configuration.snapshots import InvalidSnapshot, encode_snapshot
 from godwitladder.ids import HostId, Offset
 from godwitladder.logs import component_logger
 
@@ -19,25 +19,25 @@
 # Long-poll time of a read. A dead connection is detected this long plus the
 # client's timeout after its last use, and a ticket must take effect within 14 s
 # even in that case.
-READ_WAIT_S = 3.0
-RETRY_S = 0.5
+LONG_POLL_S = 3.0
+RETRY_INTERVAL_S = 0.5
 # Every ticket puts some peers ahead for a moment. A peer that stays ahead for
 # longer than this has read records that the log does not return to this host.
-BEHIND_S = 2.0
+MAX_LAG_S = 2.0
 # A state takes several hundred kilobytes. The interval doubles with each request,
 # so that a peer whose answers are unusable, for example one of another version,
 # is not asked every second.
-REQUEST_PERIOD_S = 1.0
-REQUEST_PERIOD_MAX_S = 60.0
+REQUEST_INTERVAL_S = 1.0
+MAX_REQUEST_INTERVAL_S = 60.0
 # Snapshots per retention period of the log. With four, three in a row may fail
 # and the next one is still written before the records expire.
-SNAPSHOTS_KEPT = 4
+SNAPSHOTS_PER_RETENTION = 4
 # Limits the number of records that a starting host replays after a snapshot.
-SNAPSHOT_RECORDS = 1000
-SNAPSHOT_RETRY_S = 10.0
+MAX_RECORDS_PER_SNAPSHOT = 1000
+SNAPSHOT_RETRY_INTERVAL_S = 10.0
 # Jitter, as a fraction of the snapshot period. It spreads the hosts' due times, so
 # that usually one host writes and the others see its snapshot before they are due.
-SNAPSHOT_SPREAD = 0.2
+SNAPSHOT_JITTER = 0.2
 
 
 @dataclass
@@ -98,13 +98,13 @@
         self.reachable = False
         self.failed = False
         self.waiters: list[Waiter] = []
-        self.peers: dict[HostId, int] = {}
+        self.peer_offsets: dict[HostId, int] = {}
         self.behind_since: float | None = None
-        self.requested = float("-inf")
-        self.request_period_s = REQUEST_PERIOD_S
-        self.asked = 0
-        self.snapshot_tried = float("-inf")
-        self.encoded: tuple[Offset, bytes] | None = None
+        self.last_request_time = float("-inf")
+        self.request_interval_s = REQUEST_INTERVAL_S
+        self.request_count = 0
+        self.last_snapshot_attempt = float("-inf")
+        self.cached_snapshot: tuple[Offset, bytes] | None = None
         self.thread = threading.Thread(target=self.run, name="config", daemon=True)
 
     @property
@@ -124,7 +124,7 @@
         """Follow the stream until `stop` is called."""
         while not self.stopping.is_set():
             if not self.follow_once():
-                self.clock.wait(self.stopping, RETRY_S)
+                self.clock.wait(self.stopping, RETRY_INTERVAL_S)
 
     def follow_once(self) -> bool:
         """Read and replay one page of the stream.
@@ -136,7 +136,7 @@
         """
         cursor, ledger = self.replica.cursor(), self.ledger
         following = self.replica.phase is Phase.FOLLOWING
-        wait_s = READ_WAIT_S if following and self.caught_up.is_set() else 0.0
+        wait_s = LONG_POLL_S if following and self.caught_up.is_set() else 0.0
         try:
             page = self.client.read(self.stream, cursor, wait_s)
         except LogUnavailable as error:
@@ -147,8 +147,8 @@
                         extra={"error": str(error)},
                     )
                 self.reachable, self.failed = False, True
-                self.replica.lose_log()
-            self.ask_peers()
+                self.replica.record_read_failure()
+            self.request_peer_state()
             return False
         with self.lock:
             self.reachable = True
@@ -156,60 +156,64 @@
             # A page older than that state looks like a log that lost its last
             # records.
             if self.ledger is ledger:
-                self._take_page(page)
-        self.ask_peers()
+                self._process_page(page)
+        self.request_peer_state()
         self._write_snapshot_if_due()
         return self.replica.phase is Phase.FOLLOWING or bool(page.records)
 
-    def hear(self, host: HostId, offset: int) -> None:
+    def record_peer_offset(self, host: HostId, offset: int) -> None:
         """Record the offset that a peer's state has reached."""
         with self.lock:
-            self.peers[host] = offset
-        self.ask_peers()
+            self.peer_offsets[host] = offset
+        self.request_peer_state()
 
-    def ask_peers(self) -> None:
+    def request_peer_state(self) -> None:
         """Request the state of a peer that is ahead, rotating among such peers."""
         now = self.clock.monotonic()
         with self.lock:
-            if not self._wants_state(max(self.peers.values(), default=-1), now):
+            if not self._needs_state(max(self.peer_offsets.values(), default=-1), now):
                 return
-            if now - self.requested < self.request_period_s:
+            if now - self.last_request_time < self.request_interval_s:
                 return
-            ahead = [row for row in self.peers if self.peers[row] >= self.ledger.next]
+            ahead = [
+                peer
+                for peer in self.peer_offsets
+                if self.peer_offsets[peer] >= self.ledger.next
+            ]
             if not ahead:
                 return
-            self.requested = now
-            doubled = 2 * self.request_period_s
-            self.request_period_s = min(doubled, REQUEST_PERIOD_MAX_S)
-            self.asked += 1
-            host = ahead[self.asked % len(ahead)]
+            self.last_request_time = now
+            doubled = 2 * self.request_interval_s
+            self.request_interval_s = min(doubled, MAX_REQUEST_INTERVAL_S)
+            self.request_count += 1
+            host = ahead[self.request_count % len(ahead)]
         if not self.send(host, ConfigRequest(self.host)):
             with self.lock:
-                self.peers.pop(host, None)
+                self.peer_offsets.pop(host, None)
 
-    def answer(self) -> ConfigSnapshot | None:
+    def make_snapshot(self) -> ConfigSnapshot | None:
         """Return the answer to a peer's request, or None before catching up."""
         with self.lock:
             return ConfigSnapshot(self._encode()) if self.caught_up.is_set() else None
 
-    def take_state(self, message: ConfigSnapshot) -> None:
+    def install_state(self, message: ConfigSnapshot) -> None:
         """Install a peer's state if it is ahead of this host's."""
         with self.lock:
             try:
-                taken = self.replica.take_state(message.data)
-            except BadSnapshot as error:
+                installed = self.replica.install_state(message.data)
+            except InvalidSnapshot as error:
                 log.warning(
                     "A peer sent an invalid configuration snapshot",
                     extra={"error": str(error)},
                 )
                 return
-            if taken:
+            if installed:
                 log.info(
                     "Installed the configuration state of a peer",
                     extra={"offset": self.ledger.next},
                 )
-                self.request_period_s = REQUEST_PERIOD_S
-                self._changed()
+                self.request_interval_s = REQUEST_INTERVAL_S
+                self._publish_ledger()
 
     def await_offset(self, offset: Offset, wait_s: float) -> AuditEntry | None:
         """Wait up to ``wait_s`` seconds for the record at ``offset`` to be replayed.
@@ -244,31 +248,31 @@
             The first audit entry with this digest at offset ``start`` or
             later; None if there was none in time.
         """
-        due = self.clock.monotonic() + wait_s
+        deadline = self.clock.monotonic() + wait_s
         while True:
             with self.lock:
-                seen = self.ledger.next
+                next_offset = self.ledger.next
                 rows = [row for row in self.ledger.audit if row.offset >= start]
             found = [row for row in rows if row.digest == digest]
-            left = due - self.clock.monotonic()
-            if found or left <= 0:
+            remaining_s = deadline - self.clock.monotonic()
+            if found or remaining_s <= 0:
                 return found[0] if found else None
-            self.await_offset(seen, left)
+            self.await_offset(next_offset, remaining_s)
 
-    def _take_page(self, page: Page) -> None:
+    def _process_page(self, page: Page) -> None:
         before, phase = self.ledger.next, self.replica.phase
-        entries = self.replica.take_page(page)
+        entries = self.replica.process_page(page)
         for entry in entries:
             log.info(
                 "A ticket was evaluated",
                 extra={"ticket": entry.number, "verdict": entry.verdict.value},
             )
         if self.replica.phase is not phase:
-            self._note_phase(page)
+            self._log_phase_change(page)
         if self.ledger.next != before or not self.caught_up.is_set():
-            self._changed()
+            self._publish_ledger()
 
-    def _note_phase(self, page: Page) -> None:
+    def _log_phase_change(self, page: Page) -> None:
         phase, extra = self.replica.phase, {"offset": self.ledger.next}
         if phase is Phase.FORKED:
             log.error(
@@ -283,7 +287,7 @@
         else:
             log.info("Following the configuration log", extra=extra)
 
-    def _changed(self) -> None:
+    def _publish_ledger(self) -> None:
         self.publish(self.ledger)
         if self.replica.caught_up:
             self.caught_up.set()
@@ -292,27 +296,30 @@
                 waiter.replayed.set()
                 self.waiters.remove(waiter)
 
-    def _wants_state(self, offset: int, now: float) -> bool:
-        if self.replica.wants_state(offset):
+    def _needs_state(self, offset: int, now: float) -> bool:
+        if self.replica.needs_state(offset):
             return True
         if offset <= self.ledger.next or self.replica.phase is Phase.FORKED:
             self.behind_since = None
             return False
         if self.behind_since is None:
             self.behind_since = now
-        return now - self.behind_since >= BEHIND_S
+        return now - self.behind_since >= MAX_LAG_S
 
     def _encode(self) -> bytes:
-        if self.encoded is None or self.encoded[0] != self.ledger.next:
-            self.encoded = (self.ledger.next, encode_snapshot(self.ledger))
-        return self.encoded[1]
+        if self.cached_snapshot is None or self.cached_snapshot[0] != self.ledger.next:
+            self.cached_snapshot = (self.ledger.next, encode_snapshot(self.ledger))
+        return self.cached_snapshot[1]
 
     def _write_snapshot_if_due(self) -> None:
         now = self.clock.monotonic()
         with self.lock:
-            if now - self.snapshot_tried < SNAPSHOT_RETRY_S or not self._due():
+            if (
+                now - self.last_snapshot_attempt < SNAPSHOT_RETRY_INTERVAL_S
+                or not self._is_snapshot_due()
+            ):
                 return
-            self.snapshot_tried = now
+            self.last_snapshot_attempt = now
             data = self._encode()
         try:
             self.client.append(self.stream, [data])
@@ -321,18 +328,21 @@
                 "Writing a configuration snapshot failed", extra={"error": str(error)}
             )
 
-    def _due(self) -> bool:
+    def _is_snapshot_due(self) -> bool:
         replica = self.replica
         if replica.phase is not Phase.FOLLOWING or replica.first_time is None:
             return False
-        late = 1 + SNAPSHOT_SPREAD * self._turn(replica.snapshot_offset)
-        if self.ledger.next - replica.snapshot_offset > SNAPSHOT_RECORDS * late:
+        period_factor = 1 + SNAPSHOT_JITTER * self._jitter(replica.snapshot_offset)
+        if (
+            self.ledger.next - replica.snapshot_offset
+            > MAX_RECORDS_PER_SNAPSHOT * period_factor
+        ):
             return True
         last = replica.snapshot_time or replica.first_time
-        period = self.retention_s / SNAPSHOTS_KEPT
-        return self.clock.wall() - last > period * late
+        period = self.retention_s / SNAPSHOTS_PER_RETENTION
+        return self.clock.wall() - last > period * period_factor
 
-    def _turn(self, offset: Offset) -> float:
+    def _jitter(self, offset: Offset) -> float:
         """Return a jitter from 0 to 1, derived from this host's id and ``offset``."""
         digest = hashlib.sha256(f"{self.host} {offset}".encode()).digest()
         return int.from_bytes(digest[:4]) / 2**32
--- a/godwitladder/configuration/ledger.py
+++ b/godwitladder/configuration/ledger.py
@@ -17,27 +17,27 @@
 from godwitladder.configuration.state import ConfigState
 from godwitladder.configuration.tickets import Ticket, read_ticket
 from godwitladder.configuration.validation import (
-    Holders,
     Rejection,
-    judge,
+    UniqueOwners,
     unique_values,
+    validate_ticket,
 )
 from godwitladder.findings import Finding, InvalidInput
 from godwitladder.ids import Offset, TicketNumber
 
 # One day of tickets at the largest supported size, so that the audit trail in
 # memory reaches as far back as the records of a log with one day of retention.
-AUDIT_KEPT = 2400
+MAX_AUDIT_ENTRIES = 2400
 # Ten hours of tickets at the largest supported size. A ticket whose append was not
 # acknowledged is sent again within minutes, so it is still recognized.
-ACCEPTED_KEPT = 1000
-FINDINGS_KEPT = 20
+MAX_ACCEPTED_TICKETS = 1000
+MAX_FINDINGS = 20
 # Some months of removals at the largest supported size; the rows take a few
 # megabytes.
-REMOVED_KEPT = 10_000
+MAX_REMOVED_ROWS = 10_000
 # Magic bytes at the start of a snapshot. TOML allows no NUL, so no valid ticket
 # starts with them.
-SNAPSHOT_MARK = b"\x00godwitladder snapshot\n"
+SNAPSHOT_MAGIC = b"\x00godwitladder snapshot\n"
 
 
 class Verdict(enum.Enum):
@@ -65,7 +65,7 @@
     verdict : Verdict
         Outcome of the ticket.
     findings : tuple of Finding
-        Why it was rejected; at most the first ``FINDINGS_KEPT``.
+        Why it was rejected; at most the first ``MAX_FINDINGS``.
     cause : Rejection or None
         Kind of the rejection; None if it was not rejected.
     digest : str
@@ -102,12 +102,12 @@
     objects : dict
         Row of each object, with the ticket that wrote it last. A removed
         object keeps a row with value None, so that an older ticket can't
-        restore it. At most ``REMOVED_KEPT`` such rows are kept, those with
+        restore it. At most ``MAX_REMOVED_ROWS`` such rows are kept, those with
         the highest ticket numbers.
     accepted : dict
-        The last ``ACCEPTED_KEPT`` accepted tickets by number.
+        The last ``MAX_ACCEPTED_TICKETS`` accepted tickets by number.
     audit : deque
-        The last ``AUDIT_KEPT`` audit entries.
+        The last ``MAX_AUDIT_ENTRIES`` audit entries.
     next : int
         Offset of the first record not yet replayed.
     tail : str
@@ -116,21 +116,23 @@
     floor : int
         Highest ticket number among the removals whose rows were deleted. An
         object without a row can only be written by a higher number.
-    holders : dict
+    unique_owners : dict
         Index of ``objects``: the owner of each value that must be unique.
     """
 
     objects: dict[ObjectName, Versioned] = field(default_factory=dict)
     accepted: dict[TicketNumber, Accepted] = field(default_factory=dict)
-    audit: deque[AuditEntry] = field(default_factory=lambda: deque(maxlen=AUDIT_KEPT))
+    audit: deque[AuditEntry] = field(
+        default_factory=lambda: deque(maxlen=MAX_AUDIT_ENTRIES)
+    )
     next: Offset = Offset(0)
     tail: str = ""
     floor: int = 0
-    holders: Holders = field(default_factory=dict, compare=False)
+    unique_owners: UniqueOwners = field(default_factory=dict, compare=False)
 
     def __post_init__(self) -> None:
         for name, row in self.objects.items():
-            self._hold(name, row.value)
+            self._index_unique_values(name, row.value)
 
     def table(self, kind: ObjectKind) -> Mapping[str, Any]:
         """Return the current objects of ``kind`` by name, without removed ones."""
@@ -156,13 +158,13 @@
             return None
         self.next = Offset(offset + 1)
         self.tail = record_digest(data)
-        if data.startswith(SNAPSHOT_MARK):
+        if data.startswith(SNAPSHOT_MAGIC):
             return None
-        entry = self._judge(offset, time, data)
+        entry = self._evaluate_record(offset, time, data)
         self.audit.append(entry)
         return entry
 
-    def keep_newer(self, older: "Ledger") -> None:
+    def merge_newer(self, older: "Ledger") -> None:
         """Copy the objects from ``older`` that have a higher ticket number there.
 
         Two states of the same log never differ in this way, whichever is the
@@ -170,12 +172,12 @@
         the current state must not revert to older objects.
         """
         for name, row in older.objects.items():
-            held = self.objects.get(name)
+            current = self.objects.get(name)
             # An object without a row may have been removed and its row deleted.
-            if row.number > (held.number if held else self.floor):
+            if row.number > (current.number if current else self.floor):
                 self._write(name, row)
 
-    def _judge(self, offset: Offset, time: float, data: bytes) -> AuditEntry:
+    def _evaluate_record(self, offset: Offset, time: float, data: bytes) -> AuditEntry:
         try:
             ticket = read_ticket(data)
         except InvalidInput as error:
@@ -186,10 +188,10 @@
                 "",
                 "",
                 Verdict.REJECTED,
-                error.findings[:FINDINGS_KEPT],
+                error.findings[:MAX_FINDINGS],
                 Rejection.INVALID,
             )
-        verdict, cause, findings = self.judge(ticket)
+        verdict, cause, findings = self.evaluate(ticket)
         if verdict is Verdict.ACCEPTED:
             self._apply(offset, ticket)
         return AuditEntry(
@@ -199,12 +201,12 @@
             ticket.operator,
             ticket.reason,
             verdict,
-            findings[:FINDINGS_KEPT],
+            findings[:MAX_FINDINGS],
             cause,
             ticket.digest,
         )
 
-    def judge(
+    def evaluate(
         self, ticket: Ticket
     ) -> tuple[Verdict, Rejection | None, tuple[Finding, ...]]:
         """Return the verdict that ``ticket`` would get as the next record.
@@ -218,20 +220,22 @@
         findings : tuple of Finding
             Why it is rejected.
         """
-        same = self.accepted.get(ticket.number)
+        previous = self.accepted.get(ticket.number)
         # This check precedes the comparison of the objects' ticket numbers. A
         # ticket that is sent again after a lost acknowledgement was accepted, even
         # if a later ticket has since replaced some of its objects, so reporting it
         # as rejected would be wrong.
-        if same and same.digest == ticket.digest:
+        if previous and previous.digest == ticket.digest:
             return Verdict.REPEATED, None, ()
-        if same:
+        if previous:
             text = (
-                f"{ticket.number} is taken: {same.operator} used it at offset "
-                f"{same.offset} for other content"
+                f"{ticket.number} is taken: {previous.operator} used it at offset "
+                f"{previous.offset} for other content"
             )
             return Verdict.REJECTED, Rejection.CONFLICT, (Finding("number", text),)
-        cause, findings = judge(self.objects, self.holders, self.floor, ticket)
+        cause, findings = validate_ticket(
+            self.objects, self.unique_owners, self.floor, ticket
+        )
         verdict = Verdict.ACCEPTED if cause is None else Verdict.REJECTED
         return verdict, cause, findings
 
@@ -244,34 +248,34 @@
         self.accepted[ticket.number] = Accepted(
             ticket.number, ticket.operator, offset, ticket.digest
         )
-        while len(self.accepted) > ACCEPTED_KEPT:
+        while len(self.accepted) > MAX_ACCEPTED_TICKETS:
             del self.accepted[next(iter(self.accepted))]
         if None in ticket.writes.values():
-            self._drop_removed()
+            self._prune_removed()
 
-    def _drop_removed(self) -> None:
+    def _prune_removed(self) -> None:
         """Delete excess rows of removed objects, lowest ticket numbers first."""
         rows = [
             (row.number, name)
             for name, row in self.objects.items()
             if row.value is None
         ]
-        for number, name in sorted(rows)[: max(0, len(rows) - REMOVED_KEPT)]:
+        for number, name in sorted(rows)[: max(0, len(rows) - MAX_REMOVED_ROWS)]:
             self.floor = max(self.floor, number)
             del self.objects[name]
 
     def _write(self, name: ObjectName, row: Versioned) -> None:
         old = self.objects.get(name)
-        for held in unique_values(name, old and old.value):
+        for unique in unique_values(name, old and old.value):
             # Another object in the same ticket may own the value by now.
-            if self.holders.get(held) == name:
-                del self.holders[held]
+            if self.unique_owners.get(unique) == name:
+                del self.unique_owners[unique]
         self.objects[name] = row
-        self._hold(name, row.value)
+        self._index_unique_values(name, row.value)
 
-    def _hold(self, name: ObjectName, value: Any) -> None:
-        for held in unique_values(name, value):
-            self.holders[held] = name
+    def _index_unique_values(self, name: ObjectName, value: Any) -> None:
+        for unique in unique_values(name, value):
+            self.unique_owners[unique] = name
 
 
 def record_digest(data: bytes) -> str:
--- a/godwitladder/configuration/model.py
+++ b/godwitladder/configuration/model.py
@@ -144,7 +144,7 @@
     place: Zone = Zone("")
 
 
-TYPES: dict[ObjectKind, type] = {
+OBJECT_TYPES: dict[ObjectKind, type] = {
     ObjectKind.TIER: Tier,
     ObjectKind.WORKSPACE: Workspace,
     ObjectKind.SERVICE: Service,
--- a/godwitladder/configuration/replica.py
+++ b/godwitladder/configuration/replica.py
@@ -9,12 +9,12 @@
 
 from godwitladder.clients.log import Page, Record
 from godwitladder.configuration.ledger import (
-    SNAPSHOT_MARK,
+    SNAPSHOT_MAGIC,
     AuditEntry,
     Ledger,
     record_digest,
 )
-from godwitladder.configuration.snapshots import BadSnapshot, decode_snapshot
+from godwitladder.configuration.snapshots import InvalidSnapshot, decode_snapshot
 from godwitladder.ids import Offset
 
 
@@ -54,9 +54,9 @@
     caught_up : bool
         Whether it has once reached the end of the log or installed a peer's
         state.
-    sought : list of Record
+    seek_records : list of Record
         Records read while looking for a snapshot.
-    sought_from : int
+    seek_start : int
         Offset at which the search for a snapshot started.
     snapshot_time : float or None
         The log's timestamp of the newest snapshot read, in seconds since the
@@ -71,8 +71,8 @@
     ledger: Ledger = field(default_factory=Ledger)
     phase: Phase = Phase.FOLLOWING
     caught_up: bool = False
-    sought: list[Record] = field(default_factory=list)
-    sought_from: Offset = Offset(0)
+    seek_records: list[Record] = field(default_factory=list)
+    seek_start: Offset = Offset(0)
     snapshot_time: float | None = None
     snapshot_offset: Offset = Offset(0)
     first_time: float | None = None
@@ -80,13 +80,17 @@
     def cursor(self) -> Offset:
         """Return the offset to read from next."""
         if self.phase is Phase.SEEKING:
-            last = self.sought[-1].offset + 1 if self.sought else self.sought_from
+            last = (
+                self.seek_records[-1].offset + 1
+                if self.seek_records
+                else self.seek_start
+            )
             return Offset(last)
         if self.phase in (Phase.CHECKING, Phase.FORKED):
             return Offset(max(0, self.ledger.next - 1))
         return self.ledger.next
 
-    def lose_log(self) -> None:
+    def record_read_failure(self) -> None:
         """Record that a read from the log failed."""
         # After an outage, the log may have been restored from an older copy. A
         # host that continued at its old offset would skip the records written
@@ -94,17 +98,17 @@
         if self.phase is Phase.FOLLOWING:
             self.phase = Phase.CHECKING
 
-    def take_page(self, page: Page) -> list[AuditEntry]:
+    def process_page(self, page: Page) -> list[AuditEntry]:
         """Process a page read at `cursor` and return the new audit entries."""
         if self.phase is Phase.SEEKING:
-            return self._seek(page)
+            return self._seek_snapshot(page)
         if page.next < self.ledger.next:
             self.phase = Phase.FORKED
             return []
         if page.first > self.ledger.next:
             self._start_seeking(page.first)
-            return self._seek(page) if page.records else []
-        if self.phase in (Phase.CHECKING, Phase.FORKED) and not self._same_log(page):
+            return self._seek_snapshot(page) if page.records else []
+        if self.phase in (Phase.CHECKING, Phase.FORKED) and not self._matches_log(page):
             self.phase = Phase.FORKED
             return []
         self.phase = Phase.FOLLOWING
@@ -112,7 +116,7 @@
         self.caught_up = self.caught_up or self.ledger.next >= page.next
         return entries
 
-    def take_state(self, data: bytes) -> bool:
+    def install_state(self, data: bytes) -> bool:
         """Install a peer's state if it is ahead of this host's.
 
         A state is a function of the log up to its offset. A state at a higher
@@ -126,7 +130,7 @@
 
         Raises
         ------
-        BadSnapshot
+        InvalidSnapshot
             If ``data`` is not a valid snapshot.
         """
         ledger = decode_snapshot(data)
@@ -137,18 +141,18 @@
             return False
         if ledger.next == self.ledger.next and self.caught_up:
             return False
-        self._adopt(ledger)
+        self._install(ledger)
         self.caught_up = True
         self.phase = Phase.CHECKING
         return True
 
-    def wants_state(self, offset: int) -> bool:
+    def needs_state(self, offset: int) -> bool:
         """Return whether this host needs the state of a peer at ``offset``."""
         if self.phase in (Phase.FOLLOWING, Phase.FORKED):
             return False
         return offset > self.ledger.next or not self.caught_up
 
-    def _same_log(self, page: Page) -> bool:
+    def _matches_log(self, page: Page) -> bool:
         """Return whether the log still holds the last replayed record."""
         last = self.ledger.next - 1
         for record in page.records:
@@ -164,7 +168,7 @@
             if self.first_time is None:
                 self.first_time = record.time
                 self.snapshot_offset = record.offset
-            if record.data.startswith(SNAPSHOT_MARK):
+            if record.data.startswith(SNAPSHOT_MAGIC):
                 self.snapshot_time = record.time
                 self.snapshot_offset = record.offset
             entry = self.ledger.replay(record.offset, record.time, record.data)
@@ -174,10 +178,10 @@
 
     def _start_seeking(self, first: Offset) -> None:
         self.phase = Phase.SEEKING
-        self.sought = []
-        self.sought_from = first
+        self.seek_records = []
+        self.seek_start = first
 
-    def _seek(self, page: Page) -> list[AuditEntry]:
+    def _seek_snapshot(self, page: Page) -> list[AuditEntry]:
         """Look for a snapshot for which all later records have been read.
 
         If the state of a snapshot ends before the first record read, the tickets
@@ -186,24 +190,24 @@
         if page.first > self.cursor():
             self._start_seeking(page.first)
         for index, record in enumerate(page.records):
-            self.sought.append(record)
-            if not record.data.startswith(SNAPSHOT_MARK):
+            self.seek_records.append(record)
+            if not record.data.startswith(SNAPSHOT_MAGIC):
                 continue
             try:
                 ledger = decode_snapshot(record.data)
-            except BadSnapshot:
+            except InvalidSnapshot:
                 continue
-            if self.sought_from <= ledger.next <= record.offset:
-                self._adopt(ledger)
+            if self.seek_start <= ledger.next <= record.offset:
+                self._install(ledger)
                 self.phase = Phase.FOLLOWING
-                rest = self.sought + list(page.records[index + 1 :])
-                self.sought = []
+                rest = self.seek_records + list(page.records[index + 1 :])
+                self.seek_records = []
                 entries = self._replay(rest)
                 self.caught_up = self.caught_up or self.ledger.next >= page.next
                 return entries
         return []
 
-    def _adopt(self, ledger: Ledger) -> None:
-        ledger.keep_newer(self.ledger)
+    def _install(self, ledger: Ledger) -> None:
+        ledger.merge_newer(self.ledger)
         self.ledger = ledger
-        self.sought = []
+        self.seek_records = []
--- a/godwitladder/configuration/snapshots.py
+++ b/godwitladder/configuration/snapshots.py
@@ -15,23 +15,28 @@
 import cbor2
 
 from godwitladder.configuration.ledger import (
-    AUDIT_KEPT,
-    SNAPSHOT_MARK,
+    MAX_AUDIT_ENTRIES,
+    SNAPSHOT_MAGIC,
     Accepted,
     AuditEntry,
     Ledger,
 )
-from godwitladder.configuration.model import TYPES, ObjectKind, ObjectName, Versioned
+from godwitladder.configuration.model import (
+    OBJECT_TYPES,
+    ObjectKind,
+    ObjectName,
+    Versioned,
+)
 from godwitladder.findings import Findings, GodwitladderError
 from godwitladder.ids import Offset
 from godwitladder.tables import read_table
 
 # Limits the memory that decompressing a damaged record can take. A state at the
 # largest supported size takes a few megabytes.
-UNPACKED_BYTES = 67_108_864
+MAX_UNPACKED_BYTES = 67_108_864
 
 
-class BadSnapshot(GodwitladderError):
+class InvalidSnapshot(GodwitladderError):
     """Raised for data that is not a valid snapshot."""
 
 
@@ -62,11 +67,11 @@
         "head": dataclasses.asdict(
             SnapshotHead(ledger.next, ledger.tail, ledger.floor)
         ),
-        "objects": [_object_row(name, row) for name, row in ledger.objects.items()],
+        "objects": [_encode_object(name, row) for name, row in ledger.objects.items()],
         "accepted": [dataclasses.asdict(row) for row in ledger.accepted.values()],
         "audit": [dataclasses.asdict(row) for row in ledger.audit],
     }
-    return SNAPSHOT_MARK + zlib.compress(cbor2.dumps(body, default=_encode_enum))
+    return SNAPSHOT_MAGIC + zlib.compress(cbor2.dumps(body, default=_encode_enum))
 
 
 def decode_snapshot(data: bytes) -> Ledger:
@@ -74,23 +79,23 @@
 
     Raises
     ------
-    BadSnapshot
+    InvalidSnapshot
         If the data is damaged or in a format that this version does not know.
     """
     body = _unpack(data)
     findings = Findings()
     try:
         head = _read(body["head"], SnapshotHead, findings)
-        objects = [_read_object(row, findings) for row in body["objects"]]
+        objects = [_decode_object(row, findings) for row in body["objects"]]
         accepted = [_read(row, Accepted, findings) for row in body["accepted"]]
         audit = [_read(row, AuditEntry, findings) for row in body["audit"]]
         findings.raise_if_any()
     except (KeyError, TypeError, ValueError, GodwitladderError) as error:
-        raise BadSnapshot(f"invalid snapshot: {error!r}") from error
+        raise InvalidSnapshot(f"invalid snapshot: {error!r}") from error
     return Ledger(
         objects=dict(objects),
         accepted={row.number: row for row in accepted},
-        audit=deque(audit, maxlen=AUDIT_KEPT),
+        audit=deque(audit, maxlen=MAX_AUDIT_ENTRIES),
         next=Offset(head.next),
         tail=head.tail,
         floor=head.floor,
@@ -98,17 +103,17 @@
 
 
 def _unpack(data: bytes) -> Any:
-    if not data.startswith(SNAPSHOT_MARK):
-        raise BadSnapshot("the magic bytes at the start of a snapshot are missing")
+    if not data.startswith(SNAPSHOT_MAGIC):
+        raise InvalidSnapshot("the magic bytes at the start of a snapshot are missing")
     reader = zlib.decompressobj()
     try:
-        plain = reader.decompress(data[len(SNAPSHOT_MARK) :], UNPACKED_BYTES)
-        return cbor2.loads(plain)
+        payload = reader.decompress(data[len(SNAPSHOT_MAGIC) :], MAX_UNPACKED_BYTES)
+        return cbor2.loads(payload)
     except (zlib.error, cbor2.CBORDecodeError, ValueError, RecursionError) as error:
-        raise BadSnapshot(f"invalid snapshot: {error!r}") from error
+        raise InvalidSnapshot(f"invalid snapshot: {error!r}") from error
 
 
-def _object_row(name: ObjectName, row: Versioned) -> list:
+def _encode_object(name: ObjectName, row: Versioned) -> list:
     head = ObjectRow(
         name.table, name.name, row.number, row.operator, row.offset, row.digest
     )
@@ -116,11 +121,11 @@
     return [dataclasses.asdict(head), value]
 
 
-def _read_object(raw: list, findings: Findings) -> tuple[ObjectName, Versioned]:
+def _decode_object(raw: list, findings: Findings) -> tuple[ObjectName, Versioned]:
     head, value = raw
     row = _read(head, ObjectRow, findings)
     if value is not None:
-        kind = TYPES[ObjectKind(row.table)]
+        kind = OBJECT_TYPES[ObjectKind(row.table)]
         value = read_table(value, kind, f"{row.table}.{row.name}", findings)
     versioned = Versioned(row.number, row.operator, row.offset, row.digest, value)
     return ObjectName(row.table, row.name), versioned
--- a/godwitladder/configuration/tickets.py
+++ b/godwitladder/configuration/tickets.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from godwitladder.configuration.model import TYPES, ObjectKind, ObjectName
+from godwitladder.configuration.model import OBJECT_TYPES, ObjectKind, ObjectName
 from godwitladder.findings import Findings
 from godwitladder.ids import TicketNumber
 from godwitladder.settings import parse_toml
@@ -19,9 +19,9 @@
 # These limits are constants rather than settings, because every host must reach the
 # same verdict on a ticket.
 MAX_TICKET_BYTES = 1_048_576
-NAME_CHARS = 200
-HEAD = ("number", "operator", "reason", "remove")
-TABLES = tuple(kind.value for kind in ObjectKind)
+MAX_NAME_LENGTH = 200
+HEADER_KEYS = ("number", "operator", "reason", "remove")
+TABLE_NAMES = tuple(kind.value for kind in ObjectKind)
 
 
 @dataclass(frozen=True)
@@ -76,11 +76,11 @@
 
 def _read(raw: dict, name: str, findings: Findings) -> Ticket:
     for key in raw:
-        if key not in HEAD + TABLES:
-            findings.add_unknown(f"{name}: {key}", key, HEAD + TABLES)
+        if key not in HEADER_KEYS + TABLE_NAMES:
+            findings.add_unknown(f"{name}: {key}", key, HEADER_KEYS + TABLE_NAMES)
     number = raw.get("number")
-    whole = isinstance(number, int) and not isinstance(number, bool)
-    if not whole or not 1 <= number <= MAX_JSON_INTEGER:
+    is_integer = isinstance(number, int) and not isinstance(number, bool)
+    if not is_integer or not 1 <= number <= MAX_JSON_INTEGER:
         text = f"must be a whole number from 1 to {MAX_JSON_INTEGER}"
         findings.add(f"{name}: number", text)
     for key in ("operator", "reason"):
@@ -109,9 +109,11 @@
             continue
         for item, value in table.items():
             place = f"{name}: {kind.value}.{item}"
-            if not item.isprintable() or not 0 < len(item) <= NAME_CHARS:
-                findings.add(place, f"a name has 1 to {NAME_CHARS} printable letters")
-            read = read_table(value, TYPES[kind], place, findings)
+            if not item.isprintable() or not 0 < len(item) <= MAX_NAME_LENGTH:
+                findings.add(
+                    place, f"a name has 1 to {MAX_NAME_LENGTH} printable letters"
+                )
+            read = read_table(value, OBJECT_TYPES[kind], place, findings)
             writes[ObjectName(kind.value, item)] = read
     return writes
 
@@ -125,7 +127,7 @@
     for index, item in enumerate(raw):
         place = f"{name}: remove[{index}]"
         table, _, object_name = str(item).partition(".")
-        if table not in TABLES or not object_name:
+        if table not in TABLE_NAMES or not object_name:
             findings.add(place, f"{item!r} must be table.name")
         elif ObjectName(table, object_name) in writes:
             findings.add(place, f"{item!r} is also written by this ticket")
--- a/godwitladder/configuration/validation.py
+++ b/godwitladder/configuration/validation.py
@@ -8,7 +8,7 @@
 from godwitladder.configuration.tickets import Ticket
 from godwitladder.findings import Finding, Findings
 
-Holders = dict[tuple[str, str], ObjectName]
+UniqueOwners = dict[tuple[str, str], ObjectName]
 
 
 class Rejection(enum.Enum):
@@ -33,9 +33,9 @@
     INCONSISTENT = "inconsistent"
 
 
-def judge(
+def validate_ticket(
     objects: Mapping[ObjectName, Versioned],
-    holders: Holders,
+    unique_owners: UniqueOwners,
     floor: int,
     ticket: Ticket,
 ) -> tuple[Rejection | None, tuple[Finding, ...]]:
@@ -49,7 +49,7 @@
     ----------
     objects : mapping
         Last version of each object; removed ones have the value None.
-    holders : dict
+    unique_owners : dict
         The current object that owns each value of `unique_values`.
     floor : int
         Highest number of the removals whose rows were deleted. An object
@@ -64,45 +64,45 @@
     findings : tuple of Finding
         Everything that is wrong with the ticket.
     """
-    numbers = Findings()
-    same = False
+    version_findings = Findings()
+    number_reused = False
     for name in ticket.writes:
-        held = objects.get(name)
-        if held is None and ticket.number <= floor:
+        current = objects.get(name)
+        if current is None and ticket.number <= floor:
             text = f"ticket {ticket.number} is below removals up to ticket {floor}"
-            numbers.add(str(name), text)
-        if held is not None and held.number >= ticket.number:
-            same = same or held.number == ticket.number
-            numbers.add(
+            version_findings.add(str(name), text)
+        if current is not None and current.number >= ticket.number:
+            number_reused = number_reused or current.number == ticket.number
+            version_findings.add(
                 str(name),
-                f"ticket {ticket.number} lost to ticket {held.number} of "
-                f"{held.operator} at offset {held.offset}",
+                f"ticket {ticket.number} lost to ticket {current.number} of "
+                f"{current.operator} at offset {current.offset}",
             )
-    fit = Findings()
-    _judge_references(objects, ticket, fit)
-    _judge_removals(objects, ticket, fit)
-    _judge_unique(holders, ticket, fit)
-    findings = tuple(numbers.items + fit.items)
-    if same:
+    consistency_findings = Findings()
+    _check_references(objects, ticket, consistency_findings)
+    _check_removals(objects, ticket, consistency_findings)
+    _check_unique(unique_owners, ticket, consistency_findings)
+    findings = tuple(version_findings.items + consistency_findings.items)
+    if number_reused:
         return Rejection.CONFLICT, findings
-    if numbers.items:
+    if version_findings.items:
         return Rejection.OUTDATED, findings
-    return (Rejection.INCONSISTENT if fit.items else None), findings
+    return (Rejection.INCONSISTENT if consistency_findings.items else None), findings
 
 
-def _judge_references(
+def _check_references(
     objects: Mapping[ObjectName, Versioned], ticket: Ticket, findings: Findings
 ) -> None:
     """Report references in the ticket to objects that would not exist."""
     for name, value in ticket.writes.items():
         for other in _references(name, value):
-            held = objects.get(other)
-            there = ticket.writes.get(other, held and held.value)
-            if there is None:
+            current = objects.get(other)
+            new_value = ticket.writes.get(other, current and current.value)
+            if new_value is None:
                 findings.add(str(name), f"refers to {other}, which does not exist")
 
 
-def _judge_removals(
+def _check_removals(
     objects: Mapping[ObjectName, Versioned], ticket: Ticket, findings: Findings
 ) -> None:
     """Report current objects that refer to an object that the ticket removes."""
@@ -126,22 +126,26 @@
             yield ObjectName(ObjectKind.SERVICE.value, service)
 
 
-def _judge_unique(holders: Holders, ticket: Ticket, findings: Findings) -> None:
+def _check_unique(
+    unique_owners: UniqueOwners, ticket: Ticket, findings: Findings
+) -> None:
     """Report bearer keys and addresses that would belong to two objects.
 
     The callers of a key that belongs to two workspaces would be served in the
     tier of whichever workspace comes last in the table. A target listed twice
     would be given twice the work that its slots allow.
     """
-    written: Holders = {}
+    written: UniqueOwners = {}
     for name, value in ticket.writes.items():
-        for held in unique_values(name, value):
-            other = written.setdefault(held, name)
-            outside = holders.get(held, name)
-            if other == name and outside not in ticket.writes:
-                other = outside
-            if other != name:
-                findings.add(str(name), f"{held[0]} {held[1]} is also held by {other}")
+        for unique in unique_values(name, value):
+            owner = written.setdefault(unique, name)
+            current_owner = unique_owners.get(unique, name)
+            if owner == name and current_owner not in ticket.writes:
+                owner = current_owner
+            if owner != name:
+                findings.add(
+                    str(name), f"{unique[0]} {unique[1]} is also held by {owner}"
+                )
 
 
 def unique_values(name: ObjectName, value: Any) -> Iterator[tuple[str, str]]:
--- a/tests/configuration/fakes.py
+++ b/tests/configuration/fakes.py
@@ -90,14 +90,16 @@
     def deliver(self, host, sender, message):
         """Deliver a request to ``host`` and its answer to ``sender``."""
         assert isinstance(message, ConfigRequest)
-        answer = self.followers[host].answer()
+        answer = self.followers[host].make_snapshot()
         if answer:
-            self.followers[sender].take_state(answer)
+            self.followers[sender].install_state(answer)
         return True
 
     def heartbeat(self, sender, host):
         """Report the offset of ``sender`` to ``host``."""
-        self.followers[host].hear(HostId(sender), self.followers[sender].ledger.next)
+        self.followers[host].record_peer_offset(
+            HostId(sender), self.followers[sender].ledger.next
+        )
 
     def submit(self, text):
         return self.log.append("config", [text.encode()])
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -41,11 +41,11 @@
     hosts = FakeHosts(2)
     hosts.submit(ticket(1, tier("urgent", 1)))
     hosts.follow("host-0")
-    old = hosts.followers["host-0"].answer()
+    old = hosts.followers["host-0"].make_snapshot()
     hosts.submit(ticket(2, tier("urgent", 2)))
     follower = hosts.follow("host-1")
-    follower.replica.lose_log()
-    follower.take_state(old)
+    follower.replica.record_read_failure()
+    follower.install_state(old)
     assert rank(follower) == 2
     assert follower.ledger.next == 2
 
@@ -125,7 +125,7 @@
         page = read(*args)
         hosts.log.read = read
         hosts.submit(ticket(2, tier("urgent", 2)))
-        follower.take_state(hosts.follow("host-0").answer())
+        follower.install_state(hosts.follow("host-0").make_snapshot())
         return page
 
     hosts.log.read = slow_read
@@ -216,7 +216,7 @@
     follower.send = lambda host, message: asked.append(host) or True
     for _ in range(60):
         hosts.clock.advance(1.0)
-        follower.hear("host-9", 100)
+        follower.record_peer_offset("host-9", 100)
         follower.follow_once()
     assert (follower.replica.phase is Phase.FORKED) == forked
     assert bool(asked) != forked
--- a/tests/configuration/test_ledger.py
+++ b/tests/configuration/test_ledger.py
@@ -118,7 +118,7 @@
     )
     accepted = [entry.verdict is Verdict.ACCEPTED for entry in entries]
     assert accepted == [True, True, False, True, True]
-    assert ledger.holders == Ledger(objects=ledger.objects).holders
+    assert ledger.unique_owners == Ledger(objects=ledger.objects).unique_owners
 
 
 def test_removed_object_is_not_brought_back_by_an_older_ticket():
@@ -141,7 +141,7 @@
     After the rows of the oldest removals are deleted, a stale ticket still must
     not restore such an object, but a new ticket can write it.
     """
-    monkeypatch.setattr("godwitladder.configuration.ledger.REMOVED_KEPT", 1)
+    monkeypatch.setattr("godwitladder.configuration.ledger.MAX_REMOVED_ROWS", 1)
     names = ("a", "b")
     ledger, entries = replay(
         ticket(1, tier("a") + tier("b") + tier("c")),
@@ -156,7 +156,7 @@
     assert decode_snapshot(encode_snapshot(ledger)) == ledger
     behind, _ = replay(ticket(1, tier("b")))
     ledger.objects.pop(ObjectName("tiers", "b"))
-    ledger.keep_newer(behind)
+    ledger.merge_newer(behind)
     assert ObjectName("tiers", "b") not in ledger.objects
 
 
--- a/tests/configuration/test_machine.py
+++ b/tests/configuration/test_machine.py
@@ -12,7 +12,7 @@
     rule,
 )
 
-from godwitladder.configuration.ledger import SNAPSHOT_MARK
+from godwitladder.configuration.ledger import SNAPSHOT_MAGIC
 from godwitladder.configuration.replica import Phase
 from godwitladder.configuration.snapshots import decode_snapshot, encode_snapshot
 from tests.configuration.fakes import FakeHosts, ticket
@@ -120,7 +120,7 @@
         first = self.hosts.log.first.get("config", 0) + count
         rest = self.hosts.log.records.get("config", [])[count:]
         for row in rest:
-            snapshot = row.data.startswith(SNAPSHOT_MARK)
+            snapshot = row.data.startswith(SNAPSHOT_MAGIC)
             if snapshot and decode_snapshot(row.data).next >= first:
                 self.hosts.log.expire("config", count)
                 return
@@ -137,7 +137,7 @@
             texts = [
                 data.decode()
                 for data in self.records[:offset]
-                if not data.startswith(SNAPSHOT_MARK)
+                if not data.startswith(SNAPSHOT_MAGIC)
             ]
             assert held(follower.ledger) == naive_replay(texts)
             assert offset >= self.highest.get(name, 0)
--- a/tests/configuration/test_operators.py
+++ b/tests/configuration/test_operators.py
@@ -36,7 +36,7 @@
     )
 
 
-class Desk:
+class OperatorHarness:
     """One host's operator application on a fake log, read after each append."""
 
     def __init__(self):
@@ -49,7 +49,7 @@
             settings, self.client, self.follower, Metrics(), lambda: None
         )
 
-    def ask(self, method, path, body="", token="hanna"):
+    def request(self, method, path, body="", token="hanna"):
         """Send a request; return status, headers and JSON of the answer."""
         path, _, query = path.partition("?")
         data = body.encode()
@@ -67,22 +67,22 @@
         return int(status[:3]), dict(headers), json.loads(b"".join(answer))
 
     def submit(self, text, token="hanna", wait=0):
-        return self.ask("POST", f"/v1/tickets?wait={wait}", text, token)
+        return self.request("POST", f"/v1/tickets?wait={wait}", text, token)
 
 
 @pytest.fixture
-def desk():
-    return Desk()
+def harness():
+    return OperatorHarness()
 
 
-def test_operators_in_a_race_both_read_the_true_verdict(desk):
+def test_operators_in_a_race_both_read_the_true_verdict(harness):
     """Two operators submit tickets 6 and 5 for one tier; 6 is appended first.
 
     The second operator must be told at once which object lost to which ticket
     and whose it was, and the audit trail must show both the same verdicts.
     """
-    assert desk.submit(ticket(6, tier("urgent"), "mart"), "mart")[2]["offset"] == 0
-    status, _, answer = desk.submit(ticket(5, tier("urgent", 2)))
+    assert harness.submit(ticket(6, tier("urgent"), "mart"), "mart")[2]["offset"] == 0
+    status, _, answer = harness.submit(ticket(5, tier("urgent", 2)))
     assert (status, answer["verdict"], answer["cause"]) == (409, "rejected", "outdated")
     assert answer["findings"] == [
         {
@@ -90,84 +90,84 @@
             "text": "ticket 5 lost to ticket 6 of mart at offset 0",
         }
     ]
-    assert desk.submit(ticket(6, tier("urgent"), "mart"), "mart")[::2] == (
+    assert harness.submit(ticket(6, tier("urgent"), "mart"), "mart")[::2] == (
         202,
-        desk.ask("GET", "/v1/audit?from=2")[2]["audit"][0] | {"findings": []},
+        harness.request("GET", "/v1/audit?from=2")[2]["audit"][0] | {"findings": []},
     )
-    trail = desk.ask("GET", "/v1/audit")[2]["audit"]
+    trail = harness.request("GET", "/v1/audit")[2]["audit"]
     assert [row["verdict"] for row in trail] == ["accepted", "rejected", "repeated"]
-    shown = desk.ask("GET", "/v1/tickets/6")[2]
+    shown = harness.request("GET", "/v1/tickets/6")[2]
     assert shown["in_force"] == ["tiers.urgent"]
     assert len(shown["verdicts"]) == 2
-    listed = desk.ask("GET", "/v1/tickets")[2]["tickets"]
+    listed = harness.request("GET", "/v1/tickets")[2]["tickets"]
     assert [(row["number"], row["operator"]) for row in listed] == [(6, "mart")]
 
 
-def test_ticket_under_another_operators_name_is_refused(desk):
+def test_ticket_under_another_operators_name_is_refused(harness):
     """A request with hanna's token carries a ticket that names mart.
 
     If it were accepted, the audit trail would attribute it to mart.
     """
-    status, _, answer = desk.submit(ticket(1, tier("urgent"), "mart"), "hanna")
+    status, _, answer = harness.submit(ticket(1, tier("urgent"), "mart"), "hanna")
     assert (status, answer["outcome"]) == (403, "not_run")
-    assert desk.ask("GET", "/v1/audit", token="nobody")[0] == 401
-    assert desk.hosts.log.records.get("config", []) == []
+    assert harness.request("GET", "/v1/audit", token="nobody")[0] == 401
+    assert harness.hosts.log.records.get("config", []) == []
 
 
-def test_bad_ticket_never_reaches_the_log(desk):
-    status, _, answer = desk.submit(ticket(0, "[tiers.urgent]\nrnk = 1"))
+def test_bad_ticket_never_reaches_the_log(harness):
+    status, _, answer = harness.submit(ticket(0, "[tiers.urgent]\nrnk = 1"))
     assert status == 422
     assert [row["place"] for row in answer["findings"]] == [
         "ticket: number",
         "ticket: tiers.urgent.rnk",
         "ticket: tiers.urgent.rank",
     ]
-    assert desk.hosts.log.records.get("config", []) == []
+    assert harness.hosts.log.records.get("config", []) == []
 
 
-def test_outage_before_anything_is_sent_is_not_run(desk):
+def test_outage_before_anything_is_sent_is_not_run(harness):
     """The log refuses connections, so the ticket certainly was not appended."""
-    desk.client.cut = True
-    status, headers, answer = desk.submit(ticket(1, tier("urgent")))
+    harness.client.cut = True
+    status, headers, answer = harness.submit(ticket(1, tier("urgent")))
     assert (status, answer["outcome"]) == (503, "not_run")
     assert int(headers["Retry-After"]) > 0
 
 
-def test_lost_append_answer_is_settled_or_told_as_open(desk):
+def test_lost_append_answer_is_settled_or_told_as_open(harness):
     """The log appends tickets 1 and 2, but both answers are lost.
 
     Ticket 1 appears in the stream in time, and its operator gets the verdict.
     Ticket 2 does not, and its operator is told that it may have been appended
     and that the same ticket can be sent again.
     """
-    desk.client.lose = 2
-    status, _, answer = desk.submit(ticket(1, tier("urgent")))
+    harness.client.lose = 2
+    status, _, answer = harness.submit(ticket(1, tier("urgent")))
     assert (status, answer["verdict"]) == (202, "accepted")
-    desk.client.after_append = lambda: None
-    status, headers, answer = desk.submit(ticket(2, tier("urgent", 2)))
+    harness.client.after_append = lambda: None
+    status, headers, answer = harness.submit(ticket(2, tier("urgent", 2)))
     assert (status, answer["outcome"]) == (503, "may_have_run")
     assert int(headers["Retry-After"]) > 0
-    desk.client.after_append = desk.follower.follow_once
-    assert desk.submit(ticket(2, tier("urgent", 2)))[2]["verdict"] == "repeated"
-    trail = desk.ask("GET", "/v1/audit?from=1")[2]["audit"]
+    harness.client.after_append = harness.follower.follow_once
+    assert harness.submit(ticket(2, tier("urgent", 2)))[2]["verdict"] == "repeated"
+    trail = harness.request("GET", "/v1/audit?from=1")[2]["audit"]
     assert [row["verdict"] for row in trail] == ["accepted", "repeated"]
 
 
-def test_ticket_waits_until_the_log_agrees_with_the_state(desk):
+def test_ticket_waits_until_the_log_agrees_with_the_state(harness):
     """The log was restored from an old copy, and hosts hold a later state.
 
     Existing hosts would evaluate a ticket against that state and new hosts
     against the restored one, so it must not be appended.
     """
-    desk.submit(ticket(5, tier("urgent")))
-    desk.hosts.log.records["config"].clear()
-    desk.hosts.follow("host-0")
-    assert desk.follower.replica.phase is Phase.FORKED
-    status, _, answer = desk.submit(ticket(6, tier("urgent", 6)))
+    harness.submit(ticket(5, tier("urgent")))
+    harness.hosts.log.records["config"].clear()
+    harness.hosts.follow("host-0")
+    assert harness.follower.replica.phase is Phase.FORKED
+    status, _, answer = harness.submit(ticket(6, tier("urgent", 6)))
     assert (status, answer["outcome"]) == (503, "not_run")
-    assert desk.hosts.log.records["config"] == []
+    assert harness.hosts.log.records["config"] == []
 
 
 @pytest.mark.parametrize("path", ["/v1/audit?from=x", "/v1/tickets/x", "/v1/none"])
-def test_bad_questions_get_a_clear_answer(desk, path):
-    assert desk.ask("GET", path)[0] in (400, 404)
+def test_bad_questions_get_a_clear_answer(harness, path):
+    assert harness.request("GET", path)[0] in (400, 404)
