--- a/tests/configuration/test_operators.py
+++ b/tests/configuration/test_operators.py
@@ -127,7 +127,7 @@
 
 def test_outage_before_anything_is_sent_is_not_run(harness):
     """The log refuses connections, so the ticket certainly was not appended."""
-    harness.client.cut = True
+    harness.client.disconnected = True
     status, headers, answer = harness.submit(ticket(1, tier("urgent")))
     assert (status, answer["outcome"]) == (503, "not_run")
     assert int(headers["Retry-After"]) > 0
