--- a/tests/configuration/test_operators.py
+++ b/tests/configuration/test_operators.py
@@ -140,7 +140,7 @@
     Ticket 2 does not, and its operator is told that it may have been appended
     and that the same ticket can be sent again.
     """
-    harness.client.lose = 2
+    harness.client.lost_answers = 2
     status, _, answer = harness.submit(ticket(1, tier("urgent")))
     assert (status, answer["verdict"]) == (202, "accepted")
     harness.client.after_append = lambda: None
