--- a/godwitladder/configuration/model.py
+++ b/godwitladder/configuration/model.py
@@ -144,7 +144,7 @@
     place: Zone = Zone("")
 
 
-OBJECT_TYPES: dict[ObjectKind, type] = {
+TYPES: dict[ObjectKind, type] = {
     ObjectKind.TIER: Tier,
     ObjectKind.WORKSPACE: Workspace,
     ObjectKind.SERVICE: Service,
--- a/godwitladder/configuration/snapshots.py
+++ b/godwitladder/configuration/snapshots.py
@@ -22,7 +22,7 @@
     Ledger,
 )
 from godwitladder.configuration.model import (
-    OBJECT_TYPES,
+    TYPES,
     ObjectKind,
     ObjectName,
     Versioned,
@@ -125,7 +125,7 @@
     head, value = raw
     row = _read(head, ObjectRow, findings)
     if value is not None:
-        kind = OBJECT_TYPES[ObjectKind(row.table)]
+        kind = TYPES[ObjectKind(row.table)]
         value = read_table(value, kind, f"{row.table}.{row.name}", findings)
     versioned = Versioned(row.number, row.operator, row.offset, row.digest, value)
     return ObjectName(row.table, row.name), versioned
--- a/godwitladder/configuration/tickets.py
+++ b/godwitladder/configuration/tickets.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from godwitladder.configuration.model import OBJECT_TYPES, ObjectKind, ObjectName
+from godwitladder.configuration.model import TYPES, ObjectKind, ObjectName
 from godwitladder.findings import Findings
 from godwitladder.ids import TicketNumber
 from godwitladder.settings import parse_toml
@@ -113,7 +113,7 @@
                 findings.add(
                     place, f"a name has 1 to {MAX_NAME_LENGTH} printable letters"
                 )
-            read = read_table(value, OBJECT_TYPES[kind], place, findings)
+            read = read_table(value, TYPES[kind], place, findings)
             writes[ObjectName(kind.value, item)] = read
     return writes
 
