--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -36,7 +36,7 @@
     assert rank(hosts.follow("host-1")) == 4
 
 
-def test_peer_that_is_behind_takes_nothing_back():
+def test_state_of_a_peer_that_is_behind_is_ignored():
     """A peer that lost its connection for an hour answers with its old state."""
     hosts = FakeHosts(2)
     hosts.submit(ticket(1, tier("urgent", 1)))
@@ -50,7 +50,7 @@
     assert follower.ledger.next == 2
 
 
-def test_zone_cut_off_from_the_log_hears_of_tickets_from_peers():
+def test_zone_disconnected_from_the_log_gets_tickets_from_peers():
     """The hosts of one zone lose the log but still reach hosts elsewhere."""
     hosts = FakeHosts(2)
     hosts.submit(ticket(1, tier("urgent", 1)))
@@ -59,9 +59,9 @@
     hosts.clients["host-1"].disconnected = True
     hosts.submit(ticket(2, tier("urgent", 2)))
     hosts.follow("host-0")
-    cut = hosts.follow("host-1")
+    disconnected = hosts.follow("host-1")
     hosts.heartbeat("host-0", "host-1")
-    assert rank(cut) == 2
+    assert rank(disconnected) == 2
 
 
 @pytest.mark.parametrize("outage", [True, False])
@@ -95,7 +95,7 @@
     assert outage or rank(new) == 2
 
 
-def test_log_that_lags_for_a_moment_is_followed_on():
+def test_log_that_lags_briefly_is_followed_again():
     """A read reaches a replica of the log that lags by one record."""
     hosts = FakeHosts()
     hosts.submit(ticket(1, tier("urgent", 1)))
@@ -199,8 +199,8 @@
     assert ObjectName("tiers", "low") in paused.ledger.objects
 
 
-@pytest.mark.parametrize(("forked", "most"), [(True, 0), (False, 7)])
-def test_peers_are_not_asked_for_ever(forked, most):
+@pytest.mark.parametrize(("forked", "max_requests"), [(True, 0), (False, 7)])
+def test_requests_for_unusable_states_are_limited(forked, max_requests):
     """A peer is ahead for a minute, but its state can't be used.
 
     Either the log lost records that this host has replayed, or the peer runs a
@@ -212,18 +212,18 @@
     follower = hosts.follow("host-0")
     if forked:
         hosts.log.records["config"].clear()
-    asked = []
-    follower.send = lambda host, message: asked.append(host) or True
+    requests = []
+    follower.send = lambda host, message: requests.append(host) or True
     for _ in range(60):
         hosts.clock.advance(1.0)
         follower.record_peer_offset("host-9", 100)
         follower.follow_once()
     assert (follower.replica.phase is Phase.FORKED) == forked
-    assert bool(asked) != forked
-    assert len(asked) <= most
+    assert bool(requests) != forked
+    assert len(requests) <= max_requests
 
 
-def test_record_that_is_read_again_is_judged_once():
+def test_record_that_is_read_again_is_evaluated_once():
     """After an outage, a host reads its last record again to compare it.
 
     If it were evaluated again, this host alone would have two audit entries for
--- a/tests/configuration/test_ledger.py
+++ b/tests/configuration/test_ledger.py
@@ -31,7 +31,7 @@
     return ledger, entries
 
 
-def test_rejection_names_the_object_the_number_that_won_and_its_writer():
+def test_rejection_names_the_object_and_the_winning_ticket():
     """Tickets 5 and 6 of two operators write one tier; 6 is appended first.
 
     Ticket 5 also writes another tier. It must be rejected as a whole, and the
@@ -91,7 +91,7 @@
         ),
     ],
 )
-def test_objects_that_do_not_fit_together_are_rejected(later, place):
+def test_inconsistent_objects_are_rejected(later, place):
     ledger, entries = replay(
         ticket(1, BASE + TARGET.format("t1")), ticket(2, later), ticket(3, tier("x"))
     )
@@ -175,7 +175,7 @@
         ticket(1, tier("a")) + "#" * 1_048_576,
     ],
 )
-def test_record_that_breaks_readers_is_judged_like_any_other(text):
+def test_record_that_makes_the_parser_raise_is_rejected(text):
     """A record in the log makes the TOML parser or a field check raise.
 
     Every host replays it. An unhandled exception would end the replay on all
@@ -194,7 +194,7 @@
         assert error.findings
 
 
-def test_examples_run_as_they_stand(capsys):
+def test_examples_run_unchanged(capsys):
     examples = Path(__file__).parent.parent.parent / "examples"
     ledger = runpy.run_path(str(examples / "tickets_in_memory.py"))["main"]()
     assert ledger.objects[ObjectName("tiers", "urgent")].value.rank == 1
--- a/tests/configuration/test_operators.py
+++ b/tests/configuration/test_operators.py
@@ -75,7 +75,7 @@
     return OperatorHarness()
 
 
-def test_operators_in_a_race_both_read_the_true_verdict(harness):
+def test_racing_operators_both_get_the_correct_verdict(harness):
     """Two operators submit tickets 6 and 5 for one tier; 6 is appended first.
 
     The second operator must be told at once which object lost to which ticket
@@ -94,8 +94,8 @@
         202,
         harness.request("GET", "/v1/audit?from=2")[2]["audit"][0] | {"findings": []},
     )
-    trail = harness.request("GET", "/v1/audit")[2]["audit"]
-    assert [row["verdict"] for row in trail] == ["accepted", "rejected", "repeated"]
+    audit = harness.request("GET", "/v1/audit")[2]["audit"]
+    assert [row["verdict"] for row in audit] == ["accepted", "rejected", "repeated"]
     shown = harness.request("GET", "/v1/tickets/6")[2]
     assert shown["in_force"] == ["tiers.urgent"]
     assert len(shown["verdicts"]) == 2
@@ -133,7 +133,7 @@
     assert int(headers["Retry-After"]) > 0
 
 
-def test_lost_append_answer_is_settled_or_told_as_open(harness):
+def test_lost_append_answer_is_resolved_or_reported_as_open(harness):
     """The log appends tickets 1 and 2, but both answers are lost.
 
     Ticket 1 appears in the stream in time, and its operator gets the verdict.
@@ -149,8 +149,8 @@
     assert int(headers["Retry-After"]) > 0
     harness.client.after_append = harness.follower.follow_once
     assert harness.submit(ticket(2, tier("urgent", 2)))[2]["verdict"] == "repeated"
-    trail = harness.request("GET", "/v1/audit?from=1")[2]["audit"]
-    assert [row["verdict"] for row in trail] == ["accepted", "repeated"]
+    audit = harness.request("GET", "/v1/audit?from=1")[2]["audit"]
+    assert [row["verdict"] for row in audit] == ["accepted", "repeated"]
 
 
 def test_ticket_waits_until_the_log_agrees_with_the_state(harness):
@@ -169,5 +169,5 @@
 
 
 @pytest.mark.parametrize("path", ["/v1/audit?from=x", "/v1/tickets/x", "/v1/none"])
-def test_bad_questions_get_a_clear_answer(harness, path):
+def test_invalid_requests_get_a_client_error(harness, path):
     assert harness.request("GET", path)[0] in (400, 404)
