--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -1,4 +1,4 @@
-"""A network in memory: the membership of many hosts, on a clock that a test moves."""
+"""A simulated network of many hosts in memory, on a clock that the test advances."""
 
 from collections import deque
 
@@ -35,7 +35,7 @@
 
 
 class NetMesh:
-    """Does for one host what `godwitladder.membership.mesh.Mesh` does."""
+    """Replaces `godwitladder.membership.mesh.Mesh` of one host."""
 
     def __init__(self, net, node):
         self.net, self.node = net, node
@@ -76,7 +76,7 @@
 
 
 class Node:
-    """One host."""
+    """A simulated host with its membership actor."""
 
     def __init__(self, net, number, place, cores, incarnation):
         self.net = net
@@ -115,7 +115,7 @@
 
 
 class Net:
-    """Hosts, the links between them, and cuts."""
+    """Simulated hosts, the links between them, and network partitions."""
 
     def __init__(self, places, hosts_each, strong_each=1):
         self.clock = ManualClock()
@@ -141,7 +141,7 @@
         return frozenset((one.place, other.place)) in self.cuts
 
     def cut_off(self, place):
-        """Let nothing through between ``place`` and all others."""
+        """Partition ``place`` from all other availability zones."""
         others = {node.place for node in self.nodes} - {place}
         self.cuts |= {frozenset((place, other)) for other in others}
 
@@ -161,7 +161,7 @@
             link.owner.actor.on_receive(LinkUp(link))
 
     def forget(self, link):
-        """Drop one end of a connection; its host hears of it."""
+        """Remove one end of a connection and notify its host."""
         if link.owner.mesh.links.get(link.peer) is link:
             del link.owner.mesh.links[link.peer]
             if link.owner.alive:
@@ -173,7 +173,7 @@
             self.forget(link.far)
 
     def kill(self, node):
-        """End a host's process: its links close at once."""
+        """Kill the process of a host, which closes its links at once."""
         node.alive = False
         for link in node.mesh.current():
             self.close(link)
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages between hosts, as bytes."""
+"""Tests of the encoding of peer messages."""
 
 import zlib
 from dataclasses import dataclass
@@ -38,7 +38,7 @@
 @peer_message
 @dataclass(frozen=True)
 class Sample:
-    """A message with a field that may be missing."""
+    """A message with an optional field."""
 
     name: str
     age: float | None = None
@@ -53,10 +53,10 @@
 
 @given(BYTES)
 def test_bytes_of_any_kind_are_a_message_or_refused(data):
-    """A peer in error sends garbage; only its own link may suffer.
+    """A faulty peer sends garbage, which may affect only its own link.
 
-    Any other error than BadMessage would end the reading thread without
-    closing the link, which then looks up and carries nothing.
+    Any exception other than BadMessage would end the reader without closing the
+    link, which would then seem to be up but carry nothing.
     """
     try:
         decode(data)
@@ -65,9 +65,9 @@
 
 
 def test_a_later_version_is_understood_and_an_older_one_too():
-    """Hosts of two versions stand side by side while they are replaced.
+    """Hosts of two versions communicate during an upgrade.
 
-    The later one sends a field more, the older one a field less.
+    The later version sends one field more, the older one a field less.
     """
     assert decode(cbor2.dumps(["Sample", ["a", 1, "new"]])) == Sample("a", 1.0)
     assert decode(cbor2.dumps(["Sample", ["a"]])) == Sample("a")
@@ -84,7 +84,7 @@
 
 
 def test_whole_documents_go_over_a_link_in_a_tenth_of_their_bytes():
-    """Guards against a new document that fills the links of all hosts for seconds."""
+    """Guards against a new document that blocks the links of all hosts for seconds."""
     value = b",".join(ROUTE % (number, number) for number in range(900))
     batch = RawBatch(-1, 7, (RawRecord(6, "config", value),))
     news = FeedNews("h1", 0.0, batch, RawBatch(3, 3))
@@ -105,6 +105,6 @@
     ],
 )
 def test_a_compressed_message_that_is_none_is_refused(data):
-    """Guards against a peer in error that takes a host's memory, or its thread."""
+    """Guards against a faulty peer that exhausts a host's memory or ends its thread."""
     with pytest.raises(BadMessage):
         decode(cbor2.dumps([COMPRESSED, data]))
--- a/tests/membership/test_contacts.py
+++ b/tests/membership/test_contacts.py
@@ -1,4 +1,4 @@
-"""Which hosts a host holds links to, and what the lagging list says."""
+"""Tests of the choice of links and of leaving targets from the lagging host list."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
 
 @given(ZONES)
 def test_both_ends_choose_the_same_links(zones):
-    """Only one end dials, so a link that one end alone wants is never made."""
+    """Only one end dials, so a link that only the other end chooses is never made."""
     listed = [ListedHost(address, zone, False) for address, zone in zones.items()]
     chosen = {
         address: choose_contacts(address, zone, listed, ())
@@ -36,9 +36,9 @@
 
 
 def test_a_target_that_vanishes_from_the_list_stays_leaving():
-    """A target that has left must not be taken for staying when its row goes.
+    """A leaving target must not count as available when the list drops it.
 
-    It is free again only when the list shows it as staying.
+    It is available again only when the list shows it as not leaving.
     """
     leaving = leaving_addresses(frozenset(), [ListedHost("10.0.0.1:1", "a", True)])
     assert leaving == {"10.0.0.1:1"}
--- a/tests/membership/test_hubs.py
+++ b/tests/membership/test_hubs.py
@@ -1,4 +1,4 @@
-"""Hosts of a large region: who is linked to whom, and what each knows of the rest."""
+"""Tests of a large region: links, hubs, and what each host knows about the others."""
 
 import pytest
 from hypothesis import given, settings
@@ -21,7 +21,7 @@
 
 
 def hosts_known(net, nodes=None):
-    """Return the different sets of hosts that ``nodes`` know as live."""
+    """Return the distinct sets of live hosts that ``nodes`` have published."""
     return {node.view().hosts for node in nodes or net.alive()}
 
 
@@ -58,11 +58,11 @@
 
 
 def test_hosts_that_start_together_know_each_other_by_a_few_links():
-    """Many hosts start at once and know three seeds only, which are no hubs.
+    """Many hosts start at once and know only three seeds, which are not hubs.
 
-    Within seconds all of them know all others and name the same allocators,
-    so that no target is handed out twice; links are held to hubs alone, the
-    ones to the seeds are given up.
+    Within seconds, all hosts know each other and agree on the allocators, so that
+    no target is granted twice. Only links to hubs remain; those to the seeds are
+    closed.
     """
     net = make_net()
     assert hosts_known(net) == {names(net.nodes)}
@@ -78,7 +78,7 @@
 
 
 def test_hosts_at_rest_say_little():
-    """At rest nothing is told but that hosts live: a few hundred bytes a second."""
+    """Without changes, hosts send only heartbeats: a few hundred bytes per second."""
     net = make_net()
     before = net.sent_bytes
     net.run(10)
@@ -88,8 +88,8 @@
 def test_an_allocator_that_dies_is_replaced_by_the_same_one_everywhere():
     """The process of an allocator is killed, and its links close.
 
-    All hosts name the same others at once, without waiting for a timeout,
-    and soon count one host less, so that shares of quotas go to the rest.
+    All hosts agree on its replacement at once, without waiting for a timeout.
+    They soon count one host less, so that its share of quotas goes to the others.
     """
     net = make_net()
     (first, *_) = net.nodes[0].view().allocators
@@ -103,10 +103,10 @@
 
 
 def test_a_zone_that_is_cut_off_goes_on_by_itself_and_joins_again():
-    """Nothing gets through between one zone and the others, and no link closes.
+    """A network partition separates one zone from the others; no link closes.
 
-    Within a few seconds the hosts on each side know just each other, and each
-    side has allocators of its own. When the cut ends, all name the same again.
+    Within a few seconds, the hosts on each side know only each other and have
+    their own allocators. After the partition, all agree on the same ones again.
     """
     net = make_net()
     net.cut_off("zone-b")
@@ -124,11 +124,11 @@
 
 
 def test_a_zone_that_is_cut_off_loses_its_hubs_too():
-    """The hubs of a zone are killed at the moment at which it is cut off.
+    """The hubs of a zone are killed at the moment a partition separates it.
 
-    Its other hosts were told of everyone by hubs that are out of reach now.
-    They find each other by the seed that is left to them, and go on together;
-    believing what they were told, they would wait for allocators for ever.
+    Its other hosts know all hosts from hubs that are unreachable now. They find
+    each other through the remaining seed and continue on their own. If they kept
+    the reports of the hubs, they would wait forever for unreachable allocators.
     """
     net = make_net()
     hubs = net.nodes[0].view().hubs
@@ -147,10 +147,10 @@
 
 @pytest.mark.parametrize("away_s", [0.5, 40])
 def test_all_hosts_are_killed_at_once_and_come_back(away_s):
-    """Every process ends at the same moment and starts anew, knowing nobody.
+    """All processes are killed at the same moment and restart without any state.
 
-    They find each other by the seeds as at the first start, and no host
-    believes for long in a process that is gone.
+    They find each other through the seeds as at the first start, and no host
+    treats a process that has exited as live for long.
     """
     net = make_net()
     for node in net.nodes:
@@ -167,7 +167,7 @@
 
 
 def test_a_host_that_is_no_hub_dies_and_everyone_hears_of_it():
-    """Hubs see its link close and tell the hosts that have none to it."""
+    """Hubs detect that its link has closed and report this to the other hosts."""
     net = make_net()
     hubs = net.nodes[0].view().hubs
     victim = next(node for node in net.nodes if node.name not in hubs)
@@ -181,7 +181,7 @@
 
 
 def test_a_leaving_hub_hands_its_part_over():
-    """A hub announces that it leaves; others take its part before it ends."""
+    """A hub announces that it is leaving; other hosts replace it before it exits."""
     net = make_net()
     (first, *_) = net.nodes[0].view().allocators
     hub = next(node for node in net.nodes if node.name == first)
@@ -204,10 +204,10 @@
 @settings(max_examples=12, deadline=None, derandomize=True)
 @given(STEPS)
 def test_after_any_series_of_faults_all_hosts_agree_again(steps):
-    """Hosts are killed and come back, zones are cut off and heal, in any order.
+    """Hosts are killed and restarted, and partitions start and end, in any order.
 
-    Half a second passes between two faults. Once they have ended, all live
-    hosts know just each other within seconds, and name the same allocators.
+    Half a second passes between two faults. Within seconds after the last one, the
+    live hosts know only each other and agree on the allocators.
     """
     net = make_net(hosts_each=5)
     for kind, number in steps:
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -1,4 +1,4 @@
-"""Links between hosts: silence, hanging up, and pauses of a process."""
+"""Tests of links between hosts: silence, closing, and pauses of a process."""
 
 import contextlib
 from types import SimpleNamespace
@@ -27,7 +27,7 @@
 
 
 def start_mesh(stack, host, seeds=()):
-    """Return a started mesh and the list of what it was sent."""
+    """Return a started mesh and a list of the hosts whose heartbeats it received."""
     got = []
     address = f"127.0.0.1:{free_ports(1)[0]}"
     deliver = lambda link, message: got.append(message.host)  # noqa: E731
@@ -42,11 +42,11 @@
 
 
 def test_a_link_that_went_silent_is_replaced_by_a_new_one(stack):
-    """A connection stays open and carries nothing; new ones work.
+    """A connection stays open but carries nothing, while new connections work.
 
-    Something between the two hosts has lost track of it. Writes still
-    succeed, so that only the silence shows it: the host drops it and dials
-    again, and what it sends then arrives.
+    A device between the two hosts has lost its state. Writes still succeed, so
+    only the silence reveals the fault. The host closes the link and dials again,
+    and its messages arrive.
     """
     far, got = start_mesh(stack, "h1")
     relay = Proxy(far.address)
@@ -63,7 +63,7 @@
 
 
 def test_a_peer_that_left_the_list_is_not_dialled_again(stack):
-    """Addresses of hosts that are gone are not dialled for ever."""
+    """Addresses of hosts that have left are not dialled forever."""
     near, _ = start_mesh(stack, "h1")
     near.keep({"127.0.0.1:9"})
     wait_until(lambda: "127.0.0.1:9" in near.dials, "the dialling")
@@ -72,7 +72,7 @@
 
 
 class QuietMesh:
-    """Takes what membership sends."""
+    """Records what membership sends, dials and excludes."""
 
     links: dict = {}
 
@@ -99,7 +99,7 @@
 
 
 def make_membership():
-    """Return membership of h1, its clock and what it published."""
+    """Return the membership actor of h1, its clock and the messages it publishes."""
     clock, published = ManualClock(), []
     members = Members(TIMEOUT_S)
     me = Heartbeat("h1", "a", "", 1, False, 0)
@@ -115,10 +115,10 @@
 
 
 def test_a_pause_of_this_process_is_not_silence_of_its_peers():
-    """A host that stood still for long doesn't take all roles when it wakes.
+    """A host does not take over all roles after a long pause of its process.
 
-    The peers' heartbeats are still unread. Only when none come while it runs
-    are they taken for dead.
+    Its peers' heartbeats are still queued. The peers count as dead only if no
+    heartbeat arrives while the process is running.
     """
     actor, clock, published = make_membership()
     assert published[-1].hosts == ("h1", "h2")
@@ -130,12 +130,12 @@
 
 
 def test_a_host_that_has_just_started_knows_all_hosts_after_one_link(stack):
-    """A host restarts, and is linked to one seed; the platform's list lags.
+    """A host restarts with a link to one seed while the platform's list lags.
 
-    Callers that it serves at once are placed by the allocator of all hosts:
-    knowing a part of them, it would choose another one, and both would fill the
-    same targets. So its first peer tells it of everyone, and it dials them,
-    those with lower addresses too, which have not heard of it yet.
+    Its requests must be placed by the allocator that all other hosts use. If it
+    knew only some hosts, it would choose another allocator, and both would fill
+    the same targets. Therefore its first peer names all hosts, and it dials them,
+    including those with lower addresses, which don't know it yet.
     """
     meshes = {name: start_membership(stack, name) for name in ("h1", "h2")}
     seed, (_, far) = meshes["h1"][0].address, meshes["h2"]
@@ -149,7 +149,7 @@
 
 
 def start_membership(stack, name, seeds=()):
-    """Return the running mesh of a host with its membership, and what that told."""
+    """Return the running mesh of a host, and what its membership actor publishes."""
     published = []
     members = Members(TIMEOUT_S)
     clock = Clock()
@@ -173,10 +173,10 @@
 
 
 def test_a_roster_tells_nothing_new_of_known_hosts():
-    """A peer that lags names a host by a process that has ended since.
+    """A peer with outdated state names a process that has exited since.
 
-    The host has restarted, and this one has heard its newer process already.
-    Taking the older one in would let callers wait for a process that is gone.
+    The host of that process has restarted, and its new process is already known
+    here. Recording the old process would let callers wait for it.
     """
     actor, _, published = make_membership()
     actor.on_receive(Heartbeat("h2", "a", "10.0.0.2:1", 5, False, 0))
@@ -190,7 +190,7 @@
 
 
 def test_a_leaving_host_hands_its_roles_over():
-    """Neither a host that leaves nor its peers count it among the allocators."""
+    """A leaving host is an allocator neither for itself nor for its peers."""
     actor, clock, published = make_membership()
     actor.on_receive(Leave())
     assert published[-1] == HostsChanged(("h2",), {})
@@ -200,10 +200,10 @@
 
 
 def test_a_peer_whose_clock_was_set_back_is_live_again():
-    """A host restarts with an earlier clock and so with a lower incarnation.
+    """A host restarts with its clock set back, and so with a lower incarnation.
 
-    It is refused while the newer one may be there, and taken in once that
-    one has been silent for the timeout.
+    Its heartbeats are rejected while the process with the higher incarnation may
+    still be live, and accepted once that one has been silent for the timeout.
     """
     actor, clock, published = make_membership()
     actor.on_receive(Heartbeat("h2", "a", "", 0, False, 0))
@@ -224,10 +224,10 @@
     ],
 )
 def test_a_host_is_not_ready_before_it_knows_a_peer(seeds, links, waited_s, ready):
-    """Callers sent to a host that knows nobody would overrun the targets.
+    """A host without peers would overload the targets if it received requests.
 
-    It would take itself for the allocator. If all its seeds are gone it
-    serves alone after a while, as a host that is cut off must.
+    It would consider itself the allocator. If none of its seeds can be reached,
+    it serves alone after a timeout, as a partitioned host must.
     """
     clock = ManualClock()
     mesh = SimpleNamespace(seeds=seeds, current=lambda: links)
@@ -237,7 +237,7 @@
 
 
 def make_mesh(stack, name, seeds=()):
-    """Return a mesh that runs, and the peers whose links it told of as closed."""
+    """Return a running mesh, and the peers whose links it reports as closed."""
     closed = []
     address = f"127.0.0.1:{free_ports(1)[0]}"
     mesh = Mesh(
@@ -255,10 +255,10 @@
 
 
 def test_a_mesh_that_stops_tells_nobody_of_closed_links():
-    """A host ends as planned, and its actors have stopped before its links close.
+    """A host shuts down; its actors stop before its links close.
 
-    Its peer hears of the closed link at once. On the host itself, nobody is
-    left who could be told: the thread of each link failed with an error.
+    Its peer is notified of the closed link at once. On the host itself no actor is
+    left to notify: guards against an error in each link that still tries to.
     """
     with contextlib.ExitStack() as stack:
         one, told_one = make_mesh(stack, "h1")
@@ -270,10 +270,10 @@
 
 
 def test_a_roster_does_not_bring_a_silent_host_back():
-    """A host has died, and a peer that has not noticed yet names it.
+    """A host has failed, and a peer that has not detected this yet names it.
 
-    Its last word is known here already, so the name is no sign of life. Taken
-    for one, each new link would keep the dead host among the allocators.
+    Its last heartbeat is already known here, so the entry does not show that it is
+    live. Otherwise each new link would keep the failed host among the allocators.
     """
     actor, clock, published = make_membership()
     for _ in range(8):
--- a/tests/membership/test_mesh.py
+++ b/tests/membership/test_mesh.py
@@ -1,4 +1,4 @@
-"""Many links on one event loop: no peer may harm the links to the others."""
+"""Tests of many links on one event loop: no peer may affect the links to others."""
 
 import contextlib
 import socket
@@ -24,7 +24,7 @@
 
 
 def start_mesh(stack, name, seeds=(), address="", deliver=None):
-    """Return a started mesh and the hosts of what it was sent."""
+    """Return a started mesh and a list of the hosts whose heartbeats it received."""
     got = []
     take = deliver or (lambda link, message: got.append(message.host))
     address = address or f"127.0.0.1:{free_ports(1)[0]}"
@@ -51,9 +51,9 @@
 
 
 def test_a_peer_that_reads_nothing_harms_no_other(stack):
-    """A peer stops reading, and its connection stays open.
+    """A peer stops reading while its connection stays open.
 
-    What is for it piles up to a bound and is then refused; the next message
+    Its send queue grows up to a limit and then rejects messages. The next message
     to another peer arrives at once.
     """
     hub, _ = start_mesh(stack, "hub")
@@ -72,7 +72,7 @@
 
 
 def test_bytes_that_are_no_message_break_one_link_only(stack):
-    """A peer of another kind, or one in error, connects and sends anything."""
+    """A client of another protocol, or a faulty peer, connects and sends garbage."""
     hub, _ = start_mesh(stack, "hub")
     _, got = start_mesh(stack, "good", [hub.address])
     wait_until(linked(hub, 1), "the good link")
@@ -87,10 +87,10 @@
 
 @pytest.mark.parametrize("failing", ["hub", "near"])
 def test_a_message_that_nobody_can_take_in_breaks_its_link_only(stack, failing):
-    """What takes a message in fails by an error that nobody foresaw.
+    """The message handler raises an unexpected exception.
 
-    The link breaks, the error is logged, the loop goes on, and whoever dials
-    makes a new link, also if the error was its own.
+    The link closes, the error is logged, and the event loop continues. The end
+    that dialled makes a new link, even if the exception was its own.
     """
 
     def fail(link, message):
@@ -109,10 +109,10 @@
 
 
 def test_a_herd_of_hosts_comes_back_at_once(stack):
-    """All hosts have lost their hub and dial the one that took its address.
+    """All hosts have lost their hub and dial its successor at the same address.
 
-    They connect at the same moment; all of them have their link soon, and
-    the hub still has one thread for them.
+    They connect at the same moment. Each of them soon has a link, and the hub
+    still uses one thread for all links.
     """
     address = f"127.0.0.1:{free_ports(1)[0]}"
     with contextlib.ExitStack() as first:
@@ -134,7 +134,7 @@
 
 
 def test_links_that_lead_to_no_hub_are_given_up(stack):
-    """Those that this host has made; the others belong to their own hosts."""
+    """A host closes only links that it dialled; the peers decide about the others."""
     near, _ = start_mesh(stack, "near")
     far, _ = start_mesh(stack, "far")
     kept, _ = start_mesh(stack, "kept")
--- a/tests/membership/test_tls.py
+++ b/tests/membership/test_tls.py
@@ -1,4 +1,4 @@
-"""Links between hosts over TLS."""
+"""Tests of links between hosts over TLS."""
 
 import contextlib
 
@@ -13,7 +13,7 @@
 
 
 def make_tls(folder, authority, name: str) -> TlsSettings:
-    """Write a host's certificate and return its settings."""
+    """Write a host's certificate and return its TLS settings."""
     issued = authority.issue_cert("127.0.0.1")
     path, root = folder / f"{name}.pem", folder / f"{name}-root.pem"
     issued.private_key_and_cert_chain_pem.write_to_path(path)
@@ -22,7 +22,7 @@
 
 
 class CountingClock(Clock):
-    """Counts the pauses between tries to dial."""
+    """Counts the sleeps between dials."""
 
     def __init__(self) -> None:
         self.pauses = 0
@@ -48,11 +48,11 @@
 
 
 def test_only_peers_with_a_certificate_of_the_authority_get_a_link(tmp_path):
-    """A process that knows the secret but has no certificate stays outside.
+    """A process with the secret but without a trusted certificate gets no link.
 
-    Two hosts of one authority link up and hear each other. A third one has
-    the secret and a certificate of another authority: TLS fails before any
-    greeting, and it gets no link however long it dials.
+    Two hosts with certificates of one authority exchange messages. A third host
+    has the secret and a certificate of another authority. Its TLS handshake fails
+    before that of the link, and dialling again does not help.
     """
     ours, other = trustme.CA(), trustme.CA()
     ports = sorted(free_ports(3))
