--- a/godwitladder/scheduler/access.py
+++ b/godwitladder/scheduler/access.py
@@ -117,7 +117,7 @@
     allocator: HostId | None = None
     holder: HostId | None = None
     term: int = 0
-    seen: int = 0
+    last_offer: int = 0
     number: int = 0
     answered_at: float = 0.0
     echoed: int = 0
@@ -159,7 +159,7 @@
 
     def drop(self) -> None:
         """Give up everything held."""
-        self.holder, self.term, self.seen = None, 0, 0
+        self.holder, self.term, self.last_offer = None, 0, 0
         self.allowances = {}
         self.grants = {}
         self.told_whole = float("-inf")
@@ -171,9 +171,9 @@
         if (offer.allocator, offer.term) != (self.holder, self.term):
             self.drop()
             self.holder, self.term = offer.allocator, offer.term
-        if offer.number <= self.seen:
+        if offer.number <= self.last_offer:
             return False
-        self.seen = offer.number
+        self.last_offer = offer.number
         self.answered_at = now
         self.echoed = max(self.echoed, offer.acked_report)
         if self.echoed >= self.unanswered[0]:
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -214,7 +214,7 @@
         number=number,
         sent_s=now,
         term=access.term,
-        acked_offer=access.seen,
+        acked_offer=access.last_offer,
         uses=report_uses(access, targets),
         workspaces=report_workspaces(tables, access),
         demands=tuple(make_line(tables, shown[request], now) for request in news.lines),
--- a/godwitladder/serving/lateness.py
+++ b/godwitladder/serving/lateness.py
@@ -19,7 +19,7 @@
     PAUSE = "pause"
 
 
-def judge_lateness(
+def classify_lateness(
     row: RequestRow, first_at: float, pause_s: float, gap_s: float
 ) -> Lateness:
     """Return why an answer was late, if it was.
--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -24,7 +24,7 @@
 from godwitladder.serving.answers import internal_fault
 from godwitladder.serving.call_watcher import CallWatcher, Cause, OpenCall
 from godwitladder.serving.dispatch_reporter import DispatchReporter
-from godwitladder.serving.lateness import judge_lateness
+from godwitladder.serving.lateness import classify_lateness
 from godwitladder.serving.losses import LossRegistry
 from godwitladder.serving.problems import answer_problem
 from godwitladder.serving.streaming import StreamPassing
@@ -230,7 +230,7 @@
         row = self.call.row
         took_s = self.clock.monotonic() - row.arrived
         first_s = self.ending.first_s or took_s
-        lateness = judge_lateness(
+        lateness = classify_lateness(
             row, row.arrived + first_s, self.pause_s, self.call.route.gap_s
         )
         extra = self.names() | {
--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -121,7 +121,7 @@
         "h0",
         access.pool.name,
         role.term,
-        access.seen + 1,
+        access.last_offer + 1,
         0,
         now + 1.0,
         sheds=(shed,),
--- a/tests/serving/test_lateness.py
+++ b/tests/serving/test_lateness.py
@@ -4,7 +4,7 @@
 
 from godwitladder.ids import RequestId, StreamId
 from godwitladder.scheduler.rows import RequestRow
-from godwitladder.serving.lateness import Lateness, judge_lateness
+from godwitladder.serving.lateness import Lateness, classify_lateness
 
 
 def make_row(arrived: float, dispatched: float, ttft_deadline: float) -> RequestRow:
@@ -27,11 +27,11 @@
 )
 def test_the_first_cause_counts(arrived, dispatched, first_at, pause_s, cause):
     row = make_row(arrived, dispatched, ttft_deadline=1.0)
-    assert judge_lateness(row, first_at, pause_s, gap_s=0.3) is cause
+    assert classify_lateness(row, first_at, pause_s, gap_s=0.3) is cause
 
 
 def test_a_call_without_an_aim_is_late_by_pauses_alone():
     row = make_row(0.0, 5.0, ttft_deadline=0.0)
-    assert judge_lateness(row, 9.0, 0.1, gap_s=0.3) is Lateness.IN_TIME
-    assert judge_lateness(row, 9.0, 0.4, gap_s=0.0) is Lateness.IN_TIME
-    assert judge_lateness(row, 9.0, 0.4, gap_s=0.3) is Lateness.PAUSE
+    assert classify_lateness(row, 9.0, 0.1, gap_s=0.3) is Lateness.IN_TIME
+    assert classify_lateness(row, 9.0, 0.4, gap_s=0.0) is Lateness.IN_TIME
+    assert classify_lateness(row, 9.0, 0.4, gap_s=0.3) is Lateness.PAUSE
