--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -21,7 +21,7 @@
 from godwitladder.ids import Incarnation
 from godwitladder.logs import component_logger
 from godwitladder.membership.actor import (
-    ConfigMoved,
+    ConfigChanged,
     Leave,
     LinkUp,
     Listed,
@@ -290,7 +290,7 @@
         self.scheduler.tell(NewConfig(state))
         self.allocator.tell(NewConfig(state))
         targets = frozenset(target.address for target in state.targets.values())
-        self.membership.tell(ConfigMoved(state.offset, targets))
+        self.membership.tell(ConfigChanged(state.offset, targets))
         self.metrics.config_offset.set({}, state.offset)
 
     def publish_members(self, message: HostsChanged | TargetsLeaving) -> None:
--- a/godwitladder/membership/actor.py
+++ b/godwitladder/membership/actor.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class ConfigMoved:
+class ConfigChanged:
     """The configuration that this host has applied: its offset and its targets."""
 
     offset: int
@@ -227,7 +227,7 @@
             self.publish(TargetsLeaving(leaving))
 
     @take.register
-    def _(self, message: ConfigMoved) -> None:
+    def _(self, message: ConfigChanged) -> None:
         self.targets = message.targets
         self._announce(config_offset=message.offset)
 
