--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -22,9 +22,9 @@
 from godwitladder.logs import component_logger
 from godwitladder.membership.actor import (
     ConfigChanged,
+    HostListRead,
     Leave,
     LinkUp,
-    Listed,
     Membership,
 )
 from godwitladder.membership.members import Members
@@ -312,7 +312,7 @@
         client = HostListClient(self.settings.platform.hosts, self.settings.zone)
         while not self.stopping.is_set():
             try:
-                self.membership.tell(Listed(client.read()))
+                self.membership.tell(HostListRead(client.read()))
             except HostListUnavailable as error:
                 log.info("The host list is unavailable", extra={"error": str(error)})
             self.update_metrics()
--- a/godwitladder/membership/actor.py
+++ b/godwitladder/membership/actor.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Listed:
+class HostListRead:
     """The platform's host list has been read."""
 
     hosts: tuple[ListedHost, ...]
@@ -215,7 +215,7 @@
         self.gossip.take_directory(message)
 
     @take.register
-    def _(self, message: Listed) -> None:
+    def _(self, message: HostListRead) -> None:
         if len(message.hosts) > self.topology.mesh_hosts:
             self.topology.dial_strangers(message.hosts, self.targets)
         else:
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -21,10 +21,10 @@
 from godwitladder.ids import HostId, Incarnation, Zone
 from godwitladder.logs import component_logger
 from godwitladder.membership.actor import (
+    HostListRead,
     Leave,
     LinkDown,
     LinkUp,
-    Listed,
     Membership,
 )
 from godwitladder.membership.codec import encode
@@ -170,7 +170,7 @@
             settings.host,
             source,
             ListedHost(settings.listen.peers, self.span, leaving=False),
-            lambda rows: self.membership.tell(Listed(rows)),
+            lambda rows: self.membership.tell(HostListRead(rows)),
         )
         self.router.connect(self.mesh, self.membership, self.scheduler, self.allocator)
         self.feed.spread = self.mesh.broadcast
