--- a/godwitladder/membership/actor.py
+++ b/godwitladder/membership/actor.py
@@ -196,7 +196,7 @@
 
     @take.register
     def _(self, message: Heartbeat) -> None:
-        self.members.hear(as_member(message, self.clock.monotonic()))
+        self.members.record_heartbeat(as_member(message, self.clock.monotonic()))
 
     @take.register
     def _(self, message: Roster) -> None:
@@ -207,7 +207,7 @@
         now = self.clock.monotonic()
         for row in message.members:
             if self.is_new(row):
-                self.members.hear(as_member(row, now))
+                self.members.record_heartbeat(as_member(row, now))
         self.mesh.meet(self.contacts(self.topology.dial_named(message.members)))
 
     @take.register
--- a/godwitladder/membership/gossip.py
+++ b/godwitladder/membership/gossip.py
@@ -164,7 +164,7 @@
             return
         self.reported = now
         for row in rows:
-            self.members.hear(as_member(row, now))
+            self.members.record_heartbeat(as_member(row, now))
 
     def expire_directory(self) -> None:
         """Discard the reports of a hub that is unreachable or no longer needed.
--- a/godwitladder/membership/members.py
+++ b/godwitladder/membership/members.py
@@ -98,7 +98,7 @@
     seldom: frozenset[HostId] = frozenset()
     reported: set[HostId] = field(default_factory=set)
 
-    def hear(self, member: Member) -> bool:
+    def record_heartbeat(self, member: Member) -> bool:
         """Record a heartbeat; return False if its incarnation is outdated.
 
         A delayed heartbeat from a process that has exited must not make it look
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -20,7 +20,7 @@
     a count that increases proves that a host is alive, so the host must time out.
     """
     members = Members(TIMEOUT_S)
-    members.hear(member("host-a1", count=7))
+    members.record_heartbeat(member("host-a1", count=7))
     for now in (1.0, 2.0, 3.0):
         members.hear_of("host-a1", 1, 7, now)
     assert live(members, 3.0) == []
@@ -28,7 +28,7 @@
 
 def test_a_count_that_advances_keeps_a_host_live():
     members = Members(TIMEOUT_S)
-    members.hear(member("host-a1", count=7))
+    members.record_heartbeat(member("host-a1", count=7))
     members.hear_of("host-a1", 1, 8, 2.0)
     assert live(members, 4.0) == ["host-a1"]
 
@@ -40,8 +40,8 @@
     would go to a process that no longer exists.
     """
     members = Members(TIMEOUT_S)
-    assert members.hear(member("host-a1", incarnation=2))
-    assert not members.hear(member("host-a1", incarnation=1, heard=2.0))
+    assert members.record_heartbeat(member("host-a1", incarnation=2))
+    assert not members.record_heartbeat(member("host-a1", incarnation=1, heard=2.0))
     members.hear_of("host-a1", 1, 50, 2.0)
     assert members.rows["host-a1"].incarnation == 2
     assert live(members, 3.0) == []
