--- a/examples/members_in_memory.py
+++ b/examples/members_in_memory.py
@@ -18,7 +18,7 @@
     for now, news in ((2.0, ("host-a1", 5)), (4.0, ("host-a2", 0)), (6.0, None)):
         if news:
             host, count = news
-            members.hear_of(host, incarnation=1, count=count, now=now)
+            members.record_gossip(host, incarnation=1, count=count, now=now)
         shown.append([row.host for row in members.live(now)])
         print(f"at {now} s: {shown[-1]}")
     return shown
--- a/godwitladder/membership/actor.py
+++ b/godwitladder/membership/actor.py
@@ -192,7 +192,7 @@
         now = self.clock.monotonic()
         rows = zip(message.hosts, message.incarnations, message.counts, strict=False)
         for host, incarnation, count in rows:
-            self.members.hear_of(host, incarnation, count, now)
+            self.members.record_gossip(host, incarnation, count, now)
 
     @take.register
     def _(self, message: Heartbeat) -> None:
--- a/godwitladder/membership/members.py
+++ b/godwitladder/membership/members.py
@@ -113,7 +113,7 @@
         self.rows[member.host] = member
         return True
 
-    def hear_of(
+    def record_gossip(
         self, host: HostId, incarnation: Incarnation, count: int, now: float
     ) -> None:
         """Record the heartbeat count of ``host`` that another peer knows.
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -22,14 +22,14 @@
     members = Members(TIMEOUT_S)
     members.record_heartbeat(member("host-a1", count=7))
     for now in (1.0, 2.0, 3.0):
-        members.hear_of("host-a1", 1, 7, now)
+        members.record_gossip("host-a1", 1, 7, now)
     assert live(members, 3.0) == []
 
 
 def test_a_count_that_advances_keeps_a_host_live():
     members = Members(TIMEOUT_S)
     members.record_heartbeat(member("host-a1", count=7))
-    members.hear_of("host-a1", 1, 8, 2.0)
+    members.record_gossip("host-a1", 1, 8, 2.0)
     assert live(members, 4.0) == ["host-a1"]
 
 
@@ -42,6 +42,6 @@
     members = Members(TIMEOUT_S)
     assert members.record_heartbeat(member("host-a1", incarnation=2))
     assert not members.record_heartbeat(member("host-a1", incarnation=1, heard=2.0))
-    members.hear_of("host-a1", 1, 50, 2.0)
+    members.record_gossip("host-a1", 1, 50, 2.0)
     assert members.rows["host-a1"].incarnation == 2
     assert live(members, 3.0) == []
