--- a/examples/members_in_memory.py
+++ b/examples/members_in_memory.py
@@ -12,7 +12,7 @@
     members = Members(timeout_s=3.0)
     for host in ("host-a1", "host-a2"):
         members.record_heartbeat(
-            Member(host, "a", "127.0.0.1:7003", incarnation=1, heard=0.0)
+            Member(host, "a", "127.0.0.1:7003", incarnation=1, last_heard=0.0)
         )
     shown = []
     for now, news in ((2.0, ("host-a1", 5)), (4.0, ("host-a2", 0)), (6.0, None)):
--- a/godwitladder/membership/members.py
+++ b/godwitladder/membership/members.py
@@ -35,7 +35,7 @@
     zone: Zone
     address: str
     incarnation: Incarnation
-    heard: float
+    last_heard: float
     leaving: bool = False
     config_offset: int = 0
     count: int = 0
@@ -108,7 +108,7 @@
         """
         held = self.rows.get(member.host)
         if held and held.incarnation > member.incarnation:
-            if member.heard - held.heard < self.timeout_s:
+            if member.last_heard - held.last_heard < self.timeout_s:
                 return False
         self.rows[member.host] = member
         return True
@@ -125,7 +125,7 @@
         held = self.rows.get(host)
         if held and held.incarnation == incarnation and held.count < count:
             held.count = count
-            held.heard = now
+            held.last_heard = now
 
     def suspect(self, host: HostId, now: float) -> None:
         """Treat a host as failed until its heartbeats advance again.
@@ -136,7 +136,7 @@
         self.reported.discard(host)
         held = self.rows.get(host)
         if held:
-            held.heard = min(held.heard, now - self.patience_s(host))
+            held.last_heard = min(held.last_heard, now - self.patience_s(host))
 
     def live(self, now: float) -> list[Member]:
         """Return the live members, sorted by host id."""
@@ -145,7 +145,10 @@
 
     def is_live(self, row: Member, now: float) -> bool:
         """Return whether a member was heard within its timeout or is reported."""
-        return now - row.heard < self.patience_s(row.host) or row.host in self.reported
+        return (
+            now - row.last_heard < self.patience_s(row.host)
+            or row.host in self.reported
+        )
 
     def patience_s(self, host: HostId) -> float:
         """Return the timeout of a peer, in seconds of silence."""
@@ -159,10 +162,10 @@
         has read the queue.
         """
         for row in self.rows.values():
-            row.heard += pause_s
+            row.last_heard += pause_s
 
     def forget(self, now: float, after_s: float) -> None:
         """Remove entries that were silent for ``after_s``, which bounds the table."""
         for host, row in list(self.rows.items()):
-            if now - row.heard > after_s and host not in self.reported:
+            if now - row.last_heard > after_s and host not in self.reported:
                 del self.rows[host]
--- a/godwitladder/membership/mesh.py
+++ b/godwitladder/membership/mesh.py
@@ -264,7 +264,7 @@
         """
         now = self.clock.monotonic()
         for link in self.current():
-            if now - link.heard > timeout_s:
+            if now - link.last_heard > timeout_s:
                 log.info("Closing a silent link", extra={"peer": link.peer})
                 self._remove(link)
                 link.close()
@@ -272,7 +272,7 @@
     def excuse(self, pause_s: float) -> None:
         """Exclude a pause of this process from the silence of its links."""
         for link in self.current():
-            link.heard += pause_s
+            link.last_heard += pause_s
 
     def traffic(self) -> tuple[int, int]:
         """Return the message bytes sent and received since the start."""
--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -67,12 +67,12 @@
 
     def drop_silent(self, timeout_s):
         for link in self.current():
-            if self.net.clock.monotonic() - link.heard > timeout_s:
+            if self.net.clock.monotonic() - link.last_heard > timeout_s:
                 self.net.forget(link)
 
     def excuse(self, pause_s):
         for link in self.current():
-            link.heard += pause_s
+            link.last_heard += pause_s
 
 
 class Node:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -41,7 +41,9 @@
     """
     members = Members(TIMEOUT_S)
     assert members.record_heartbeat(member("host-a1", incarnation=2))
-    assert not members.record_heartbeat(member("host-a1", incarnation=1, heard=2.0))
+    assert not members.record_heartbeat(
+        member("host-a1", incarnation=1, last_heard=2.0)
+    )
     members.record_gossip("host-a1", 1, 50, 2.0)
     assert members.rows["host-a1"].incarnation == 2
     assert live(members, 3.0) == []
