--- a/godwitladder/membership/links.py
+++ b/godwitladder/membership/links.py
@@ -77,7 +77,7 @@
         self.connection = connection
         self.clock = clock
         self.post = post
-        self.heard = clock.monotonic()
+        self.last_heard = clock.monotonic()
         self.sent = 0
         self.received = 0
         self.outgoing: collections.deque[bytes] = collections.deque()
@@ -121,7 +121,7 @@
         writer = asyncio.ensure_future(self.write())
         try:
             async for data in self.connection:
-                self.heard = self.clock.monotonic()
+                self.last_heard = self.clock.monotonic()
                 self.received += len(data)
                 message = decode(data)
                 if message is not None:
--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -22,7 +22,7 @@
         self.net, self.owner, self.node = net, owner, peer
         self.peer, self.address = peer.name, peer.address
         self.dialled = dialled
-        self.heard = net.clock.monotonic()
+        self.last_heard = net.clock.monotonic()
         self.far = None
 
     def send(self, data):
@@ -204,5 +204,5 @@
             up = far.owner.mesh.links.get(far.peer) is far
             if not up or not far.owner.alive or self.is_cut(link.owner, far.owner):
                 continue
-            far.heard = self.clock.monotonic()
+            far.last_heard = self.clock.monotonic()
             far.owner.actor.on_receive(decode(data))
