--- a/godwitladder/membership/hubs.py
+++ b/godwitladder/membership/hubs.py
@@ -36,7 +36,7 @@
         return frozenset(row.host for row in rows)
     places: dict[Zone, list[Member]] = {}
     for row in rows:
-        places.setdefault(row.place, []).append(row)
+        places.setdefault(row.availability_zone, []).append(row)
     each = math.ceil(LEAST_HUBS / len(places))
     return frozenset(
         row.host for group in places.values() for row in _best(group)[:each]
--- a/godwitladder/membership/members.py
+++ b/godwitladder/membership/members.py
@@ -39,7 +39,7 @@
     leaving: bool = False
     config_offset: int = 0
     count: int = 0
-    place: Zone = Zone("")
+    availability_zone: Zone = Zone("")
     cores: float = 0.0
 
 
@@ -54,7 +54,7 @@
         row.leaving,
         row.config_offset,
         row.count,
-        row.place,
+        row.availability_zone,
         row.cores,
     )
 
@@ -69,7 +69,7 @@
         row.leaving,
         row.config_offset,
         row.count,
-        row.place,
+        row.availability_zone,
         row.cores,
     )
 
--- a/godwitladder/membership/messages.py
+++ b/godwitladder/membership/messages.py
@@ -58,7 +58,7 @@
     leaving: bool
     config_offset: int
     count: int = 0
-    place: Zone = Zone("")
+    availability_zone: Zone = Zone("")
     cores: float = 0.0
 
 
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -227,7 +227,7 @@
             self.incarnation,
             False,
             0,
-            place=self.settings.zone,
+            availability_zone=self.settings.zone,
             cores=self.settings.processor.cores,
         )
 
--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -97,7 +97,7 @@
             incarnation,
             False,
             0,
-            place=self.place,
+            availability_zone=self.place,
             cores=self.cores,
         )
         self.actor = Membership(
--- a/tests/membership/test_hubs.py
+++ b/tests/membership/test_hubs.py
@@ -34,7 +34,9 @@
 
 
 def member(host, place="a", cores=1.0):
-    return Member(host, "region", f"{host}:1", 1, 0.0, place=place, cores=cores)
+    return Member(
+        host, "region", f"{host}:1", 1, 0.0, availability_zone=place, cores=cores
+    )
 
 
 def test_hubs_are_the_strongest_hosts_of_each_place():
