--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -155,7 +155,7 @@
             self.router.deliver,
             settings.peers.seeds,
             self.link_up,
-            closed=lambda peer: self.membership.tell(LinkDown(peer)),
+            on_link_down=lambda peer: self.membership.tell(LinkDown(peer)),
         )
         self.membership = self.start_actor(
             Membership,
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -247,7 +247,7 @@
         Clock(),
         lambda link, message: None,
         seeds,
-        closed=closed.append,
+        on_link_down=closed.append,
     )
     mesh.start()
     stack.callback(mesh.close)
