--- a/godwitladder/membership/mesh.py
+++ b/godwitladder/membership/mesh.py
@@ -104,7 +104,7 @@
         tls: TlsSettings | None = None,
         closed: Callable[[HostId], None] = lambda peer: None,
     ) -> None:
-        self.closed = closed
+        self.on_link_down = closed
         self.tls = tls
         self.host = host
         self.address = address
@@ -400,7 +400,7 @@
         self._count_closed(link)
         # When this host stops, the receivers of the callback have already stopped.
         if not self.stopping.is_set():
-            self.closed(link.peer)
+            self.on_link_down(link.peer)
 
     def _count_closed(self, link: Link) -> None:
         self.closed_sent += link.sent
