--- a/godwitladder/membership/mesh.py
+++ b/godwitladder/membership/mesh.py
@@ -100,7 +100,7 @@
         clock: Clock,
         deliver: Callable[[Link, Any], None],
         seeds: Iterable[str] = (),
-        greeted: Callable[[Link], None] = lambda link: None,
+        on_link_up: Callable[[Link], None] = lambda link: None,
         tls: TlsSettings | None = None,
         closed: Callable[[HostId], None] = lambda peer: None,
     ) -> None:
@@ -111,7 +111,7 @@
         self.secret = secret
         self.clock = clock
         self.deliver = deliver
-        self.greeted = greeted
+        self.on_link_up = on_link_up
         self.seeds = frozenset(seeds) - {address}
         self.links: dict[HostId, Link] = {}
         self.dialled: set[str] = set()
@@ -375,7 +375,7 @@
     async def _serve(self, link: Link) -> bool:
         """Deliver the messages that arrive on ``link`` until it closes; return True."""
         try:
-            self.greeted(link)
+            self.on_link_up(link)
             await link.read(self.deliver)
         except Exception:
             # The dialling end reconnects: only this message may cause the error.
