--- a/godwitladder/daemon.py
+++ b/godwitladder/daemon.py
@@ -174,7 +174,7 @@
             self.fail,
         )
         self.stack.callback(keys.stop)
-        self.router.takers |= keys.message_handlers()
+        self.router.message_handlers |= keys.message_handlers()
         self.operators.watch = keys.watch
         return keys
 
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -175,10 +175,12 @@
         self.router.connect(self.mesh, self.membership, self.scheduler, self.allocator)
         self.feed.spread = self.mesh.broadcast
         self.feed.ask = self.ask_peer
-        self.router.takers[FeedNews] = lambda link, news: self.feed.take_news(news)
-        self.router.takers[FeedWanted] = self.tell_newcomer
+        self.router.message_handlers[FeedNews] = lambda link, news: self.feed.take_news(
+            news
+        )
+        self.router.message_handlers[FeedWanted] = self.tell_newcomer
         self.losses = LossRegistry(clock, self.mesh.broadcast)
-        self.router.takers[AnswerLost] = self.take_loss
+        self.router.message_handlers[AnswerLost] = self.take_loss
         self.watch = CallWatcher(clock)
         self.app = RoutedApp(
             form,
