--- a/godwitladder/membership/router.py
+++ b/godwitladder/membership/router.py
@@ -33,7 +33,7 @@
         self.host = host
         self.mesh: Mesh | None = None
         self.actors: dict[type, tuple[pykka.ActorRef, ...]] = {}
-        self.takers: dict[type, Callable[[Link, Any], None]] = {}
+        self.message_handlers: dict[type, Callable[[Link, Any], None]] = {}
 
     def connect(
         self,
@@ -74,7 +74,7 @@
         if isinstance(message, GrantOffer) and message.host != self.host:
             self.send(message.host, message)
             return
-        taker = self.takers.get(type(message))
+        taker = self.message_handlers.get(type(message))
         if taker:
             taker(link, message)
         self._tell(message)
