--- a/godwitladder/membership/gossip.py
+++ b/godwitladder/membership/gossip.py
@@ -88,7 +88,7 @@
         links = self.mesh.current()
         if topology.is_hub():
             links = [link for link in links if link.peer not in topology.hubs]
-        self.mesh.spread(links, encode(self.news_of(())))
+        self.mesh.multicast(links, encode(self.news_of(())))
 
     def send_news(self) -> None:
         """Send the heartbeat counts of the live hubs to the next few hubs.
--- a/godwitladder/membership/mesh.py
+++ b/godwitladder/membership/mesh.py
@@ -209,7 +209,7 @@
         """Send ``message`` over every link."""
         self.spread(self.current(), encode(message))
 
-    def spread(self, links: Iterable[Link], data: bytes) -> None:
+    def multicast(self, links: Iterable[Link], data: bytes) -> None:
         """Send an encoded message over ``links``."""
         queued = [link for link in links if link.queue(data)]
         # Each call that wakes the event loop costs a system call, so all writers
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -217,7 +217,7 @@
         if link.peer in hubs or publisher_of(link.peer, hubs) != self.host:
             return
         rest = [row for row in self.mesh.current() if row.peer not in hubs]
-        self.mesh.spread([row for row in rest if row is not link], encode(news))
+        self.mesh.multicast([row for row in rest if row is not link], encode(news))
 
     def make_heartbeat(self) -> Heartbeat:
         """Return this host's first heartbeat."""
--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -48,7 +48,7 @@
     def broadcast(self, message):
         self.spread(self.current(), encode(message))
 
-    def spread(self, links, data):
+    def multicast(self, links, data):
         for link in links:
             link.send(data)
 
