--- a/godwitladder/membership/mesh.py
+++ b/godwitladder/membership/mesh.py
@@ -207,7 +207,7 @@
 
     def broadcast(self, message: Any) -> None:
         """Send ``message`` over every link."""
-        self.spread(self.current(), encode(message))
+        self.multicast(self.current(), encode(message))
 
     def multicast(self, links: Iterable[Link], data: bytes) -> None:
         """Send an encoded message over ``links``."""
--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -46,7 +46,7 @@
         return list(self.links.values())
 
     def broadcast(self, message):
-        self.spread(self.current(), encode(message))
+        self.multicast(self.current(), encode(message))
 
     def multicast(self, links, data):
         for link in links:
