--- a/godwitladder/membership/hubs.py
+++ b/godwitladder/membership/hubs.py
@@ -5,7 +5,7 @@
 20,000 connections, and a restart of all hosts makes that many new ones at once.
 Gossip from every host to every other also grows with the square of their number.
 
-Up to `MESH_HOSTS` hosts form a full mesh in which every host is a hub. In a larger
+Up to `MAX_MESH_HOSTS` hosts form a full mesh in which every host is a hub. In a larger
 region, a few hosts of each availability zone are hubs, and every host is linked to
 all hubs. A hub detects by its own links which hosts are live, and reports this to
 the others. Each host computes the hubs itself from the live hosts that it knows.
@@ -20,7 +20,7 @@
 from godwitladder.ids import HostId, Zone
 from godwitladder.membership.members import Member
 
-MESH_HOSTS = 24
+MAX_MESH_HOSTS = 24
 LEAST_HUBS = 6
 """Minimum number of hubs of a region that is not a full mesh. Several may fail at
 once, and a partitioned availability zone still has its own."""
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -29,7 +29,7 @@
 )
 from godwitladder.membership.codec import encode
 from godwitladder.membership.contacts import ListedHost
-from godwitladder.membership.hubs import MESH_HOSTS, publisher_of
+from godwitladder.membership.hubs import MAX_MESH_HOSTS, publisher_of
 from godwitladder.membership.links import Link
 from godwitladder.membership.members import Members
 from godwitladder.membership.mesh import Mesh
@@ -164,7 +164,7 @@
             self.mesh,
             clock,
             self.publish_members,
-            MESH_HOSTS,
+            MAX_MESH_HOSTS,
         )
         self.host_list = HostList(
             settings.host,
