--- a/godwitladder/membership/gossip.py
+++ b/godwitladder/membership/gossip.py
@@ -7,7 +7,7 @@
 from godwitladder.ids import HostId
 from godwitladder.membership.codec import encode
 from godwitladder.membership.directory import DirectoryPublisher
-from godwitladder.membership.hubs import publisher_of
+from godwitladder.membership.hubs import choose_publisher
 from godwitladder.membership.links import Link
 from godwitladder.membership.members import (
     Member,
@@ -141,7 +141,7 @@
             link
             for link in self.mesh.current()
             if link.peer in self.members.seldom
-            and publisher_of(link.peer, hubs) == topology.me.host
+            and choose_publisher(link.peer, hubs) == topology.me.host
         ]
         mine = as_member(topology.me, self.clock.monotonic())
         self.directory.publish([as_heartbeat(row) for row in (*live, mine)], links)
--- a/godwitladder/membership/hubs.py
+++ b/godwitladder/membership/hubs.py
@@ -50,7 +50,7 @@
     return frozenset(row.host for row in rows if row.cores >= ABLE_SHARE * most)
 
 
-def publisher_of(host: HostId, hubs: Iterable[HostId]) -> HostId | None:
+def choose_publisher(host: HostId, hubs: Iterable[HostId]) -> HostId | None:
     """Return the hub that reports all live hosts to ``host``."""
     return choose_host(hubs, host)
 
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -29,7 +29,7 @@
 )
 from godwitladder.membership.codec import encode
 from godwitladder.membership.contacts import ListedHost
-from godwitladder.membership.hubs import MAX_MESH_HOSTS, publisher_of
+from godwitladder.membership.hubs import MAX_MESH_HOSTS, choose_publisher
 from godwitladder.membership.links import Link
 from godwitladder.membership.members import Members
 from godwitladder.membership.mesh import Mesh
@@ -214,7 +214,7 @@
         """
         self.losses.record_loss(news)
         hubs = self.hubs
-        if link.peer in hubs or publisher_of(link.peer, hubs) != self.host:
+        if link.peer in hubs or choose_publisher(link.peer, hubs) != self.host:
             return
         rest = [row for row in self.mesh.current() if row.peer not in hubs]
         self.mesh.multicast([row for row in rest if row is not link], encode(news))
