--- a/godwitladder/membership/codec.py
+++ b/godwitladder/membership/codec.py
@@ -43,7 +43,7 @@
 SCALARS = frozenset({int, float, str, bool, bytes})
 
 
-class BadMessage(GodwitladderError):
+class InvalidMessage(GodwitladderError):
     """Bytes from a peer that are not a valid message."""
 
 
@@ -67,7 +67,7 @@
 
     Raises
     ------
-    BadMessage
+    InvalidMessage
         The bytes are not a message, or a field is missing or has the wrong type.
     """
     try:
@@ -77,7 +77,7 @@
         kind = KINDS.get(name)
         return make_reader(kind)(fields) if kind else None
     except (cbor2.CBORDecodeError, ValueError, TypeError, zlib.error) as error:
-        raise BadMessage(f"invalid message: {error}") from error
+        raise InvalidMessage(f"invalid message: {error}") from error
 
 
 def _expand(data: bytes) -> bytes:
--- a/godwitladder/membership/links.py
+++ b/godwitladder/membership/links.py
@@ -20,7 +20,7 @@
 from godwitladder.findings import GodwitladderError
 from godwitladder.ids import HostId
 from godwitladder.logs import component_logger
-from godwitladder.membership.codec import BadMessage, decode, encode
+from godwitladder.membership.codec import InvalidMessage, decode, encode
 from godwitladder.membership.messages import Hello, Proof
 
 log = component_logger("peers")
@@ -131,7 +131,7 @@
                 "Connection to a peer lost",
                 extra={"peer": self.peer, "error": str(error)},
             )
-        except BadMessage as error:
+        except InvalidMessage as error:
             log.warning(
                 "Invalid message from a peer",
                 extra={"peer": self.peer, "error": str(error)},
@@ -202,7 +202,7 @@
     try:
         async with asyncio.timeout(GREETING_TIMEOUT_S):
             message = decode(await connection.recv())
-    except (TimeoutError, WebSocketException, BadMessage, OSError) as error:
+    except (TimeoutError, WebSocketException, InvalidMessage, OSError) as error:
         raise GreetingFailed(f"no handshake message received: {error!r}") from error
     if not isinstance(message, kind):
         raise GreetingFailed(f"expected {kind.__name__}, found {message!r}")
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -14,7 +14,7 @@
     COMPRESSED,
     LONG_BYTES,
     MOST_BYTES,
-    BadMessage,
+    InvalidMessage,
     decode,
     encode,
     peer_message,
@@ -55,12 +55,12 @@
 def test_bytes_of_any_kind_are_a_message_or_refused(data):
     """A faulty peer sends garbage, which may affect only its own link.
 
-    Any exception other than BadMessage would end the reader without closing the
+    Any exception other than InvalidMessage would end the reader without closing the
     link, which would then seem to be up but carry nothing.
     """
     try:
         decode(data)
-    except BadMessage:
+    except InvalidMessage:
         pass
 
 
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("fields", [[], [1], ["a", "b"], {"name": "a"}, "a"])
 def test_fields_of_a_wrong_type_are_refused(fields):
-    with pytest.raises(BadMessage):
+    with pytest.raises(InvalidMessage):
         decode(cbor2.dumps(["Sample", fields]))
 
 
@@ -106,5 +106,5 @@
 )
 def test_a_compressed_message_that_is_none_is_refused(data):
     """Guards against a faulty peer that exhausts a host's memory or ends its thread."""
-    with pytest.raises(BadMessage):
+    with pytest.raises(InvalidMessage):
         decode(cbor2.dumps([COMPRESSED, data]))
