--- a/godwitladder/membership/mesh.py
+++ b/godwitladder/membership/mesh.py
@@ -102,9 +102,9 @@
         seeds: Iterable[str] = (),
         on_link_up: Callable[[Link], None] = lambda link: None,
         tls: TlsSettings | None = None,
-        closed: Callable[[HostId], None] = lambda peer: None,
+        on_link_down: Callable[[HostId], None] = lambda peer: None,
     ) -> None:
-        self.on_link_down = closed
+        self.on_link_down = on_link_down
         self.tls = tls
         self.host = host
         self.address = address
