--- a/godwitladder/membership/links.py
+++ b/godwitladder/membership/links.py
@@ -54,7 +54,7 @@
 
     Attributes
     ----------
-    heard : float
+    last_heard : float
         Monotonic time at which the last message arrived, in seconds.
     sent, received : int
         Bytes of messages queued for sending, and received.
--- a/godwitladder/membership/members.py
+++ b/godwitladder/membership/members.py
@@ -21,11 +21,11 @@
 
     Attributes
     ----------
-    heard : float
+    last_heard : float
         Monotonic time at which its heartbeat count last advanced, in seconds.
     count : int
         Number of its last heartbeat, which tells new information from repetition.
-    place : Zone
+    availability_zone : Zone
         Its availability zone if ``zone`` names a whole region, else empty.
     cores : float
         Its processor capacity, in cores of standard speed.
--- a/godwitladder/membership/mesh.py
+++ b/godwitladder/membership/mesh.py
@@ -71,11 +71,11 @@
         block.
     seeds : iterable of str
         Addresses to dial until the mesh is closed.
-    greeted : callable
+    on_link_up : callable
         Called with each link when it comes up.
     tls : TlsSettings or None
         Certificate, key and authority if links use TLS.
-    closed : callable
+    on_link_down : callable
         Called with the peer of each link that has closed without a successor.
 
     Attributes
--- a/godwitladder/membership/messages.py
+++ b/godwitladder/membership/messages.py
@@ -45,7 +45,7 @@
         Offset of the configuration that it has applied.
     count : int
         Number of the host's last heartbeat period.
-    place : Zone
+    availability_zone : Zone
         Its availability zone if ``zone`` names a whole region, else empty.
     cores : float
         Its processor capacity, in cores of standard speed.
--- a/godwitladder/membership/router.py
+++ b/godwitladder/membership/router.py
@@ -24,7 +24,7 @@
     ----------
     actors : dict
         The actors that receive the messages of each type.
-    takers : dict
+    message_handlers : dict
         A function for each message type that needs the link as well; called with
         the link and the message.
     """
@@ -74,9 +74,9 @@
         if isinstance(message, GrantOffer) and message.host != self.host:
             self.send(message.host, message)
             return
-        taker = self.message_handlers.get(type(message))
-        if taker:
-            taker(link, message)
+        handler = self.message_handlers.get(type(message))
+        if handler:
+            handler(link, message)
         self._tell(message)
 
     def _tell(self, message: Any) -> None:
