--- a/godwitladder/membership/actor.py
+++ b/godwitladder/membership/actor.py
@@ -29,7 +29,7 @@
 from godwitladder.membership.topology import UNBOUNDED, Topology
 from godwitladder.scheduler.messages import HostsChanged, TargetsLeaving, Tick
 
-FORGET_S = 600.0
+MEMBER_RETENTION_S = 600.0
 """Time after which a silent host is removed from the table."""
 
 
@@ -82,7 +82,7 @@
         The host's clock.
     publish : callable
         Called with `HostsChanged` or `TargetsLeaving` when its content changes.
-    mesh_hosts : int
+    max_mesh_hosts : int
         Largest number of hosts that form a full mesh, without separate hubs.
     """
 
@@ -93,24 +93,24 @@
         mesh: Mesh,
         clock: Clock,
         publish: Callable[[HostsChanged | TargetsLeaving], None],
-        mesh_hosts: int = UNBOUNDED,
+        max_mesh_hosts: int = UNBOUNDED,
     ) -> None:
         super().__init__()
         self.members = members
         self.mesh = mesh
         self.clock = clock
         self.publish = publish
-        self.topology = Topology(me, members, mesh, clock, mesh_hosts)
+        self.topology = Topology(me, members, mesh, clock, max_mesh_hosts)
         self.gossip = Gossip(members, mesh, self.topology, clock)
         self.published: HostsChanged | None = None
-        self.shown: list[tuple[HostId, Incarnation]] = []
+        self.published_incarnations: list[tuple[HostId, Incarnation]] = []
         self.leaving: frozenset[str] = frozenset()
         self.targets: frozenset[str] = frozenset()
-        self.ran = clock.monotonic()
+        self.last_run_at = clock.monotonic()
 
     def on_start(self) -> None:
         """Publish the initial list, which holds only this host."""
-        self.show()
+        self.publish_changes()
 
     def on_receive(self, message) -> None:
         """Handle ``message``, and publish a changed list if the inbox is empty.
@@ -119,32 +119,32 @@
         once, and the cost of computing the list grows with the number of hosts.
         A tick always publishes; `LiveNews` leaves it to the next tick.
         """
-        self.excuse_pause()
-        self.take(message)
-        at_hand = not self.actor_inbox.empty()
-        if isinstance(message, Tick) or not (isinstance(message, LiveNews) or at_hand):
-            self.show()
+        self.detect_pause()
+        self.handle(message)
+        pending = not self.actor_inbox.empty()
+        if isinstance(message, Tick) or not (isinstance(message, LiveNews) or pending):
+            self.publish_changes()
 
-    def excuse_pause(self) -> None:
+    def detect_pause(self) -> None:
         """Detect a pause of this process, and exclude it from peers' silence."""
         now = self.clock.monotonic()
-        pause_s = now - self.ran
+        pause_s = now - self.last_run_at
         if pause_s > self.members.timeout_s / 2:
-            self.members.excuse(pause_s)
-            self.mesh.excuse(pause_s)
-        self.ran = now
+            self.members.exclude_pause(pause_s)
+            self.mesh.exclude_pause(pause_s)
+        self.last_run_at = now
 
-    def show(self) -> None:
+    def publish_changes(self) -> None:
         """Publish the live hosts if they or their incarnations have changed."""
         live = self.topology.live()
-        shown = [(row.host, row.incarnation) for row in live]
-        self.topology.update(live)
-        changed = self.hosts_changed(live)
-        if (changed, shown) != (self.published, self.shown):
-            self.published, self.shown = changed, shown
+        incarnations = [(row.host, row.incarnation) for row in live]
+        self.topology.update_hubs(live)
+        changed = self.make_hosts_changed(live)
+        if (changed, incarnations) != (self.published, self.published_incarnations):
+            self.published, self.published_incarnations = changed, incarnations
             self.publish(changed)
 
-    def hosts_changed(self, live: list[Member]) -> HostsChanged:
+    def make_hosts_changed(self, live: list[Member]) -> HostsChanged:
         """Return the live hosts that are not leaving, by zone.
 
         Hosts of other zones are included only if this host has a link to them,
@@ -154,51 +154,53 @@
         me = topology.me
         zones: dict[str, tuple[HostId, ...]] = {}
         for row in live:
-            reached = row.zone == me.zone or row.host in self.mesh.links
-            if reached and not row.leaving:
+            reachable = row.zone == me.zone or row.host in self.mesh.links
+            if reachable and not row.leaving:
                 zones[row.zone] = (*zones.get(row.zone, ()), row.host)
         mine = zones.pop(me.zone, ())
         if not me.leaving:
             mine = (*mine, me.host)
         hosts = tuple(sorted(mine))
         hubs = frozenset() if topology.is_mesh() else topology.hubs
-        return HostsChanged(hosts, zones, topology.allocators(live, hosts), hubs)
+        return HostsChanged(
+            hosts, zones, topology.allocator_candidates(live, hosts), hubs
+        )
 
     @functools.singledispatchmethod
-    def take(self, message) -> None:
+    def handle(self, message) -> None:
         """Handle one message."""
         raise TypeError(f"unknown message {message!r}")
 
-    @take.register
+    @handle.register
     def _(self, message: Tick) -> None:
-        self.members.forget(self.clock.monotonic(), FORGET_S)
-        self.topology.tend()
-        self.gossip.spread()
+        self.members.forget(self.clock.monotonic(), MEMBER_RETENTION_S)
+        self.topology.maintain_links()
+        self.gossip.send_due()
 
-    @take.register
+    @handle.register
     def _(self, message: LinkUp) -> None:
         message.link.send(encode(self.topology.me))
-        message.link.send(encode(self.gossip.roster()))
+        message.link.send(encode(self.gossip.make_roster()))
 
-    @take.register
+    @handle.register
     def _(self, message: LinkDown) -> None:
         # A host that is not a hub learns about other such hosts from a hub, so a
         # link between the two says nothing about whether the peer is live.
         if self.topology.is_hub() or message.peer in self.topology.hubs:
             self.members.suspect(message.peer, self.clock.monotonic())
 
-    @take.register
+    @handle.register
     def _(self, message: LiveNews) -> None:
         now = self.clock.monotonic()
         rows = zip(message.hosts, message.incarnations, message.counts, strict=False)
         for host, incarnation, count in rows:
             self.members.record_gossip(host, incarnation, count, now)
 
-    @take.register
+    @handle.register
     def _(self, message: Heartbeat) -> None:
         self.members.record_heartbeat(as_member(message, self.clock.monotonic()))
 
-    @take.register
+    @handle.register
     def _(self, message: Roster) -> None:
         # A host that has just started learns about all others from its first
         # peer. The platform's list lags by up to ten seconds; a host that relied
@@ -208,35 +210,37 @@
         for row in message.members:
             if self.is_new(row):
                 self.members.record_heartbeat(as_member(row, now))
-        self.mesh.meet(self.contacts(self.topology.dial_named(message.members)))
+        self.mesh.dial_once(
+            self.contacts(self.topology.select_hosts_to_dial(message.members))
+        )
 
-    @take.register
+    @handle.register
     def _(self, message: Directory) -> None:
-        self.gossip.take_directory(message)
+        self.gossip.handle_directory(message)
 
-    @take.register
+    @handle.register
     def _(self, message: HostListRead) -> None:
-        if len(message.hosts) > self.topology.mesh_hosts:
-            self.topology.dial_strangers(message.hosts, self.targets)
+        if len(message.hosts) > self.topology.max_mesh_hosts:
+            self.topology.dial_unknown_hosts(message.hosts, self.targets)
         else:
             self.topology.contacts = self.contacts(message.hosts)
-            self.topology.tend()
+            self.topology.maintain_links()
         leaving = leaving_addresses(self.leaving, message.hosts)
         if leaving != self.leaving:
             self.leaving = leaving
             self.publish(TargetsLeaving(leaving))
 
-    @take.register
+    @handle.register
     def _(self, message: ConfigChanged) -> None:
         self.targets = message.targets
         self._announce(config_offset=message.offset)
 
-    @take.register
+    @handle.register
     def _(self, message: Leave) -> None:
         self._announce(leaving=True)
 
     def _announce(self, **changes) -> None:
-        self.topology.change(**changes)
+        self.topology.update_heartbeat(**changes)
         self.mesh.broadcast(self.topology.me)
 
     def contacts(self, listed: Iterable[ListedHost]) -> set[str]:
--- a/godwitladder/membership/codec.py
+++ b/godwitladder/membership/codec.py
@@ -29,13 +29,13 @@
 
 COMPRESSED = "Compressed"
 """Replaces the class name in the encoding of a compressed message."""
-LONG_BYTES = 8_192
+MIN_COMPRESS_BYTES = 8_192
 """Minimum size of a message to compress; smaller ones aren't worth the time."""
-MOST_BYTES = 16_777_216
+MAX_DECOMPRESSED_BYTES = 16_777_216
 """Maximum decompressed size of a message, which bounds the memory that a faulty peer
 can make this host use."""
 
-KINDS: dict[str, type] = {}
+MESSAGE_TYPES: dict[str, type] = {}
 
 Reader = Callable[[Any], Any]
 Writer = Callable[[Any], Any]
@@ -49,7 +49,7 @@
 
 def peer_message(kind: type) -> type:
     """Register a dataclass as a peer message; a class decorator."""
-    KINDS[kind.__name__] = kind
+    MESSAGE_TYPES[kind.__name__] = kind
     return kind
 
 
@@ -57,7 +57,7 @@
     """Return the CBOR encoding of ``message``."""
     kind = type(message)
     data = cbor2.dumps([kind.__name__, _dataclass_writer(kind)(message)])
-    if len(data) < LONG_BYTES:
+    if len(data) < MIN_COMPRESS_BYTES:
         return data
     return cbor2.dumps([COMPRESSED, zlib.compress(data, zlib.Z_BEST_SPEED)])
 
@@ -73,19 +73,19 @@
     try:
         name, fields = cbor2.loads(data)
         if name == COMPRESSED:
-            name, fields = cbor2.loads(_expand(fields))
-        kind = KINDS.get(name)
+            name, fields = cbor2.loads(_decompress(fields))
+        kind = MESSAGE_TYPES.get(name)
         return make_reader(kind)(fields) if kind else None
     except (cbor2.CBORDecodeError, ValueError, TypeError, zlib.error) as error:
         raise InvalidMessage(f"invalid message: {error}") from error
 
 
-def _expand(data: bytes) -> bytes:
-    expander = zlib.decompressobj()
-    expanded = expander.decompress(data, MOST_BYTES)
-    if not expander.eof:
-        raise ValueError(f"truncated, or longer than {MOST_BYTES} bytes")
-    return expanded
+def _decompress(data: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
+    decompressed = decompressor.decompress(data, MAX_DECOMPRESSED_BYTES)
+    if not decompressor.eof:
+        raise ValueError(f"truncated, or longer than {MAX_DECOMPRESSED_BYTES} bytes")
+    return decompressed
 
 
 @functools.cache
@@ -111,13 +111,13 @@
 def _dataclass_writer(kind: type) -> Writer:
     hints = typing.get_type_hints(kind)
     names = [field.name for field in dataclasses.fields(kind)]
-    writers = [(place, _make_writer(hints[name])) for place, name in enumerate(names)]
-    nested = [(place, write) for place, write in writers if write is not None]
+    writers = [(index, _make_writer(hints[name])) for index, name in enumerate(names)]
+    nested = [(index, write) for index, write in writers if write is not None]
 
     def write(value: Any) -> list:
         row = [getattr(value, name) for name in names]
-        for place, write_item in nested:
-            row[place] = write_item(row[place])
+        for index, write_item in nested:
+            row[index] = write_item(row[index])
         return row
 
     return write
@@ -150,10 +150,10 @@
     fields = dataclasses.fields(kind)
     readers = [make_reader(hints[field.name]) for field in fields]
     plain = [plain_type(hints[field.name]) for field in fields]
-    scalars = [(place, hint) for place, hint in enumerate(plain) if hint in SCALARS]
+    scalars = [(index, hint) for index, hint in enumerate(plain) if hint in SCALARS]
     others = [
-        (place, readers[place])
-        for place, hint in enumerate(plain)
+        (index, readers[index])
+        for index, hint in enumerate(plain)
         if hint not in SCALARS
     ]
 
@@ -163,10 +163,10 @@
         # Fast path for messages of this version, which nearly all are: calling a
         # reader for each field would be most of the cost of decoding.
         if len(value) == len(fields) and all(
-            [type(value[place]) is hint for place, hint in scalars]
+            [type(value[index]) is hint for index, hint in scalars]
         ):
-            for place, reader in others:
-                value[place] = reader(value[place])
+            for index, reader in others:
+                value[index] = reader(value[index])
             return kind(*value)
         # Additional fields of a later version are ignored. Missing fields have
         # defaults, or the call below raises TypeError.
--- a/godwitladder/membership/directory.py
+++ b/godwitladder/membership/directory.py
@@ -22,7 +22,7 @@
 
     Attributes
     ----------
-    known : dict
+    last_report : dict
         Heartbeats of the live hosts in the last report.
     informed : set of Link
         Links that have received a complete report.
@@ -30,7 +30,7 @@
 
     def __init__(self, host: HostId) -> None:
         self.host = host
-        self.known: dict[HostId, Heartbeat] = {}
+        self.last_report: dict[HostId, Heartbeat] = {}
         self.informed: set[Link] = set()
 
     def publish(self, rows: Collection[Heartbeat], links: Collection[Link]) -> None:
@@ -42,12 +42,14 @@
         """
         # A new heartbeat count alone is not a change to report.
         live = {row.host: replace(row, count=0) for row in rows}
-        new = tuple(row for host, row in live.items() if self.known.get(host) != row)
-        gone = tuple(host for host in self.known if host not in live)
-        self.known = live
+        new = tuple(
+            row for host, row in live.items() if self.last_report.get(host) != row
+        )
+        removed = tuple(host for host in self.last_report if host not in live)
+        self.last_report = live
         fresh = set(links) - self.informed
-        if new or gone:
-            _send(Directory(self.host, False, new, gone), self.informed)
+        if new or removed:
+            _send(Directory(self.host, False, new, removed), self.informed)
         if fresh:
             _send(Directory(self.host, True, tuple(live.values())), fresh)
         self.informed = set(links)
--- a/godwitladder/membership/gossip.py
+++ b/godwitladder/membership/gossip.py
@@ -19,11 +19,11 @@
 from godwitladder.membership.messages import Directory, LiveNews, Roster
 from godwitladder.membership.topology import FANOUT, Topology
 
-HUB_BEATS = 2
+HUB_HEARTBEAT_PERIODS = 2
 """Heartbeat periods between heartbeats from a hub to hosts that are not hubs."""
-HOST_BEATS = 4
+NON_HUB_HEARTBEAT_PERIODS = 4
 """Heartbeat periods between heartbeats from a host that is not a hub."""
-REPORTED_S = 3.0
+REPORT_TTL_S = 3.0
 """How long a hub's report stays valid after the link to the hub is lost, so that
 another hub can take over; and on a host that has become a hub, so that all other
 hosts can connect to it."""
@@ -45,13 +45,13 @@
 
     Attributes
     ----------
-    turn : list of Link
+    round_links : list of Link
         Links to hubs over which nothing was sent yet in the current round.
-    announced : frozenset of HostId
+    announced_hubs : frozenset of HostId
         The hubs that were last announced to peers.
     publisher : HostId
         The hub that reports all live hosts to this one; empty before any report.
-    reported : float
+    report_valid_at : float
         Monotonic time at which the publisher's reports were last known to be valid.
     """
 
@@ -62,33 +62,35 @@
         self.mesh = mesh
         self.topology = topology
         self.clock = clock
-        self.turn: list[Link] = []
-        self.announced: frozenset[HostId] = frozenset()
+        self.round_links: list[Link] = []
+        self.announced_hubs: frozenset[HostId] = frozenset()
         self.publisher = HostId("")
-        self.reported = float("-inf")
+        self.report_valid_at = float("-inf")
         self.directory = DirectoryPublisher(topology.me.host)
 
-    def spread(self) -> None:
+    def send_due(self) -> None:
         """Send the messages that are due in this heartbeat period."""
         topology = self.topology
-        topology.change(count=topology.me.count + 1)
+        topology.update_heartbeat(count=topology.me.count + 1)
         if not topology.is_mesh():
-            self.beat()
+            self.send_heartbeat()
             self.announce_hubs()
         self.expire_directory()
         if topology.is_hub():
             self.send_news()
             self.publish_directory()
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send this host's own heartbeat over the links that carry no gossip."""
         topology = self.topology
-        if topology.me.count % (HUB_BEATS if topology.is_hub() else HOST_BEATS):
+        if topology.me.count % (
+            HUB_HEARTBEAT_PERIODS if topology.is_hub() else NON_HUB_HEARTBEAT_PERIODS
+        ):
             return
         links = self.mesh.current()
         if topology.is_hub():
             links = [link for link in links if link.peer not in topology.hubs]
-        self.mesh.multicast(links, encode(self.news_of(())))
+        self.mesh.multicast(links, encode(self.make_news(())))
 
     def send_news(self) -> None:
         """Send the heartbeat counts of the live hubs to the next few hubs.
@@ -96,15 +98,15 @@
         Each round goes through a shuffled list of the links to hubs, so that
         every link is used regularly and a silent one is detected.
         """
-        data = encode(self.news_of(self.live_hubs()))
-        links = self.topology.links_of_hubs()
+        data = encode(self.make_news(self.live_hubs()))
+        links = self.topology.hub_links()
         for _ in range(min(FANOUT, len(links))):
-            if not self.turn:
-                self.turn = links
-                random.shuffle(self.turn)
-            self.turn.pop().send(data)
+            if not self.round_links:
+                self.round_links = links
+                random.shuffle(self.round_links)
+            self.round_links.pop().send(data)
 
-    def news_of(self, rows: Collection[Member]) -> LiveNews:
+    def make_news(self, rows: Collection[Member]) -> LiveNews:
         """Return a message with the heartbeat counts of this host and of ``rows``."""
         me = self.topology.me
         return LiveNews(
@@ -116,9 +118,9 @@
     def live_hubs(self) -> list[Member]:
         """Return the live hubs other than this host."""
         live = self.topology.live()
-        return [row for row in live if row.host not in self.members.seldom]
+        return [row for row in live if row.host not in self.members.non_hubs]
 
-    def roster(self) -> Roster:
+    def make_roster(self) -> Roster:
         """Return a message with the last heartbeat of each live hub."""
         return Roster(tuple(as_heartbeat(row) for row in self.live_hubs()))
 
@@ -128,41 +130,43 @@
         Hosts that start together know only the seeds. When they connected, the
         seeds knew as few hosts as they did and could not name the hubs yet.
         """
-        if self.topology.hubs != self.announced:
-            self.announced = self.topology.hubs
-            self.mesh.broadcast(self.roster())
+        if self.topology.hubs != self.announced_hubs:
+            self.announced_hubs = self.topology.hubs
+            self.mesh.broadcast(self.make_roster())
 
     def publish_directory(self) -> None:
         """Report the live hosts to the hosts that this hub is responsible for."""
         topology = self.topology
         live = topology.live()
-        hubs = [row.host for row in topology.at_home(live) if row.host in topology.hubs]
+        hubs = [
+            row.host for row in topology.zone_hosts(live) if row.host in topology.hubs
+        ]
         links = [
             link
             for link in self.mesh.current()
-            if link.peer in self.members.seldom
+            if link.peer in self.members.non_hubs
             and choose_publisher(link.peer, hubs) == topology.me.host
         ]
         mine = as_member(topology.me, self.clock.monotonic())
         self.directory.publish([as_heartbeat(row) for row in (*live, mine)], links)
 
-    def take_directory(self, message: Directory) -> None:
+    def handle_directory(self, message: Directory) -> None:
         """Apply a hub's report of the live hosts."""
         now = self.clock.monotonic()
         rows = [row for row in message.members if row.host != self.topology.me.host]
         hosts = {row.host for row in rows}
-        if message.whole:
+        if message.complete:
             self.publisher = message.publisher
             self.members.reported = hosts
         elif message.publisher == self.publisher:
             self.members.reported |= hosts
-            for host in message.gone:
+            for host in message.removed:
                 self.members.suspect(host, now)
         else:
             # These changes apply to a report that this host never received or
             # has replaced by that of another hub.
             return
-        self.reported = now
+        self.report_valid_at = now
         for row in rows:
             self.members.record_heartbeat(as_member(row, now))
 
@@ -174,6 +178,6 @@
         """
         now = self.clock.monotonic()
         if self.publisher in self.mesh.links and not self.topology.is_hub():
-            self.reported = now
-        elif now - self.reported > REPORTED_S:
+            self.report_valid_at = now
+        elif now - self.report_valid_at > REPORT_TTL_S:
             self.members.reported.clear()
--- a/godwitladder/membership/hubs.py
+++ b/godwitladder/membership/hubs.py
@@ -21,33 +21,37 @@
 from godwitladder.membership.members import Member
 
 MAX_MESH_HOSTS = 24
-LEAST_HUBS = 6
+MIN_HUBS = 6
 """Minimum number of hubs of a region that is not a full mesh. Several may fail at
 once, and a partitioned availability zone still has its own."""
-ABLE_SHARE = 0.75
+MIN_CORES_RATIO = 0.75
 """Minimum ratio of an allocator's cores to those of the strongest hub. The queue of
 a whole region would be limited by the processor of a weak allocator."""
 HUB_KEY = "hub"
 
 
-def choose_hubs(rows: Collection[Member], mesh_hosts: int) -> frozenset[HostId]:
+def choose_hubs(rows: Collection[Member], max_mesh_hosts: int) -> frozenset[HostId]:
     """Return the hubs in ``rows``: the strongest hosts of each availability zone."""
-    if len(rows) <= mesh_hosts:
+    if len(rows) <= max_mesh_hosts:
         return frozenset(row.host for row in rows)
-    places: dict[Zone, list[Member]] = {}
+    zones: dict[Zone, list[Member]] = {}
     for row in rows:
-        places.setdefault(row.availability_zone, []).append(row)
-    each = math.ceil(LEAST_HUBS / len(places))
+        zones.setdefault(row.availability_zone, []).append(row)
+    hubs_per_zone = math.ceil(MIN_HUBS / len(zones))
     return frozenset(
-        row.host for group in places.values() for row in _best(group)[:each]
+        row.host
+        for group in zones.values()
+        for row in _rank_by_strength(group)[:hubs_per_zone]
     )
 
 
-def choose_able(rows: Iterable[Member]) -> frozenset[HostId]:
+def choose_allocator_candidates(rows: Iterable[Member]) -> frozenset[HostId]:
     """Return the hosts with enough cores to be allocators of a region."""
     rows = list(rows)
-    most = max((row.cores for row in rows), default=0.0)
-    return frozenset(row.host for row in rows if row.cores >= ABLE_SHARE * most)
+    max_cores = max((row.cores for row in rows), default=0.0)
+    return frozenset(
+        row.host for row in rows if row.cores >= MIN_CORES_RATIO * max_cores
+    )
 
 
 def choose_publisher(host: HostId, hubs: Iterable[HostId]) -> HostId | None:
@@ -55,7 +59,7 @@
     return choose_host(hubs, host)
 
 
-def _best(rows: Iterable[Member]) -> list[Member]:
+def _rank_by_strength(rows: Iterable[Member]) -> list[Member]:
     def strength(row: Member) -> tuple:
         return row.cores, weight(row.host, HUB_KEY)
 
--- a/godwitladder/membership/links.py
+++ b/godwitladder/membership/links.py
@@ -25,11 +25,11 @@
 
 log = component_logger("peers")
 
-GREETING_TIMEOUT_S = 2.0
-QUEUE_MESSAGES = 1000
+HANDSHAKE_TIMEOUT_S = 2.0
+MAX_QUEUED_MESSAGES = 1000
 
 
-class GreetingFailed(GodwitladderError):
+class HandshakeFailed(GodwitladderError):
     """The other end did not prove that it has the shared secret."""
 
 
@@ -58,7 +58,7 @@
         Monotonic time at which the last message arrived, in seconds.
     sent, received : int
         Bytes of messages queued for sending, and received.
-    woken : bool
+    wake_scheduled : bool
         Whether the writer has been scheduled to run.
     dialled : bool
         Whether this host opened the connection.
@@ -82,21 +82,21 @@
         self.received = 0
         self.outgoing: collections.deque[bytes] = collections.deque()
         self.ready = asyncio.Event()
-        self.woken = False
+        self.wake_scheduled = False
         self.dialled = False
 
     def send(self, data: bytes) -> bool:
         """Queue an encoded message; return False if the queue is full."""
         if not self.queue(data):
             return False
-        if not self.woken:
-            self.woken = True
+        if not self.wake_scheduled:
+            self.wake_scheduled = True
             self.post(self.ready.set)
         return True
 
     def queue(self, data: bytes) -> bool:
         """Queue an encoded message without waking the writer."""
-        if len(self.outgoing) >= QUEUE_MESSAGES:
+        if len(self.outgoing) >= MAX_QUEUED_MESSAGES:
             return False
         self.outgoing.append(data)
         self.sent += len(data)
@@ -110,7 +110,7 @@
                 self.ready.clear()
                 # Reset before the queue is emptied, so that a message added
                 # later wakes this writer again.
-                self.woken = False
+                self.wake_scheduled = False
                 while self.outgoing:
                     await self.connection.send(self.outgoing.popleft())
         except (WebSocketException, OSError):
@@ -153,7 +153,7 @@
         self.connection.transport.abort()
 
 
-async def greet(
+async def perform_handshake(
     connection: Any,
     host: HostId,
     address: str,
@@ -182,7 +182,7 @@
 
     Raises
     ------
-    GreetingFailed
+    HandshakeFailed
         The other end does not prove that it has the secret.
     """
     challenge = secrets.token_bytes(16)
@@ -194,18 +194,18 @@
     # attack, in which an end without the secret returns our own challenge to us
     # and then our response to it.
     if not hmac.compare_digest(proof.digest, _digest(secret, challenge, not accepted)):
-        raise GreetingFailed(f"{hello.host} does not have the shared secret")
+        raise HandshakeFailed(f"{hello.host} does not have the shared secret")
     return hello
 
 
 async def _receive(connection: Any, kind: type) -> Any:
     try:
-        async with asyncio.timeout(GREETING_TIMEOUT_S):
+        async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
             message = decode(await connection.recv())
     except (TimeoutError, WebSocketException, InvalidMessage, OSError) as error:
-        raise GreetingFailed(f"no handshake message received: {error!r}") from error
+        raise HandshakeFailed(f"no handshake message received: {error!r}") from error
     if not isinstance(message, kind):
-        raise GreetingFailed(f"expected {kind.__name__}, found {message!r}")
+        raise HandshakeFailed(f"expected {kind.__name__}, found {message!r}")
     return message
 
 
--- a/godwitladder/membership/members.py
+++ b/godwitladder/membership/members.py
@@ -10,7 +10,7 @@
 from godwitladder.ids import HostId, Incarnation, Zone
 from godwitladder.membership.messages import Heartbeat
 
-SELDOM = 2
+NON_HUB_TIMEOUT_FACTOR = 2
 """Factor of the timeout for hosts that are not hubs. They send heartbeats less
 often, since a hub receives those of hundreds of hosts."""
 
@@ -87,15 +87,16 @@
     ----------
     rows : dict
         The last known state of each peer.
-    seldom : frozenset of HostId
-        Hosts of the zone that are not hubs; `SELDOM` multiplies their timeout.
+    non_hubs : frozenset of HostId
+        Hosts of the zone that are not hubs; their timeout is multiplied by
+        `NON_HUB_TIMEOUT_FACTOR`.
     reported : set of HostId
         Peers that a hub reports as live; the hub also reports their removal.
     """
 
     timeout_s: float
     rows: dict[HostId, Member] = field(default_factory=dict)
-    seldom: frozenset[HostId] = frozenset()
+    non_hubs: frozenset[HostId] = frozenset()
     reported: set[HostId] = field(default_factory=set)
 
     def record_heartbeat(self, member: Member) -> bool:
@@ -152,9 +153,9 @@
 
     def patience_s(self, host: HostId) -> float:
         """Return the timeout of a peer, in seconds of silence."""
-        return self.timeout_s * (SELDOM if host in self.seldom else 1)
+        return self.timeout_s * (NON_HUB_TIMEOUT_FACTOR if host in self.non_hubs else 1)
 
-    def excuse(self, pause_s: float) -> None:
+    def exclude_pause(self, pause_s: float) -> None:
         """Exclude a pause of this process from the silence of its peers.
 
         After a pause, their heartbeats are still queued. Without this correction,
--- a/godwitladder/membership/mesh.py
+++ b/godwitladder/membership/mesh.py
@@ -21,31 +21,31 @@
 from godwitladder.logs import component_logger
 from godwitladder.membership.codec import encode
 from godwitladder.membership.links import (
-    GREETING_TIMEOUT_S,
-    GreetingFailed,
+    HANDSHAKE_TIMEOUT_S,
+    HandshakeFailed,
     Link,
-    greet,
+    perform_handshake,
 )
 from godwitladder.settings import TlsSettings
 from godwitladder.tls import client_context, server_context
 
 log = component_logger("peers")
 
-REDIAL_S = 0.1
+MIN_REDIAL_INTERVAL_S = 0.1
 """Interval between the first dials of an address. After a restart of all hosts, some
 start to listen only after others have dialled them."""
-LONGEST_REDIAL_S = 1.0
+MAX_REDIAL_INTERVAL_S = 1.0
 """Longest interval between dials, and so the longest time without links after a
 restart or a network partition. Meanwhile a host chooses an allocator of its own,
 and both allocators fill the same targets."""
-MEET_PAUSE_S = 0.25
+SINGLE_DIAL_DELAY_S = 0.25
 """Time that the peer with the lower address has to dial first. A handshake takes a
 few round trips; this is a hundred times the round trip time within a region."""
-MESSAGE_BYTES = 4_194_304
+MAX_MESSAGE_BYTES = 4_194_304
 BACKLOG = 512
 """Connections that may wait to be accepted. After a restart all hosts dial at once,
 and a connection that finds the queue full is retried only seconds later."""
-JOIN_S = 2.0
+JOIN_TIMEOUT_S = 2.0
 """Longest wait for the event loop's thread, which otherwise ends with the process."""
 
 
@@ -82,13 +82,13 @@
     ----------
     links : dict
         The open link to each peer.
-    dialled : set of str
+    dial_addresses : set of str
         Addresses that are dialled whenever there is no link to them.
     dials : dict
         The task that repeatedly dials each address.
-    meetings : set of asyncio.Task
+    single_dials : set of asyncio.Task
         Tasks that dial an address once.
-    greeting : set of str
+    connecting : set of str
         Addresses to which a connection is being established.
     """
 
@@ -114,10 +114,10 @@
         self.on_link_up = on_link_up
         self.seeds = frozenset(seeds) - {address}
         self.links: dict[HostId, Link] = {}
-        self.dialled: set[str] = set()
+        self.dial_addresses: set[str] = set()
         self.dials: dict[str, asyncio.Task] = {}
-        self.meetings: set[asyncio.Task] = set()
-        self.greeting: set[str] = set()
+        self.single_dials: set[asyncio.Task] = set()
+        self.connecting: set[str] = set()
         self.closed_sent = 0
         self.closed_received = 0
         self.lock = threading.Lock()
@@ -162,8 +162,8 @@
             sock=self.server,
             backlog=BACKLOG,
             compression=None,
-            max_size=MESSAGE_BYTES,
-            open_timeout=GREETING_TIMEOUT_S,
+            max_size=MAX_MESSAGE_BYTES,
+            open_timeout=HANDSHAKE_TIMEOUT_S,
             ping_interval=None,
             server_header=None,
             ssl=self.context,
@@ -183,7 +183,7 @@
         if self.loop is None:
             return
         self.post(self.loop.stop)
-        self.thread.join(JOIN_S)
+        self.thread.join(JOIN_TIMEOUT_S)
 
     def post(self, function: Callable, *args: Any) -> bool:
         """Schedule ``function`` on the event loop; return False if it is closed."""
@@ -214,9 +214,9 @@
         queued = [link for link in links if link.queue(data)]
         # Each call that wakes the event loop costs a system call, so all writers
         # are woken by one.
-        self.post(_wake, queued)
+        self.post(_wake_writers, queued)
 
-    def keep(self, addresses: set[str], seeds: bool = True) -> None:
+    def set_dial_addresses(self, addresses: set[str], seeds: bool = True) -> None:
         """Replace the addresses to dial.
 
         Open links to other addresses are kept, since the list that the addresses
@@ -231,12 +231,12 @@
         """
         wanted = addresses | self.seeds if seeds else addresses
         with self.lock:
-            self.dialled &= wanted
-            new = wanted - self.dialled
+            self.dial_addresses &= wanted
+            new = wanted - self.dial_addresses
         for address in new:
             self._dial(address)
 
-    def release(self, addresses: set[str]) -> None:
+    def close_dialled_except(self, addresses: set[str]) -> None:
         """Close the links that this host dialled, except those to ``addresses``."""
         for link in self.current():
             if link.dialled and link.address not in addresses:
@@ -245,14 +245,14 @@
                 )
                 link.close()
 
-    def meet(self, addresses: set[str]) -> None:
+    def dial_once(self, addresses: set[str]) -> None:
         """Dial each of ``addresses`` once; lower ones than this host's after a delay.
 
         Usually the host with the lower address dials, but it learns about a new
         host only from a list that lags.
         """
         if addresses:
-            self.post(self._start_meetings, addresses)
+            self.post(self._start_single_dials, addresses)
 
     def drop_silent(self, timeout_s: float) -> None:
         """Close the links that received nothing for ``timeout_s``.
@@ -269,7 +269,7 @@
                 self._remove(link)
                 link.close()
 
-    def excuse(self, pause_s: float) -> None:
+    def exclude_pause(self, pause_s: float) -> None:
         """Exclude a pause of this process from the silence of its links."""
         for link in self.current():
             link.last_heard += pause_s
@@ -283,9 +283,9 @@
 
     def _dial(self, address: str) -> None:
         with self.lock:
-            if address in self.dialled:
+            if address in self.dial_addresses:
                 return
-            self.dialled.add(address)
+            self.dial_addresses.add(address)
         self.post(self._start_dialling, address)
 
     def _start_dialling(self, address: str) -> None:
@@ -304,66 +304,70 @@
     async def _keep_dialling(self, address: str) -> None:
         # Two hosts that dial each other at the same time close each other's link.
         # The one with the higher address gives the other time to dial again.
-        first_pause_s = REDIAL_S if address > self.address else 3 * REDIAL_S
+        first_pause_s = (
+            MIN_REDIAL_INTERVAL_S
+            if address > self.address
+            else 3 * MIN_REDIAL_INTERVAL_S
+        )
         pause_s = first_pause_s
-        while address in self.dialled:
-            if await self._dial_once(address):
+        while address in self.dial_addresses:
+            if await self._run_dialled_link(address):
                 pause_s = first_pause_s
             await self.clock.async_sleep(pause_s)
-            pause_s = min(2 * pause_s, LONGEST_REDIAL_S)
+            pause_s = min(2 * pause_s, MAX_REDIAL_INTERVAL_S)
 
-    def _start_meetings(self, addresses: set[str]) -> None:
+    def _start_single_dials(self, addresses: set[str]) -> None:
         for address in addresses:
-            task = self.loop.create_task(self._meet(address))
-            self.meetings.add(task)
-            task.add_done_callback(self.meetings.discard)
+            task = self.loop.create_task(self._dial_in_turn(address))
+            self.single_dials.add(task)
+            task.add_done_callback(self.single_dials.discard)
 
-    async def _meet(self, address: str) -> None:
+    async def _dial_in_turn(self, address: str) -> None:
         # Hosts that start together learn about each other at the same time. Two
         # hosts that dial each other close each other's link, so the one with the
         # lower address dials first.
         if address < self.address:
-            await self.clock.async_sleep(MEET_PAUSE_S)
-        await self._dial_once(address)
+            await self.clock.async_sleep(SINGLE_DIAL_DELAY_S)
+        await self._run_dialled_link(address)
 
     def _is_linked(self, address: str) -> bool:
         return any(link.address == address for link in self.current())
 
-    async def _dial_once(self, address: str) -> bool:
+    async def _run_dialled_link(self, address: str) -> bool:
         """Connect to ``address`` and run the link; return whether it came up."""
-        if self._is_linked(address) or address in self.greeting:
+        if self._is_linked(address) or address in self.connecting:
             return False
-        self.greeting.add(address)
+        self.connecting.add(address)
         try:
             connection = await connect(
                 f"{'wss' if self.tls else 'ws'}://{address}",
                 ssl=client_context(self.tls) if self.tls else None,
                 compression=None,
                 proxy=None,
-                open_timeout=GREETING_TIMEOUT_S,
-                max_size=MESSAGE_BYTES,
+                open_timeout=HANDSHAKE_TIMEOUT_S,
+                max_size=MAX_MESSAGE_BYTES,
                 ping_interval=None,
                 user_agent_header=None,
             )
-            link = await self._greet(connection, accepted=False)
+            link = await self._perform_handshake(connection, accepted=False)
         except (WebSocketException, OSError, TimeoutError):
             return False
         finally:
-            self.greeting.discard(address)
+            self.connecting.discard(address)
         return link is not None and await self._serve(link)
 
     async def _accept(self, connection: Any) -> None:
-        link = await self._greet(connection, accepted=True)
+        link = await self._perform_handshake(connection, accepted=True)
         if link is not None:
             await self._serve(link)
 
-    async def _greet(self, connection: Any, accepted: bool) -> Link | None:
+    async def _perform_handshake(self, connection: Any, accepted: bool) -> Link | None:
         """Return the link over a new connection; None if the handshake fails."""
         try:
-            hello = await greet(
+            hello = await perform_handshake(
                 connection, self.host, self.address, self.secret, accepted
             )
-        except (GreetingFailed, WebSocketException, OSError) as error:
+        except (HandshakeFailed, WebSocketException, OSError) as error:
             log.warning("Peer handshake failed", extra={"error": str(error)})
             connection.transport.abort()
             return None
@@ -407,7 +411,7 @@
         self.closed_received += link.received
 
 
-def _wake(links: Iterable[Link]) -> None:
+def _wake_writers(links: Iterable[Link]) -> None:
     for link in links:
         link.ready.set()
 
--- a/godwitladder/membership/messages.py
+++ b/godwitladder/membership/messages.py
@@ -102,16 +102,16 @@
     ----------
     publisher : HostId
         The hub that sends the report.
-    whole : bool
+    complete : bool
         Whether the report is complete.
     members : tuple of Heartbeat
         Heartbeats of all live hosts or, if the report is not complete, of those
         that are new or have changed.
-    gone : tuple of HostId
+    removed : tuple of HostId
         Hosts that are no longer live.
     """
 
     publisher: HostId
-    whole: bool
+    complete: bool
     members: tuple[Heartbeat, ...]
-    gone: tuple[HostId, ...] = ()
+    removed: tuple[HostId, ...] = ()
--- a/godwitladder/membership/topology.py
+++ b/godwitladder/membership/topology.py
@@ -8,9 +8,14 @@
 from godwitladder.ids import HostId
 from godwitladder.logs import component_logger
 from godwitladder.membership.contacts import ListedHost
-from godwitladder.membership.hubs import choose_able, choose_hubs
+from godwitladder.membership.hubs import choose_allocator_candidates, choose_hubs
 from godwitladder.membership.links import Link
-from godwitladder.membership.members import SELDOM, Member, Members, as_member
+from godwitladder.membership.members import (
+    NON_HUB_TIMEOUT_FACTOR,
+    Member,
+    Members,
+    as_member,
+)
 from godwitladder.membership.mesh import Mesh
 from godwitladder.membership.messages import Heartbeat
 
@@ -19,14 +24,14 @@
 FANOUT = 4
 """Hubs that are sent gossip in each period. With fewer, the heartbeat count of a
 live host could stay unchanged at some peer for longer than the timeout."""
-DIAL_S = 30.0
+LOST_HUB_TTL_S = 30.0
 """How long a lost hub is dialled, since it may only be partitioned for a while."""
-SETTLED_S = 5.0
+LINK_RELEASE_DELAY_S = 5.0
 """Time for which all hubs must be linked, and unchanged, before links to other
 hosts are closed."""
-DIAL_AGAIN_S = 2.0
+MIN_DIAL_INTERVAL_S = 2.0
 """Minimum time between dials of an address that several peers name at once."""
-STRANGERS = 6
+MAX_UNKNOWN_DIALS = 6
 """Unknown hosts of a long host list that are dialled at once. One link is enough to
 learn about the others."""
 UNBOUNDED = 1 << 30
@@ -45,20 +50,20 @@
         Links to peers.
     clock : Clock
         The host's clock.
-    mesh_hosts : int
+    max_mesh_hosts : int
         Largest number of hosts that form a full mesh, without separate hubs.
 
     Attributes
     ----------
     hubs : frozenset of HostId
         The hubs of the zone, computed from the hosts that this host knows.
-    hubs_seen : dict
+    hub_seen_at : dict
         Monotonic time at which each address last belonged to a hub.
     contacts : set of str
         Addresses of the platform's host list to maintain links to.
-    dialled : dict
+    dialled_at : dict
         Monotonic time at which each address named by a peer was last dialled.
-    unsettled : float
+    unstable_at : float
         Monotonic time at which the hubs last changed or one had no link.
     """
 
@@ -68,20 +73,20 @@
         members: Members,
         mesh: Mesh,
         clock: Clock,
-        mesh_hosts: int = UNBOUNDED,
+        max_mesh_hosts: int = UNBOUNDED,
     ) -> None:
         self.me = me
         self.members = members
         self.mesh = mesh
         self.clock = clock
-        self.mesh_hosts = mesh_hosts
+        self.max_mesh_hosts = max_mesh_hosts
         self.hubs: frozenset[HostId] = frozenset((me.host,))
-        self.hubs_seen: dict[str, float] = {}
+        self.hub_seen_at: dict[str, float] = {}
         self.contacts: set[str] = set()
-        self.dialled: dict[str, float] = {}
-        self.unsettled = clock.monotonic()
+        self.dialled_at: dict[str, float] = {}
+        self.unstable_at = clock.monotonic()
 
-    def change(self, **fields) -> None:
+    def update_heartbeat(self, **fields) -> None:
         """Replace fields of this host's own heartbeat."""
         self.me = replace(self.me, **fields)
 
@@ -89,53 +94,53 @@
         """Return the live peers."""
         return self.members.live(self.clock.monotonic())
 
-    def at_home(self, live: Iterable[Member]) -> list[Member]:
+    def zone_hosts(self, live: Iterable[Member]) -> list[Member]:
         """Return the hosts of this zone that are not leaving, this host included."""
         mine = as_member(self.me, self.clock.monotonic())
         rows = (*live, mine)
         return [row for row in rows if row.zone == self.me.zone and not row.leaving]
 
-    def update(self, live: list[Member]) -> None:
+    def update_hubs(self, live: list[Member]) -> None:
         """Recompute the hubs from the live peers."""
-        rows = self.at_home(live)
-        hubs = choose_hubs(rows, self.mesh_hosts)
-        self.members.seldom = frozenset(row.host for row in rows) - hubs
+        rows = self.zone_hosts(live)
+        hubs = choose_hubs(rows, self.max_mesh_hosts)
+        self.members.non_hubs = frozenset(row.host for row in rows) - hubs
         if hubs == self.hubs:
             return
         self.hubs = hubs
-        self.unsettled = self.clock.monotonic()
+        self.unstable_at = self.clock.monotonic()
         if not self.is_mesh():
             log.info("Hubs have changed", extra={"hubs": sorted(hubs)})
 
     def is_mesh(self) -> bool:
         """Return whether every host known to this one is a hub."""
-        return not self.members.seldom
+        return not self.members.non_hubs
 
     def is_hub(self) -> bool:
         """Return whether this host is a hub."""
         return self.me.host in self.hubs
 
-    def allocators(
+    def allocator_candidates(
         self, live: list[Member], hosts: tuple[HostId, ...]
     ) -> tuple[HostId, ...] | None:
         """Return the hosts eligible as allocators; None if all of ``hosts`` are."""
-        rows = [row for row in self.at_home(live) if row.host in self.hubs]
+        rows = [row for row in self.zone_hosts(live) if row.host in self.hubs]
         if not self.is_mesh():
             # Reports can't be sent to a hub without a link. If that hub is the
             # allocator for the other hosts, another hub forwards the reports.
-            near = (*self.mesh.links, self.me.host)
-            rows = [row for row in rows if row.host in near]
-        able = choose_able(rows)
-        return None if able == set(hosts) else tuple(sorted(able))
+            reachable = (*self.mesh.links, self.me.host)
+            rows = [row for row in rows if row.host in reachable]
+        candidates = choose_allocator_candidates(rows)
+        return None if candidates == set(hosts) else tuple(sorted(candidates))
 
-    def links_of_hubs(self) -> list[Link]:
+    def hub_links(self) -> list[Link]:
         """Return the links to hubs."""
         links = self.mesh.current()
         if self.is_mesh():
             return links
         return [link for link in links if link.peer in self.hubs]
 
-    def silence_s(self) -> float:
+    def link_timeout_s(self) -> float:
         """Return the silence after which a link counts as dead, in seconds.
 
         Gossip goes over a few links of a hub per period, so that a link may be
@@ -144,50 +149,58 @@
         """
         timeout_s = self.members.timeout_s
         if not self.is_mesh():
-            return timeout_s * (SELDOM if self.is_hub() else 1)
+            return timeout_s * (NON_HUB_TIMEOUT_FACTOR if self.is_hub() else 1)
         rounds = len(self.mesh.links) / FANOUT
         return timeout_s * (1 + rounds / 3)
 
-    def tend(self) -> None:
+    def maintain_links(self) -> None:
         """Dial the hubs, and close links that are silent or no longer needed."""
         now = self.clock.monotonic()
-        self.mesh.drop_silent(self.silence_s())
-        self.note_hubs(now)
+        self.mesh.drop_silent(self.link_timeout_s())
+        self.record_hubs(now)
         if self.is_hub():
             # Both hubs want the link, so only the one with the lower address dials.
-            wanted = {*self.contacts, *self.hubs_seen}
-            self.mesh.keep({row for row in wanted if row > self.me.address})
+            wanted = {*self.contacts, *self.hub_seen_at}
+            self.mesh.set_dial_addresses(
+                {row for row in wanted if row > self.me.address}
+            )
             return
         unlinked = self.hubs - set(self.mesh.links)
         if unlinked:
-            self.unsettled = now
-        self.mesh.keep(set(self.hubs_seen), seeds=bool(unlinked))
-        if now - self.unsettled > SETTLED_S:
-            self.mesh.release({row for row, at in self.hubs_seen.items() if at == now})
-
-    def note_hubs(self, now: float) -> None:
+            self.unstable_at = now
+        self.mesh.set_dial_addresses(set(self.hub_seen_at), seeds=bool(unlinked))
+        if now - self.unstable_at > LINK_RELEASE_DELAY_S:
+            self.mesh.close_dialled_except(
+                {row for row, at in self.hub_seen_at.items() if at == now}
+            )
+
+    def record_hubs(self, now: float) -> None:
         """Record the addresses of the hubs, and keep those of recently lost hubs."""
-        rows = [row for row in self.at_home(self.live()) if row.host != self.me.host]
+        rows = [row for row in self.zone_hosts(self.live()) if row.host != self.me.host]
         for row in rows:
             if row.host in self.hubs:
-                self.hubs_seen[row.address] = now
+                self.hub_seen_at[row.address] = now
             else:
-                self.hubs_seen.pop(row.address, None)
-        self.hubs_seen = {
-            row: at for row, at in self.hubs_seen.items() if now - at <= DIAL_S
+                self.hub_seen_at.pop(row.address, None)
+        self.hub_seen_at = {
+            row: at
+            for row, at in self.hub_seen_at.items()
+            if now - at <= LOST_HUB_TTL_S
         }
 
-    def dial_named(self, rows: Collection[Heartbeat]) -> list[ListedHost]:
+    def select_hosts_to_dial(self, rows: Collection[Heartbeat]) -> list[ListedHost]:
         """Return the hosts in ``rows`` that need a link, and mark them as dialled."""
         now = self.clock.monotonic()
-        self.dialled = {
-            row: at for row, at in self.dialled.items() if now - at < DIAL_AGAIN_S
+        self.dialled_at = {
+            row: at
+            for row, at in self.dialled_at.items()
+            if now - at < MIN_DIAL_INTERVAL_S
         }
-        named = [row for row in rows if self.is_unlinked(row)]
-        self.dialled |= {row.address: now for row in named}
+        named = [row for row in rows if self.needs_dial(row)]
+        self.dialled_at |= {row.address: now for row in named}
         return [ListedHost(row.address, row.zone, row.leaving) for row in named]
 
-    def is_unlinked(self, row: Heartbeat) -> bool:
+    def needs_dial(self, row: Heartbeat) -> bool:
         """Return whether the host of ``row`` is to be dialled.
 
         It must have no link, not have been dialled recently, and ``row`` must not
@@ -196,9 +209,9 @@
         held = self.members.rows.get(row.host)
         ended = held is not None and held.incarnation > row.incarnation
         linked = row.host in (*self.mesh.links, self.me.host)
-        return not (ended or linked or row.address in self.dialled)
+        return not (ended or linked or row.address in self.dialled_at)
 
-    def dial_strangers(
+    def dial_unknown_hosts(
         self, listed: Collection[ListedHost], targets: Collection[str]
     ) -> None:
         """Dial a few hosts of a long host list that are unknown to this host.
@@ -207,5 +220,7 @@
         hubs and not know about the other part. One link joins them again.
         """
         known = {row.address for row in self.live()} | {self.me.address, *targets}
-        strangers = [row.address for row in listed if row.address not in known]
-        self.mesh.meet(set(random.sample(strangers, min(STRANGERS, len(strangers)))))
+        unknown = [row.address for row in listed if row.address not in known]
+        self.mesh.dial_once(
+            set(random.sample(unknown, min(MAX_UNKNOWN_DIALS, len(unknown))))
+        )
--- a/tests/membership/net.py
+++ b/tests/membership/net.py
@@ -40,7 +40,7 @@
     def __init__(self, net, node):
         self.net, self.node = net, node
         self.links = {}
-        self.dialled = set(net.seeds) - {node.address}
+        self.dial_addresses = set(net.seeds) - {node.address}
 
     def current(self):
         return list(self.links.values())
@@ -52,15 +52,15 @@
         for link in links:
             link.send(data)
 
-    def keep(self, addresses, seeds=True):
+    def set_dial_addresses(self, addresses, seeds=True):
         wanted = addresses | set(self.net.seeds) if seeds else set(addresses)
-        self.dialled = wanted - {self.node.address}
+        self.dial_addresses = wanted - {self.node.address}
 
-    def meet(self, addresses):
+    def dial_once(self, addresses):
         for address in addresses:
             self.net.dial(self.node, address)
 
-    def release(self, addresses):
+    def close_dialled_except(self, addresses):
         for link in self.current():
             if link.dialled and link.address not in addresses:
                 link.close()
@@ -70,7 +70,7 @@
             if self.net.clock.monotonic() - link.last_heard > timeout_s:
                 self.net.forget(link)
 
-    def excuse(self, pause_s):
+    def exclude_pause(self, pause_s):
         for link in self.current():
             link.last_heard += pause_s
 
@@ -78,11 +78,11 @@
 class Node:
     """A simulated host with its membership actor."""
 
-    def __init__(self, net, number, place, cores, incarnation):
+    def __init__(self, net, number, zone, cores, incarnation):
         self.net = net
-        self.name = f"{place}-{number}"
-        self.address = f"10.{ord(place[-1])}.0.{number}:1"
-        self.place, self.cores = place, cores
+        self.name = f"{zone}-{number}"
+        self.address = f"10.{ord(zone[-1])}.0.{number}:1"
+        self.zone, self.cores = zone, cores
         self.start(incarnation)
 
     def start(self, incarnation):
@@ -97,7 +97,7 @@
             incarnation,
             False,
             0,
-            availability_zone=self.place,
+            availability_zone=self.zone,
             cores=self.cores,
         )
         self.actor = Membership(
@@ -117,7 +117,7 @@
 class Net:
     """Simulated hosts, the links between them, and network partitions."""
 
-    def __init__(self, places, hosts_each, strong_each=1):
+    def __init__(self, zones, hosts_per_zone, strong_per_zone=1):
         self.clock = ManualClock()
         self.wire = deque()
         self.cuts = set()
@@ -125,25 +125,27 @@
         self.seeds = ()
         self.incarnation = 1
         self.nodes = [
-            Node(self, number, place, 2.0 if number < strong_each else 0.5, 1)
-            for place in places
-            for number in range(hosts_each)
+            Node(self, number, zone, 2.0 if number < strong_per_zone else 0.5, 1)
+            for zone in zones
+            for number in range(hosts_per_zone)
+        ]
+        last = [
+            node for node in self.nodes if node.name.endswith(f"-{hosts_per_zone - 1}")
         ]
-        last = [node for node in self.nodes if node.name.endswith(f"-{hosts_each - 1}")]
         self.seeds = tuple(node.address for node in last[:SEEDS])
         for node in self.nodes:
-            node.mesh.keep(set())
+            node.mesh.set_dial_addresses(set())
 
     def alive(self):
         return [node for node in self.nodes if node.alive]
 
     def is_cut(self, one, other):
-        return frozenset((one.place, other.place)) in self.cuts
+        return frozenset((one.zone, other.zone)) in self.cuts
 
-    def cut_off(self, place):
-        """Partition ``place`` from all other availability zones."""
-        others = {node.place for node in self.nodes} - {place}
-        self.cuts |= {frozenset((place, other)) for other in others}
+    def cut_off(self, zone):
+        """Partition ``zone`` from all other availability zones."""
+        others = {node.zone for node in self.nodes} - {zone}
+        self.cuts |= {frozenset((zone, other)) for other in others}
 
     def dial(self, node, address):
         far = next((row for row in self.nodes if row.address == address), None)
@@ -181,7 +183,7 @@
     def restart(self, node):
         self.incarnation += 1
         node.start(self.incarnation)
-        node.mesh.keep(set())
+        node.mesh.set_dial_addresses(set())
 
     def run(self, seconds):
         for _ in range(int(seconds / STEP_S)):
@@ -190,7 +192,7 @@
     def step(self):
         self.clock.advance(STEP_S)
         for node in self.alive():
-            for address in sorted(node.mesh.dialled):
+            for address in sorted(node.mesh.dial_addresses):
                 self.dial(node, address)
         self.pump()
         for node in self.alive():
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -12,8 +12,8 @@
 from godwitladder.discovery.messages import FeedNews, RawBatch, RawRecord
 from godwitladder.membership.codec import (
     COMPRESSED,
-    LONG_BYTES,
-    MOST_BYTES,
+    MAX_DECOMPRESSED_BYTES,
+    MIN_COMPRESS_BYTES,
     InvalidMessage,
     decode,
     encode,
@@ -98,8 +98,8 @@
     [
         b"",
         b"not compressed",
-        zlib.compress(b"\x82" + bytes(LONG_BYTES))[:-4],
-        zlib.compress(bytes(MOST_BYTES + 1)),
+        zlib.compress(b"\x82" + bytes(MIN_COMPRESS_BYTES))[:-4],
+        zlib.compress(bytes(MAX_DECOMPRESSED_BYTES + 1)),
         "text",
         7,
     ],
--- a/tests/membership/test_hubs.py
+++ b/tests/membership/test_hubs.py
@@ -5,17 +5,21 @@
 from hypothesis import strategies as st
 
 from godwitladder.membership.actor import Leave
-from godwitladder.membership.hubs import LEAST_HUBS, choose_able, choose_hubs
+from godwitladder.membership.hubs import (
+    MIN_HUBS,
+    choose_allocator_candidates,
+    choose_hubs,
+)
 from godwitladder.membership.members import Member
 from tests.membership.net import MESH_HOSTS, Net
 
-PLACES = ("zone-a", "zone-b", "zone-c")
+ZONES = ("zone-a", "zone-b", "zone-c")
 SETTLE_S = 10
 SEED_OF_B = "zone-b-14"
 
 
-def make_net(hosts_each=15):
-    net = Net(PLACES, hosts_each)
+def make_net(hosts_per_zone=15):
+    net = Net(ZONES, hosts_per_zone)
     net.run(SETTLE_S)
     return net
 
@@ -33,19 +37,19 @@
     return tuple(sorted(node.name for node in nodes))
 
 
-def member(host, place="a", cores=1.0):
+def member(host, zone="a", cores=1.0):
     return Member(
-        host, "region", f"{host}:1", 1, 0.0, availability_zone=place, cores=cores
+        host, "region", f"{host}:1", 1, 0.0, availability_zone=zone, cores=cores
     )
 
 
 def test_hubs_are_the_strongest_hosts_of_each_place():
     rows = [
-        member(f"{place}{n}", place, 1.0 + (n == 3)) for place in "ab" for n in range(9)
+        member(f"{zone}{n}", zone, 1.0 + (n == 3)) for zone in "ab" for n in range(9)
     ]
     hubs = choose_hubs(rows, MESH_HOSTS)
     assert {"a3", "b3"} <= hubs
-    assert len(hubs) >= LEAST_HUBS
+    assert len(hubs) >= MIN_HUBS
     assert {host[0] for host in hubs} == {"a", "b"}
 
 
@@ -56,7 +60,7 @@
 
 def test_weak_hosts_hand_nothing_out_where_there_are_strong_ones():
     rows = [member("a", cores=0.5), member("b", cores=2.0), member("c", cores=1.9)]
-    assert choose_able(rows) == {"b", "c"}
+    assert choose_allocator_candidates(rows) == {"b", "c"}
 
 
 def test_hosts_that_start_together_know_each_other_by_a_few_links():
@@ -70,7 +74,7 @@
     assert hosts_known(net) == {names(net.nodes)}
     assert len(allocators(net)) == 1
     hubs = net.nodes[0].view().hubs
-    assert len(hubs) == LEAST_HUBS
+    assert len(hubs) == MIN_HUBS
     for node in net.nodes:
         linked = set(node.mesh.links)
         if node.name in hubs:
@@ -101,7 +105,7 @@
     assert len(allocators(net)) == 1
     net.run(3)
     assert hosts_known(net) == {names(net.alive())}
-    assert len(net.nodes[-1].view().hubs) == LEAST_HUBS
+    assert len(net.nodes[-1].view().hubs) == MIN_HUBS
 
 
 def test_a_zone_that_is_cut_off_goes_on_by_itself_and_joins_again():
@@ -113,8 +117,8 @@
     net = make_net()
     net.cut_off("zone-b")
     net.run(6)
-    inside = [node for node in net.nodes if node.place == "zone-b"]
-    outside = [node for node in net.nodes if node.place != "zone-b"]
+    inside = [node for node in net.nodes if node.zone == "zone-b"]
+    outside = [node for node in net.nodes if node.zone != "zone-b"]
     for side in (inside, outside):
         assert hosts_known(net, side) == {names(side)}
         assert len(allocators(net, side)) == 1
@@ -136,10 +140,10 @@
     hubs = net.nodes[0].view().hubs
     net.cut_off("zone-b")
     for node in net.nodes:
-        if node.place == "zone-b" and node.name in hubs - {SEED_OF_B}:
+        if node.zone == "zone-b" and node.name in hubs - {SEED_OF_B}:
             net.kill(node)
     net.run(SETTLE_S)
-    inside = [node for node in net.alive() if node.place == "zone-b"]
+    inside = [node for node in net.alive() if node.zone == "zone-b"]
     assert hosts_known(net, inside) == {names(inside)}
     assert len(allocators(net, inside)) == 1
     net.cuts.clear()
@@ -160,7 +164,7 @@
     net.run(away_s)
     for node in net.nodes:
         net.restart(node)
-        node.mesh.keep(set())
+        node.mesh.set_dial_addresses(set())
     net.run(SETTLE_S)
     assert hosts_known(net) == {names(net.nodes)}
     assert len(allocators(net)) == 1
@@ -177,7 +181,7 @@
     net.run(1)
     assert hosts_known(net) == {names(net.alive())}
     net.restart(victim)
-    victim.mesh.keep(set())
+    victim.mesh.set_dial_addresses(set())
     net.run(SETTLE_S)
     assert hosts_known(net) == {names(net.nodes)}
 
@@ -211,7 +215,7 @@
     Half a second passes between two faults. Within seconds after the last one, the
     live hosts know only each other and agree on the allocators.
     """
-    net = make_net(hosts_each=5)
+    net = make_net(hosts_per_zone=5)
     for kind, number in steps:
         apply(net, kind, number)
         net.run(0.5)
@@ -228,7 +232,7 @@
     elif kind == "restart" and not node.alive:
         net.restart(node)
     elif kind == "cut":
-        net.cut_off(PLACES[number % len(PLACES)])
+        net.cut_off(ZONES[number % len(ZONES)])
     elif kind == "heal":
         net.cuts.clear()
     elif kind == "kill_all":
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -37,7 +37,7 @@
     return mesh, got
 
 
-def beat(host="h2"):
+def make_heartbeat(host="h2"):
     return Heartbeat(host, "a", "", 1, False, 0)
 
 
@@ -55,29 +55,29 @@
     wait_until(lambda: near.current() and far.current(), "the first link")
     old = near.current()[0]
     relay.silence()
-    near.send("h1", beat())
+    near.send("h1", make_heartbeat())
     near.drop_silent(0.0)
     assert near.current() == []
     wait_until(lambda: near.current() not in ([], [old]), "a new link")
-    wait_until(lambda: near.send("h1", beat()) and "h2" in got, "a message")
+    wait_until(lambda: near.send("h1", make_heartbeat()) and "h2" in got, "a message")
 
 
 def test_a_peer_that_left_the_list_is_not_dialled_again(stack):
     """Addresses of hosts that have left are not dialled forever."""
     near, _ = start_mesh(stack, "h1")
-    near.keep({"127.0.0.1:9"})
+    near.set_dial_addresses({"127.0.0.1:9"})
     wait_until(lambda: "127.0.0.1:9" in near.dials, "the dialling")
-    near.keep(set())
+    near.set_dial_addresses(set())
     wait_until(lambda: not near.dials, "the dialling to end")
 
 
-class QuietMesh:
+class RecordingMesh:
     """Records what membership sends, dials and excludes."""
 
     links: dict = {}
 
     def __init__(self) -> None:
-        self.sent, self.excused, self.met = [], 0.0, set()
+        self.sent, self.excluded_s, self.dialled_once = [], 0.0, set()
 
     def current(self):
         return []
@@ -88,14 +88,14 @@
     def drop_silent(self, timeout_s) -> None:
         pass
 
-    def meet(self, addresses) -> None:
-        self.met |= addresses
+    def dial_once(self, addresses) -> None:
+        self.dialled_once |= addresses
 
-    def keep(self, addresses, seeds=True) -> None:
+    def set_dial_addresses(self, addresses, seeds=True) -> None:
         pass
 
-    def excuse(self, pause_s) -> None:
-        self.excused += pause_s
+    def exclude_pause(self, pause_s) -> None:
+        self.excluded_s += pause_s
 
 
 def make_membership():
@@ -103,9 +103,9 @@
     clock, published = ManualClock(), []
     members = Members(TIMEOUT_S)
     me = Heartbeat("h1", "a", "", 1, False, 0)
-    actor = Membership(me, members, QuietMesh(), clock, published.append)
+    actor = Membership(me, members, RecordingMesh(), clock, published.append)
     actor.on_start()
-    actor.on_receive(beat("h2"))
+    actor.on_receive(make_heartbeat("h2"))
     return actor, clock, published
 
 
@@ -140,7 +140,7 @@
     meshes = {name: start_membership(stack, name) for name in ("h1", "h2")}
     seed, (_, far) = meshes["h1"][0].address, meshes["h2"]
     wait_until(lambda: meshes["h2"][0].server, "the second host")
-    meshes["h2"][0].meet({seed})
+    meshes["h2"][0].dial_once({seed})
     wait_until(lambda: far[-1].hosts == ("h1", "h2"), "the first two")
     third, told = start_membership(stack, "h3", [seed])
     wait_until(lambda: len(third.current()) == 2, "links to both")
@@ -183,10 +183,10 @@
     old = Heartbeat("h2", "a", "10.0.0.9:1", 4, False, 0)
     actor.on_receive(Roster((old, Heartbeat("h1", "a", "10.0.0.8:1", 9, False, 0))))
     assert actor.members.rows["h2"].incarnation == 5
-    assert actor.mesh.met == set()
+    assert actor.mesh.dialled_once == set()
     actor.on_receive(Roster((Heartbeat("h3", "a", "10.0.0.3:1", 1, False, 0),)))
     assert published[-1].hosts == ("h1", "h2", "h3")
-    assert actor.mesh.met == {"10.0.0.3:1"}
+    assert actor.mesh.dialled_once == {"10.0.0.3:1"}
 
 
 def test_a_leaving_host_hands_its_roles_over():
@@ -279,5 +279,5 @@
     for _ in range(8):
         tick(actor, clock, 0.5)
     assert published[-1].hosts == ("h1",)
-    actor.on_receive(Roster((beat("h2"),)))
+    actor.on_receive(Roster((make_heartbeat("h2"),)))
     assert published[-1].hosts == ("h1",)
--- a/tests/membership/test_mesh.py
+++ b/tests/membership/test_mesh.py
@@ -8,13 +8,13 @@
 
 from godwitladder.clock import Clock
 from godwitladder.membership.codec import encode
-from godwitladder.membership.links import QUEUE_MESSAGES
+from godwitladder.membership.links import MAX_QUEUED_MESSAGES
 from godwitladder.membership.mesh import Mesh
 from godwitladder.membership.messages import Heartbeat
 from godwitladder.standins.ports import free_ports
 from tests.fleet import SECRET, wait_until
 
-HERD = 40
+RECONNECTING_HOSTS = 40
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
     return mesh, got
 
 
-def beat(host):
+def make_heartbeat(host):
     return Heartbeat(host, "a", "", 1, False, 0)
 
 
@@ -64,10 +64,10 @@
     wait_until(linked(hub, 2), "both links")
     large = encode(Heartbeat("hub", "a" * 50_000, "", 1, False, 0))
     (stuck,) = [link for link in hub.current() if link.peer == "stuck"]
-    taken = [stuck.send(large) for _ in range(3 * QUEUE_MESSAGES)]
+    taken = [stuck.send(large) for _ in range(3 * MAX_QUEUED_MESSAGES)]
     assert not all(taken)
-    assert len(stuck.outgoing) <= QUEUE_MESSAGES
-    assert hub.send("good", beat("hub"))
+    assert len(stuck.outgoing) <= MAX_QUEUED_MESSAGES
+    assert hub.send("good", make_heartbeat("hub"))
     wait_until(lambda: got == ["hub"], "the message to the other peer")
 
 
@@ -81,7 +81,7 @@
         stranger.sendall(b"\x00\xff" * 100)
         while stranger.recv(4096):
             pass
-    assert hub.send("good", beat("hub"))
+    assert hub.send("good", make_heartbeat("hub"))
     wait_until(lambda: got == ["hub"], "the message")
 
 
@@ -96,15 +96,15 @@
     def fail(link, message):
         raise ValueError("a fault")
 
-    takers = {failing: fail}
-    hub, _ = start_mesh(stack, "hub", deliver=takers.get("hub"))
-    near, _ = start_mesh(stack, "near", [hub.address], deliver=takers.get("near"))
+    handlers = {failing: fail}
+    hub, _ = start_mesh(stack, "hub", deliver=handlers.get("hub"))
+    near, _ = start_mesh(stack, "near", [hub.address], deliver=handlers.get("near"))
     wait_until(lambda: hub.current() and near.current(), "the first link")
     (first,) = near.current()
     if failing == "hub":
-        near.send("hub", beat("near"))
+        near.send("hub", make_heartbeat("near"))
     else:
-        hub.send("near", beat("hub"))
+        hub.send("near", make_heartbeat("hub"))
     wait_until(lambda: near.current() not in ([], [first]), "a new link")
 
 
@@ -117,12 +117,14 @@
     address = f"127.0.0.1:{free_ports(1)[0]}"
     with contextlib.ExitStack() as first:
         hub, _ = start_mesh(first, "hub", address=address)
-        herd = [start_mesh(stack, f"h{n}", [address])[0] for n in range(HERD)]
-        wait_until(linked(hub, HERD), "the first links")
-    wait_until(lambda: not any(mesh.current() for mesh in herd), "the loss")
+        meshes = [
+            start_mesh(stack, f"h{n}", [address])[0] for n in range(RECONNECTING_HOSTS)
+        ]
+        wait_until(linked(hub, RECONNECTING_HOSTS), "the first links")
+    wait_until(lambda: not any(mesh.current() for mesh in meshes), "the loss")
     before = threading.active_count()
     hub, _ = start_mesh(stack, "hub", address=address)
-    wait_until(linked(hub, HERD), "the links to the new hub")
+    wait_until(linked(hub, RECONNECTING_HOSTS), "the links to the new hub")
     assert threading.active_count() == before + 1
 
 
@@ -138,9 +140,9 @@
     near, _ = start_mesh(stack, "near")
     far, _ = start_mesh(stack, "far")
     kept, _ = start_mesh(stack, "kept")
-    near.keep({far.address, kept.address})
+    near.set_dial_addresses({far.address, kept.address})
     start_mesh(stack, "caller", [near.address])
     wait_until(linked(near, 3), "three links")
-    near.keep({kept.address})
-    near.release({kept.address})
+    near.set_dial_addresses({kept.address})
+    near.close_dialled_except({kept.address})
     wait_until(lambda: sorted(near.links) == ["caller", "kept"], "the end of one")
--- a/tests/membership/test_tls.py
+++ b/tests/membership/test_tls.py
@@ -73,8 +73,8 @@
         )
         wait_until(lambda: first.current() and second.current(), "a link")
         for mesh in (first, second):
-            beat = Heartbeat(mesh.host, "a", mesh.address, 1, False, 0)
-            mesh.broadcast(beat)
+            heartbeat = Heartbeat(mesh.host, "a", mesh.address, 1, False, 0)
+            mesh.broadcast(heartbeat)
         wait_until(lambda: len(taken) >= 2, "both heartbeats")
         assert sorted(taken) == [("first", "second"), ("second", "first")]
         wait_until(lambda: outsider.clock.pauses > 2, "both dials to fail")
