--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,8 +5,8 @@
 TIMEOUT_S = 3.0
 
 
-def member(host: str, incarnation: int = 1, count: int = 0, heard: float = 0.0):
-    return Member(host, "a", "127.0.0.1:1", incarnation, heard, count=count)
+def member(host: str, incarnation: int = 1, count: int = 0, last_heard: float = 0.0):
+    return Member(host, "a", "127.0.0.1:1", incarnation, last_heard, count=count)
 
 
 def live(members: Members, now: float) -> list[str]:
