--- a/godwitladder/membership/actor.py
+++ b/godwitladder/membership/actor.py
@@ -250,6 +250,6 @@
 
     def is_new(self, row: Heartbeat) -> bool:
         """Return whether ``row`` is of a peer process that is not known yet."""
-        held = self.members.rows.get(row.host)
-        known = held is not None and held.incarnation >= row.incarnation
+        entry = self.members.rows.get(row.host)
+        known = entry is not None and entry.incarnation >= row.incarnation
         return not known and row.host != self.topology.me.host
--- a/godwitladder/membership/members.py
+++ b/godwitladder/membership/members.py
@@ -107,9 +107,9 @@
         has been silent for the timeout, a lower one is accepted, since the clock
         of a restarted host may have been set back.
         """
-        held = self.rows.get(member.host)
-        if held and held.incarnation > member.incarnation:
-            if member.last_heard - held.last_heard < self.timeout_s:
+        entry = self.rows.get(member.host)
+        if entry and entry.incarnation > member.incarnation:
+            if member.last_heard - entry.last_heard < self.timeout_s:
                 return False
         self.rows[member.host] = member
         return True
@@ -123,10 +123,10 @@
         the count of a host long after it has failed, and each repetition would
         otherwise extend its life by another timeout.
         """
-        held = self.rows.get(host)
-        if held and held.incarnation == incarnation and held.count < count:
-            held.count = count
-            held.last_heard = now
+        entry = self.rows.get(host)
+        if entry and entry.incarnation == incarnation and entry.count < count:
+            entry.count = count
+            entry.last_heard = now
 
     def suspect(self, host: HostId, now: float) -> None:
         """Treat a host as failed until its heartbeats advance again.
@@ -135,9 +135,9 @@
         timeout instead, the pools that it allocates would stall for that long.
         """
         self.reported.discard(host)
-        held = self.rows.get(host)
-        if held:
-            held.last_heard = min(held.last_heard, now - self.patience_s(host))
+        entry = self.rows.get(host)
+        if entry:
+            entry.last_heard = min(entry.last_heard, now - self.patience_s(host))
 
     def live(self, now: float) -> list[Member]:
         """Return the live members, sorted by host id."""
--- a/godwitladder/membership/topology.py
+++ b/godwitladder/membership/topology.py
@@ -206,8 +206,8 @@
         It must have no link, not have been dialled recently, and ``row`` must not
         describe a process that a newer one has replaced.
         """
-        held = self.members.rows.get(row.host)
-        ended = held is not None and held.incarnation > row.incarnation
+        entry = self.members.rows.get(row.host)
+        ended = entry is not None and entry.incarnation > row.incarnation
         linked = row.host in (*self.mesh.links, self.me.host)
         return not (ended or linked or row.address in self.dialled_at)
 
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     "message", [HEARTBEAT, REPORT, Sample("a"), Sample("a", 2.5), Sample("a", None)]
 )
-def test_messages_come_back_as_they_went(message):
+def test_messages_survive_encoding_and_decoding(message):
     assert decode(encode(message)) == message
 
 
@@ -64,7 +64,7 @@
         pass
 
 
-def test_a_later_version_is_understood_and_an_older_one_too():
+def test_messages_of_later_and_older_versions_are_decoded():
     """Hosts of two versions communicate during an upgrade.
 
     The later version sends one field more, the older one a field less.
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("fields", [[], [1], ["a", "b"], {"name": "a"}, "a"])
-def test_fields_of_a_wrong_type_are_refused(fields):
+def test_fields_of_the_wrong_type_are_rejected(fields):
     with pytest.raises(InvalidMessage):
         decode(cbor2.dumps(["Sample", fields]))
 
@@ -83,7 +83,7 @@
 ROUTE = b'{"name": "r-%d", "pathPrefix": "/huno/le%d/", "kind": "streaming"}'
 
 
-def test_whole_documents_go_over_a_link_in_a_tenth_of_their_bytes():
+def test_documents_are_compressed_to_a_tenth_of_their_size():
     """Guards against a new document that blocks the links of all hosts for seconds."""
     value = b",".join(ROUTE % (number, number) for number in range(900))
     batch = RawBatch(-1, 7, (RawRecord(6, "config", value),))
@@ -104,7 +104,7 @@
         7,
     ],
 )
-def test_a_compressed_message_that_is_none_is_refused(data):
+def test_an_invalid_compressed_message_is_rejected(data):
     """Guards against a faulty peer that exhausts a host's memory or ends its thread."""
     with pytest.raises(InvalidMessage):
         decode(cbor2.dumps([COMPRESSED, data]))
--- a/tests/membership/test_contacts.py
+++ b/tests/membership/test_contacts.py
@@ -35,7 +35,7 @@
     assert choose_contacts("10.0.0.9:1", "a", listed, ["10.0.0.1:1"]) == {"10.0.0.2:1"}
 
 
-def test_a_target_that_vanishes_from_the_list_stays_leaving():
+def test_a_leaving_target_missing_from_the_list_stays_leaving():
     """A leaving target must not count as available when the list drops it.
 
     It is available again only when the list shows it as not leaving.
--- a/tests/membership/test_hubs.py
+++ b/tests/membership/test_hubs.py
@@ -43,7 +43,7 @@
     )
 
 
-def test_hubs_are_the_strongest_hosts_of_each_place():
+def test_hubs_are_the_strongest_hosts_of_each_availability_zone():
     rows = [
         member(f"{zone}{n}", zone, 1.0 + (n == 3)) for zone in "ab" for n in range(9)
     ]
@@ -53,17 +53,17 @@
     assert {host[0] for host in hubs} == {"a", "b"}
 
 
-def test_a_few_hosts_are_all_hubs():
+def test_every_host_of_a_small_region_is_a_hub():
     rows = [member(f"h{n}") for n in range(MESH_HOSTS)]
     assert len(choose_hubs(rows, MESH_HOSTS)) == MESH_HOSTS
 
 
-def test_weak_hosts_hand_nothing_out_where_there_are_strong_ones():
+def test_weak_hosts_are_not_allocator_candidates():
     rows = [member("a", cores=0.5), member("b", cores=2.0), member("c", cores=1.9)]
     assert choose_allocator_candidates(rows) == {"b", "c"}
 
 
-def test_hosts_that_start_together_know_each_other_by_a_few_links():
+def test_hosts_that_start_together_discover_each_other_through_hubs():
     """Many hosts start at once and know only three seeds, which are not hubs.
 
     Within seconds, all hosts know each other and agree on the allocators, so that
@@ -83,7 +83,7 @@
             assert linked == hubs
 
 
-def test_hosts_at_rest_say_little():
+def test_idle_hosts_send_little():
     """Without changes, hosts send only heartbeats: a few hundred bytes per second."""
     net = make_net()
     before = net.sent_bytes
@@ -91,7 +91,7 @@
     assert (net.sent_bytes - before) / 10 / len(net.nodes) < 2_000
 
 
-def test_an_allocator_that_dies_is_replaced_by_the_same_one_everywhere():
+def test_all_hosts_replace_a_failed_allocator_by_the_same_one():
     """The process of an allocator is killed, and its links close.
 
     All hosts agree on its replacement at once, without waiting for a timeout.
@@ -108,7 +108,7 @@
     assert len(net.nodes[-1].view().hubs) == MIN_HUBS
 
 
-def test_a_zone_that_is_cut_off_goes_on_by_itself_and_joins_again():
+def test_a_partitioned_zone_continues_alone_and_rejoins():
     """A network partition separates one zone from the others; no link closes.
 
     Within a few seconds, the hosts on each side know only each other and have
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize("away_s", [0.5, 40])
-def test_all_hosts_are_killed_at_once_and_come_back(away_s):
+def test_all_hosts_are_killed_at_once_and_restarted(away_s):
     """All processes are killed at the same moment and restart without any state.
 
     They find each other through the seeds as at the first start, and no host
@@ -172,7 +172,7 @@
     assert all(row.incarnation > 1 for row in rows)
 
 
-def test_a_host_that_is_no_hub_dies_and_everyone_hears_of_it():
+def test_the_failure_of_a_host_that_is_not_a_hub_reaches_all_hosts():
     """Hubs detect that its link has closed and report this to the other hosts."""
     net = make_net()
     hubs = net.nodes[0].view().hubs
@@ -186,7 +186,7 @@
     assert hosts_known(net) == {names(net.nodes)}
 
 
-def test_a_leaving_hub_hands_its_part_over():
+def test_a_leaving_hub_is_replaced():
     """A hub announces that it is leaving; other hosts replace it before it exits."""
     net = make_net()
     (first, *_) = net.nodes[0].view().allocators
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -28,27 +28,27 @@
 
 def start_mesh(stack, host, seeds=()):
     """Return a started mesh and a list of the hosts whose heartbeats it received."""
-    got = []
+    received = []
     address = f"127.0.0.1:{free_ports(1)[0]}"
-    deliver = lambda link, message: got.append(message.host)  # noqa: E731
+    deliver = lambda link, message: received.append(message.host)  # noqa: E731
     mesh = Mesh(host, address, SECRET, Clock(), deliver, seeds)
     mesh.start()
     stack.callback(mesh.close)
-    return mesh, got
+    return mesh, received
 
 
 def make_heartbeat(host="h2"):
     return Heartbeat(host, "a", "", 1, False, 0)
 
 
-def test_a_link_that_went_silent_is_replaced_by_a_new_one(stack):
+def test_a_silent_link_is_replaced(stack):
     """A connection stays open but carries nothing, while new connections work.
 
     A device between the two hosts has lost its state. Writes still succeed, so
     only the silence reveals the fault. The host closes the link and dials again,
     and its messages arrive.
     """
-    far, got = start_mesh(stack, "h1")
+    far, received = start_mesh(stack, "h1")
     relay = Proxy(far.address)
     stack.callback(relay.close)
     near, _ = start_mesh(stack, "h2", [relay.address])
@@ -59,7 +59,9 @@
     near.drop_silent(0.0)
     assert near.current() == []
     wait_until(lambda: near.current() not in ([], [old]), "a new link")
-    wait_until(lambda: near.send("h1", make_heartbeat()) and "h2" in got, "a message")
+    wait_until(
+        lambda: near.send("h1", make_heartbeat()) and "h2" in received, "a message"
+    )
 
 
 def test_a_peer_that_left_the_list_is_not_dialled_again(stack):
@@ -114,7 +116,7 @@
     actor.on_receive(Tick())
 
 
-def test_a_pause_of_this_process_is_not_silence_of_its_peers():
+def test_a_pause_of_this_process_does_not_count_as_silence_of_peers():
     """A host does not take over all roles after a long pause of its process.
 
     Its peers' heartbeats are still queued. The peers count as dead only if no
@@ -129,7 +131,7 @@
     assert published[-1].hosts == ("h1",)
 
 
-def test_a_host_that_has_just_started_knows_all_hosts_after_one_link(stack):
+def test_a_started_host_learns_about_all_hosts_over_one_link(stack):
     """A host restarts with a link to one seed while the platform's list lags.
 
     Its requests must be placed by the allocator that all other hosts use. If it
@@ -142,9 +144,9 @@
     wait_until(lambda: meshes["h2"][0].server, "the second host")
     meshes["h2"][0].dial_once({seed})
     wait_until(lambda: far[-1].hosts == ("h1", "h2"), "the first two")
-    third, told = start_membership(stack, "h3", [seed])
+    third, published_third = start_membership(stack, "h3", [seed])
     wait_until(lambda: len(third.current()) == 2, "links to both")
-    for published in (told, far, meshes["h1"][1]):
+    for published in (published_third, far, meshes["h1"][1]):
         wait_until(lambda rows=published: rows[-1].hosts == ("h1", "h2", "h3"), "all")
 
 
@@ -172,7 +174,7 @@
     return mesh, published
 
 
-def test_a_roster_tells_nothing_new_of_known_hosts():
+def test_a_roster_does_not_replace_known_hosts():
     """A peer with outdated state names a process that has exited since.
 
     The host of that process has restarted, and its new process is already known
@@ -189,7 +191,7 @@
     assert actor.mesh.dialled_once == {"10.0.0.3:1"}
 
 
-def test_a_leaving_host_hands_its_roles_over():
+def test_a_leaving_host_is_not_an_allocator():
     """A leaving host is an allocator neither for itself nor for its peers."""
     actor, clock, published = make_membership()
     actor.on_receive(Leave())
@@ -254,22 +256,22 @@
     return mesh, closed
 
 
-def test_a_mesh_that_stops_tells_nobody_of_closed_links():
+def test_a_stopping_mesh_does_not_report_closed_links():
     """A host shuts down; its actors stop before its links close.
 
     Its peer is notified of the closed link at once. On the host itself no actor is
     left to notify: guards against an error in each link that still tries to.
     """
     with contextlib.ExitStack() as stack:
-        one, told_one = make_mesh(stack, "h1")
-        two, told_two = make_mesh(stack, "h2", [one.address])
+        one, closed_one = make_mesh(stack, "h1")
+        two, closed_two = make_mesh(stack, "h2", [one.address])
         wait_until(lambda: one.links and two.links, "the link")
         one.close()
-        wait_until(lambda: not one.links and told_two == ["h1"], "the end")
-    assert told_one == []
+        wait_until(lambda: not one.links and closed_two == ["h1"], "the end")
+    assert closed_one == []
 
 
-def test_a_roster_does_not_bring_a_silent_host_back():
+def test_a_roster_does_not_restore_a_silent_host():
     """A host has failed, and a peer that has not detected this yet names it.
 
     Its last heartbeat is already known here, so the entry does not show that it is
--- a/tests/membership/test_mesh.py
+++ b/tests/membership/test_mesh.py
@@ -25,13 +25,13 @@
 
 def start_mesh(stack, name, seeds=(), address="", deliver=None):
     """Return a started mesh and a list of the hosts whose heartbeats it received."""
-    got = []
-    take = deliver or (lambda link, message: got.append(message.host))
+    received = []
+    handler = deliver or (lambda link, message: received.append(message.host))
     address = address or f"127.0.0.1:{free_ports(1)[0]}"
-    mesh = Mesh(name, address, SECRET, Clock(), take, seeds)
+    mesh = Mesh(name, address, SECRET, Clock(), handler, seeds)
     mesh.start()
     stack.callback(mesh.close)
-    return mesh, got
+    return mesh, received
 
 
 def make_heartbeat(host):
@@ -50,7 +50,7 @@
     assert threading.active_count() == before + len(peers)
 
 
-def test_a_peer_that_reads_nothing_harms_no_other(stack):
+def test_a_peer_that_does_not_read_affects_no_other(stack):
     """A peer stops reading while its connection stays open.
 
     Its send queue grows up to a limit and then rejects messages. The next message
@@ -60,33 +60,33 @@
     gate = threading.Event()
     start_mesh(stack, "stuck", [hub.address], deliver=lambda *_: gate.wait(60))
     stack.callback(gate.set)
-    _, got = start_mesh(stack, "good", [hub.address])
+    _, received = start_mesh(stack, "good", [hub.address])
     wait_until(linked(hub, 2), "both links")
     large = encode(Heartbeat("hub", "a" * 50_000, "", 1, False, 0))
     (stuck,) = [link for link in hub.current() if link.peer == "stuck"]
-    taken = [stuck.send(large) for _ in range(3 * MAX_QUEUED_MESSAGES)]
-    assert not all(taken)
+    accepted = [stuck.send(large) for _ in range(3 * MAX_QUEUED_MESSAGES)]
+    assert not all(accepted)
     assert len(stuck.outgoing) <= MAX_QUEUED_MESSAGES
     assert hub.send("good", make_heartbeat("hub"))
-    wait_until(lambda: got == ["hub"], "the message to the other peer")
+    wait_until(lambda: received == ["hub"], "the message to the other peer")
 
 
-def test_bytes_that_are_no_message_break_one_link_only(stack):
+def test_invalid_bytes_close_only_their_own_link(stack):
     """A client of another protocol, or a faulty peer, connects and sends garbage."""
     hub, _ = start_mesh(stack, "hub")
-    _, got = start_mesh(stack, "good", [hub.address])
+    _, received = start_mesh(stack, "good", [hub.address])
     wait_until(linked(hub, 1), "the good link")
     host, _, port = hub.address.rpartition(":")
-    with socket.create_connection((host, int(port)), timeout=5) as stranger:
-        stranger.sendall(b"\x00\xff" * 100)
-        while stranger.recv(4096):
+    with socket.create_connection((host, int(port)), timeout=5) as client:
+        client.sendall(b"\x00\xff" * 100)
+        while client.recv(4096):
             pass
     assert hub.send("good", make_heartbeat("hub"))
-    wait_until(lambda: got == ["hub"], "the message")
+    wait_until(lambda: received == ["hub"], "the message")
 
 
 @pytest.mark.parametrize("failing", ["hub", "near"])
-def test_a_message_that_nobody_can_take_in_breaks_its_link_only(stack, failing):
+def test_an_exception_in_a_message_handler_closes_only_its_link(stack, failing):
     """The message handler raises an unexpected exception.
 
     The link closes, the error is logged, and the event loop continues. The end
@@ -108,7 +108,7 @@
     wait_until(lambda: near.current() not in ([], [first]), "a new link")
 
 
-def test_a_herd_of_hosts_comes_back_at_once(stack):
+def test_many_hosts_reconnect_at_once(stack):
     """All hosts have lost their hub and dial its successor at the same address.
 
     They connect at the same moment. Each of them soon has a link, and the hub
@@ -128,14 +128,14 @@
     assert threading.active_count() == before + 1
 
 
-def test_an_address_that_is_taken_is_told_at_the_start(stack):
+def test_start_raises_if_the_address_is_in_use(stack):
     mesh, _ = start_mesh(stack, "h1")
     other = Mesh("h2", mesh.address, SECRET, Clock(), lambda *_: None)
     with pytest.raises(OSError, match="in use"):
         other.start()
 
 
-def test_links_that_lead_to_no_hub_are_given_up(stack):
+def test_dialled_links_to_other_addresses_are_closed(stack):
     """A host closes only links that it dialled; the peers decide about the others."""
     near, _ = start_mesh(stack, "near")
     far, _ = start_mesh(stack, "far")
--- a/tests/membership/test_tls.py
+++ b/tests/membership/test_tls.py
@@ -32,13 +32,13 @@
         await super().async_sleep(seconds)
 
 
-def make_mesh(stack, name: str, port: int, tls, seeds: list, taken: list) -> Mesh:
+def make_mesh(stack, name: str, port: int, tls, seeds: list, received: list) -> Mesh:
     mesh = Mesh(
         name,
         f"127.0.0.1:{port}",
         "secret",
         CountingClock(),
-        lambda link, message: taken.append((name, message.host)),
+        lambda link, message: received.append((name, message.host)),
         [f"127.0.0.1:{seed}" for seed in seeds],
         tls=tls,
     )
@@ -56,7 +56,7 @@
     """
     ours, other = trustme.CA(), trustme.CA()
     ports = sorted(free_ports(3))
-    taken: list = []
+    received: list = []
     with contextlib.ExitStack() as stack:
         tls = {
             name: make_tls(tmp_path, authority, name)
@@ -66,16 +66,16 @@
                 ("second", ours),
             )
         }
-        second = make_mesh(stack, "second", ports[2], tls["second"], [], taken)
-        first = make_mesh(stack, "first", ports[1], tls["first"], ports[2:], taken)
+        second = make_mesh(stack, "second", ports[2], tls["second"], [], received)
+        first = make_mesh(stack, "first", ports[1], tls["first"], ports[2:], received)
         outsider = make_mesh(
-            stack, "outsider", ports[0], tls["outsider"], ports[1:], taken
+            stack, "outsider", ports[0], tls["outsider"], ports[1:], received
         )
         wait_until(lambda: first.current() and second.current(), "a link")
         for mesh in (first, second):
             heartbeat = Heartbeat(mesh.host, "a", mesh.address, 1, False, 0)
             mesh.broadcast(heartbeat)
-        wait_until(lambda: len(taken) >= 2, "both heartbeats")
-        assert sorted(taken) == [("first", "second"), ("second", "first")]
+        wait_until(lambda: len(received) >= 2, "both heartbeats")
+        assert sorted(received) == [("first", "second"), ("second", "first")]
         wait_until(lambda: outsider.clock.pauses > 2, "both dials to fail")
         assert not outsider.current()
