--- a/bench/claims.py
+++ b/bench/claims.py
@@ -21,10 +21,10 @@
 import urllib3
 
 from bench.processes import print_table
-from godwitladder.claims.actor import ClaimLog, Claims, HasCaughtUp, Want
-from godwitladder.claims.collector import Settled, Wanted
+from godwitladder.claims.actor import ClaimLogThreads, Claims, HasCaughtUp, SubmitClaim
 from godwitladder.claims.records import Claim, Release
 from godwitladder.claims.table import ClaimTable
+from godwitladder.claims.tracker import ClaimRequest, ClaimResult
 from godwitladder.clients.log import LogClient
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId, Incarnation, Zone
@@ -46,8 +46,10 @@
     while (now := time.monotonic()) < due:
         nonce = secrets.token_bytes(12)
         offered[nonce] = now
-        wanted = Wanted(secrets.token_bytes(16), nonce, b"12345678", 0.0, now + 10)
-        actor.tell(Want(wanted, reply))
+        wanted = ClaimRequest(
+            secrets.token_bytes(16), nonce, b"12345678", 0.0, now + 10
+        )
+        actor.tell(SubmitClaim(wanted, reply))
         time.sleep(random.expovariate(rate))
     return offered
 
@@ -58,11 +60,11 @@
     settings = ClaimSettings(batch_s=batch_s)
     actor = Claims.start(HostId(name), Incarnation(1), settings, clock, Metrics(), work)
     client = LogClient(f"http://{address}", Zone("a"))
-    part = ClaimLog(actor, client, clock, work, batch_s)
+    part = ClaimLogThreads(actor, client, clock, work, batch_s)
     part.start()
     while not actor.ask(HasCaughtUp()):
         time.sleep(0.01)
-    reply: queue.SimpleQueue[Settled] = queue.SimpleQueue()
+    reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
     settled: dict[bytes, float] = {}
 
     def receive() -> None:
--- a/godwitladder/claims/actor.py
+++ b/godwitladder/claims/actor.py
@@ -14,15 +14,15 @@
 
 import pykka
 
-from godwitladder.claims.collector import (
-    RETRY_S,
-    Collector,
-    Settled,
-    Wanted,
-    is_idle,
-)
 from godwitladder.claims.records import StreamRecord, encode_record
 from godwitladder.claims.table import ClaimTable
+from godwitladder.claims.tracker import (
+    RETRY_DELAY_S,
+    ClaimRequest,
+    ClaimResult,
+    ClaimTracker,
+    is_idle,
+)
 from godwitladder.clients.log import CLAIM_STREAM, LogClient, LogUnavailable, Page
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId, Incarnation, Offset
@@ -39,15 +39,15 @@
 
 
 @dataclass(frozen=True)
-class Want:
+class SubmitClaim:
     """Claim a key and put the verdict into ``reply``."""
 
-    wanted: Wanted
+    wanted: ClaimRequest
     reply: "queue.SimpleQueue[Settled]"
 
 
 @dataclass(frozen=True)
-class GiveUp:
+class ReleaseClaim:
     """Free the key of a claim that never will be dispatched."""
 
     key: bytes
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True)
-class Follow:
+class SubscribeCrashEvents:
     """Call ``take`` with each note that is read and the log's time of it."""
 
     take: Callable[[CrashNote, float], None]
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True)
-class HasSettled:
+class IsIdle:
     """Ask whether nothing is left to append."""
 
 
@@ -138,9 +138,9 @@
         self.clock = clock
         self.metrics = metrics
         self.work = work
-        self.collector = Collector(host, incarnation, ClaimTable(settings.window_s))
+        self.collector = ClaimTracker(host, incarnation, ClaimTable(settings.window_s))
         self.take_note: Callable[[CrashNote, float], None] = lambda note, time: None
-        self.replies: dict[bytes, queue.SimpleQueue[Settled]] = {}
+        self.replies: dict[bytes, queue.SimpleQueue[ClaimResult]] = {}
 
     def on_receive(self, message):
         """Take ``message`` in and wake the writer if there is work."""
@@ -155,14 +155,14 @@
         raise TypeError(f"unknown message {message!r}")
 
     @take.register
-    def _(self, message: Want) -> None:
+    def _(self, message: SubmitClaim) -> None:
         self.replies[message.wanted.nonce] = message.reply
         settled = self.collector.want(message.wanted, self.clock.monotonic())
         if settled:
             self._reply([settled])
 
     @take.register
-    def _(self, message: GiveUp) -> None:
+    def _(self, message: ReleaseClaim) -> None:
         self.replies.pop(message.nonce, None)
         self.collector.give_up(message.key, message.nonce)
 
@@ -171,7 +171,7 @@
         self.collector.outgoing.append(message.note)
 
     @take.register
-    def _(self, message: Follow) -> None:
+    def _(self, message: SubscribeCrashEvents) -> None:
         self.take_note = message.take
 
     @take.register
@@ -206,7 +206,7 @@
         return self.collector.table.next
 
     @take.register
-    def _(self, message: HasSettled) -> bool:
+    def _(self, message: IsIdle) -> bool:
         return is_idle(self.collector)
 
     @take.register
@@ -218,7 +218,7 @@
         self._reply(self.collector.expire(self.clock.monotonic()))
         self.collector.snapshot(self.settings.retention_s / 2)
 
-    def _reply(self, settled: list[Settled]) -> None:
+    def _reply(self, settled: list[ClaimResult]) -> None:
         for row in settled:
             self.metrics.claims.inc({"verdict": row.verdict.value})
             reply = self.replies.pop(row.nonce, None)
@@ -226,7 +226,7 @@
                 reply.put(row)
 
 
-class ClaimLog:
+class ClaimLogThreads:
     """The threads between the actor and the log.
 
     Parameters
@@ -283,7 +283,7 @@
         except LogUnavailable as error:
             log.warning("An append was not answered", extra={"error": str(error)})
             self.claims.tell(BatchDone(True))
-            self.clock.wait(self.stopping, RETRY_S)
+            self.clock.wait(self.stopping, RETRY_DELAY_S)
             return
         self.claims.tell(BatchDone(False))
         self._try_read(0.0)
@@ -305,7 +305,7 @@
                 answered = self._try_read(wait_s)
                 wait_s = READ_WAIT_S if answered else 0.0
                 if not answered:
-                    self.clock.wait(self.stopping, RETRY_S)
+                    self.clock.wait(self.stopping, RETRY_DELAY_S)
         except pykka.ActorDeadError:
             log.info("The reader ended with its actor")
 
--- a/godwitladder/claims/issued.py
+++ b/godwitladder/claims/issued.py
@@ -44,7 +44,7 @@
     unique: str
 
 
-class Spending(enum.Enum):
+class KeyUseResult(enum.Enum):
     """What became of the use of an issued key."""
 
     GRANTED = "granted"
@@ -114,22 +114,22 @@
         """Return whether this process issued ``key``."""
         return (key.host, key.incarnation) == (self.host, self.incarnation)
 
-    def spend(
+    def use(
         self, key: IssuedKey, digest: KeyDigest, body: BodyDigest, now: float
-    ) -> Spending:
+    ) -> KeyUseResult:
         """Use ``key`` for one request, once."""
         if not self.is_own(key):
             raise ForgedKey(f"{key.host} issued the key, not this process")
         if now - key.issued > self.window_s:
-            return Spending.EXPIRED
+            return KeyUseResult.EXPIRED
         if digest in self.spent:
             _, held = self.spent[digest]
-            return Spending.SPENT if held == body else Spending.REUSED
+            return KeyUseResult.SPENT if held == body else KeyUseResult.REUSED
         self._forget(now)
         self.spent[digest] = (key.issued, body)
-        return Spending.GRANTED
+        return KeyUseResult.GRANTED
 
-    def give_back(self, digest: KeyDigest) -> None:
+    def restore(self, digest: KeyDigest) -> None:
         """Let a key be used again whose request did not run."""
         self.spent.pop(digest, None)
 
--- a/godwitladder/claims/collector.py
+++ b/godwitladder/claims/tracker.py
@@ -29,7 +29,7 @@
 log = component_logger("claims")
 
 # Pause after a failed append, and so what a refused caller is told to wait.
-RETRY_S = 0.5
+RETRY_DELAY_S = 0.5
 # Snapshots in one append, so that they don't hold up claims behind them.
 SNAPSHOT_RECORDS = 200
 
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Wanted:
+class ClaimRequest:
     """A claim that a request waits for.
 
     Attributes
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True)
-class Settled:
+class ClaimResult:
     """The verdict on a claim; ``holder`` is the rival that has the key."""
 
     nonce: bytes
@@ -71,7 +71,7 @@
 
 
 @dataclass
-class Collector:
+class ClaimTracker:
     """The claims of one host.
 
     Attributes
@@ -94,7 +94,7 @@
     host: HostId
     incarnation: Incarnation
     table: ClaimTable
-    pending: dict[bytes, Wanted] = field(default_factory=dict)
+    pending: dict[bytes, ClaimRequest] = field(default_factory=dict)
     outgoing: list[StreamRecord] = field(default_factory=list)
     in_flight: list[StreamRecord] = field(default_factory=list)
     sent: set[bytes] = field(default_factory=set)
@@ -104,13 +104,13 @@
     read_failing: bool = False
     append_failed_until: float = 0.0
 
-    def want(self, wanted: Wanted, now: float) -> Settled | None:
+    def want(self, wanted: ClaimRequest, now: float) -> ClaimResult | None:
         """Claim a key; return the verdict if it is known at once."""
         holder = self.table.holder(wanted.key, self.given_up)
         if self.caught_up and holder:
             return _lost(wanted, holder)
         if self.is_failing(now) or wanted.due <= now:
-            return Settled(wanted.nonce, Verdict.UNAVAILABLE)
+            return ClaimResult(wanted.nonce, Verdict.UNAVAILABLE)
         self.pending[wanted.nonce] = wanted
         self.outgoing.append(
             Claim(
@@ -170,13 +170,13 @@
         ]
         self.outgoing = again + self.outgoing
         self.in_flight = []
-        self.append_failed_until = now + RETRY_S
+        self.append_failed_until = now + RETRY_DELAY_S
 
     def read_failed(self) -> None:
         """Note that the log did not answer a read."""
         self.read_failing = True
 
-    def read(self, page: Page) -> list[Settled]:
+    def read(self, page: Page) -> list[ClaimResult]:
         """Replay a page; return the verdicts on this host's claims in it."""
         self.read_failing = False
         settled = self._skip_gap(page.first)
@@ -186,7 +186,7 @@
         self.caught_up = self.table.next >= page.next
         return settled
 
-    def expire(self, now: float) -> list[Settled]:
+    def expire(self, now: float) -> list[ClaimResult]:
         """Give up the claims that their requests no longer wait for."""
         due = [row for row in self.pending.values() if row.due <= now]
         return [self._abandon(row) for row in due]
@@ -196,7 +196,7 @@
         if self.caught_up and not self.in_flight and not self.outgoing:
             self.outgoing += self.table.due_for_snapshot(age_s, SNAPSHOT_RECORDS)
 
-    def _skip_gap(self, first: Offset) -> list[Settled]:
+    def _skip_gap(self, first: Offset) -> list[ClaimResult]:
         """Begin anew if records were dropped before they were read.
 
         A claim among them could be lower than one of ours, so ours can't be
@@ -211,7 +211,7 @@
         log.warning("Records were dropped unread", extra={"first": first})
         return [self._abandon(row) for row in list(self.pending.values())]
 
-    def _replay(self, record: Record) -> list[Settled]:
+    def _replay(self, record: Record) -> list[ClaimResult]:
         try:
             row = decode_record(record.data)
         except BadRecord as error:
@@ -229,32 +229,32 @@
             return []
         return [self._settle(self.pending[row.nonce])]
 
-    def _settle(self, wanted: Wanted) -> Settled:
+    def _settle(self, wanted: ClaimRequest) -> ClaimResult:
         holder = self.table.holder(wanted.key)
         if holder and holder.nonce == wanted.nonce:
             del self.pending[wanted.nonce]
             self.sent.discard(wanted.nonce)
-            return Settled(wanted.nonce, Verdict.WON)
+            return ClaimResult(wanted.nonce, Verdict.WON)
         self.give_up(wanted.key, wanted.nonce)
         if holder is None:
-            return Settled(wanted.nonce, Verdict.EXPIRED)
+            return ClaimResult(wanted.nonce, Verdict.EXPIRED)
         return _lost(wanted, holder)
 
-    def _abandon(self, wanted: Wanted) -> Settled:
+    def _abandon(self, wanted: ClaimRequest) -> ClaimResult:
         self.give_up(wanted.key, wanted.nonce)
-        return Settled(wanted.nonce, Verdict.UNAVAILABLE)
+        return ClaimResult(wanted.nonce, Verdict.UNAVAILABLE)
 
 
-def _lost(wanted: Wanted, holder: Held) -> Settled:
+def _lost(wanted: ClaimRequest, holder: Held) -> ClaimResult:
     if holder.body != wanted.body:
-        return Settled(wanted.nonce, Verdict.REUSED, holder)
-    return Settled(wanted.nonce, Verdict.HELD, holder)
+        return ClaimResult(wanted.nonce, Verdict.REUSED, holder)
+    return ClaimResult(wanted.nonce, Verdict.HELD, holder)
 
 
 def _claims(record: StreamRecord, nonce: bytes) -> bool:
     return isinstance(record, Claim) and record.nonce == nonce
 
 
-def is_idle(collector: Collector) -> bool:
+def is_idle(collector: ClaimTracker) -> bool:
     """Return whether nothing is left to append."""
     return not collector.outgoing and not collector.in_flight
--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -23,7 +23,7 @@
     since,
 )
 from godwitladder.discovery.messages import FeedNews, FeedWanted
-from godwitladder.discovery.rolloutdesk import RolloutDesk
+from godwitladder.discovery.rollout_tracker import RolloutDesk
 from godwitladder.discovery.rollouts import held_back
 from godwitladder.discovery.source import (
     Batch,
@@ -105,7 +105,7 @@
         Told of each proof.
     publish : callable
         Called with a `StoreView` when anything has changed.
-    reads_first : bool
+    reads_at_start : bool
         Whether this host reads at its start without asking a peer.
 
     Attributes
@@ -126,16 +126,16 @@
         clock: Clock,
         freshness: DocumentFreshness,
         publish: Callable[[StoreView], None],
-        reads_first: bool = False,
+        reads_at_start: bool = False,
     ) -> None:
         self.host = host
         self.source = source
         self.clock = clock
         self.freshness = freshness
         self.publish = publish
-        self.spread: Callable[[FeedNews], None] = lambda news: None
-        self.ask: Callable[[FeedWanted], bool] = lambda wanted: False
-        self.reads_first = reads_first
+        self.broadcast: Callable[[FeedNews], None] = lambda news: None
+        self.send_request: Callable[[FeedWanted], bool] = lambda wanted: False
+        self.reads_at_start = reads_at_start
         self.unanswered: list[Callable[[FeedNews], None]] = []
         self.started = clock.boottime()
         self.asked_at = float("-inf")
@@ -185,7 +185,7 @@
         """Read if it is this host's turn, and let go of what is gone."""
         now = self.clock.boottime()
         if not self.knows():
-            self.ask_peer()
+            self.request_state()
         if (
             not self.awaits_peer(now)
             and now - self.read_at >= PERIOD_S
@@ -199,7 +199,7 @@
 
     def awaits_peer(self, now: float) -> bool:
         """Return whether this host knows nothing yet, and a peer may tell it."""
-        if self.knows() or self.reads_first or self.is_reader():
+        if self.knows() or self.reads_at_start or self.is_reader():
             return False
         return now - self.started < (UNTOLD_S if self.linked else UNLINKED_S)
 
@@ -211,7 +211,7 @@
         """Return whether this host knows anything of the store."""
         return self.next_document >= 0
 
-    def answer(self, reply: Callable[[FeedNews], None]) -> None:
+    def answer_request(self, reply: Callable[[FeedNews], None]) -> None:
         """Call ``reply`` with all that this host knows, now or once it does."""
         with self.lock:
             news = self.all_news()
@@ -226,7 +226,7 @@
         for reply in waiting:
             reply(self.all_news())
 
-    def ask_peer(self, ask: Callable[[FeedWanted], bool] | None = None) -> None:
+    def request_state(self, ask: Callable[[FeedWanted], bool] | None = None) -> None:
         """Ask one peer for all that it knows, if none was asked a moment ago.
 
         Each of them answers with whole documents. Asked over every link, they
@@ -240,7 +240,7 @@
         now = self.clock.boottime()
         if self.knows() or now - self.asked_at < ASK_S:
             return
-        asked = (ask or self.ask)(FeedWanted(self.host))
+        asked = (ask or self.send_request)(FeedWanted(self.host))
         if ask is None:
             self.linked = asked
         if asked:
@@ -296,7 +296,7 @@
             self.take(documents, entries, began)
             self.note_duration(self.clock.boottime() - began)
         if news is not None:
-            self.spread(replace(news, age_s=self.clock.boottime() - began))
+            self.broadcast(replace(news, age_s=self.clock.boottime() - began))
         if self.answers_orders():
             self.desk.answer()
 
@@ -347,7 +347,7 @@
         unheard_s = self.clock.boottime() - self.heard_at
         if self.host not in self.hosts and unheard_s <= UNHEARD_S:
             return None
-        if self.reads_first and not self.knows() and not self.is_reader():
+        if self.reads_at_start and not self.knows() and not self.is_reader():
             return None
         documents = since(documents, self.next_document)
         entries = since(self.changed(entries), self.next_entry)
@@ -373,10 +373,10 @@
     def is_news(self, record: Record) -> bool:
         """Return whether a record says anything else than this host knows."""
         entry = self.source.decode_entry(record) if record.value else None
-        held = self.table.rows.get(record.key)
+        held = self.table.entries.get(record.key)
         return entry is None or entry != held or record.key in self.table.missing
 
-    def take_news(self, news: FeedNews) -> None:
+    def apply_news(self, news: FeedNews) -> None:
         """Take in what another host has read.
 
         News that begins after what this host has is a gap: it says nothing
@@ -452,7 +452,7 @@
     def tell(self) -> None:
         """Publish what is known now."""
         self.version += 1
-        targets = tuple(self.table.rows.values())
+        targets = tuple(self.table.entries.values())
         unproved = held_back(self.desk.orders, targets)
         log.info(
             "Targets are known",
--- a/godwitladder/discovery/hostlist.py
+++ b/godwitladder/discovery/host_list.py
@@ -57,7 +57,7 @@
         self.report = report
         self.listed = False
 
-    def look(self, linked: bool, hosts: Collection[HostId]) -> float:
+    def update(self, linked: bool, hosts: Collection[HostId]) -> float:
         """Do this host's part; return the seconds until the next look.
 
         Parameters
@@ -90,7 +90,7 @@
     def write(self, row: ListedHost) -> bool:
         """Put ``row`` on the list; return whether the store took it."""
         try:
-            self.source.list_host(row)
+            self.source.register_host(row)
         except StoreUnavailable as error:
             log.info("The host is not listed", extra={"error": str(error)})
             return False
--- a/godwitladder/discovery/rolloutdesk.py
+++ b/godwitladder/discovery/rollout_tracker.py
@@ -84,7 +84,7 @@
             "state": state.value,
         }
         try:
-            self.source.tell_rollout(record, order, state)
+            self.source.write_rollout_state(record, order, state)
         except StoreUnavailable as error:
             log.warning("An order is not answered", extra=extra | {"error": str(error)})
             return
--- a/godwitladder/discovery/source.py
+++ b/godwitladder/discovery/source.py
@@ -62,7 +62,7 @@
     def read_hosts(self) -> tuple[ListedHost, ...]:
         """Return the hosts that have put themselves on the list."""
 
-    def list_host(self, host: ListedHost) -> None:
+    def register_host(self, host: ListedHost) -> None:
         """Put this host on the list, or mark it as leaving."""
 
     def decode_document(self, record: Record) -> RoutingDocument | None:
@@ -71,7 +71,7 @@
     def decode_rollout(self, record: Record) -> RolloutOrder | None:
         """Return the order of a roll-out in ``record``; None if it holds none."""
 
-    def tell_rollout(
+    def write_rollout_state(
         self, record: Record, order: RolloutOrder, state: RolloutState
     ) -> None:
         """Write how the roll-out that ``record`` orders stands."""
--- a/godwitladder/discovery/targets.py
+++ b/godwitladder/discovery/targets.py
@@ -19,7 +19,7 @@
 
     Attributes
     ----------
-    born_ms : int
+    started_ms : int
         When its process started; another start under the same name knows
         nothing of before.
     leaving : bool
@@ -33,7 +33,7 @@
     address: str
     zone: Zone
     slots: int
-    born_ms: int = 0
+    started_ms: int = 0
     leaving: bool = False
     release: str = ""
 
@@ -50,7 +50,7 @@
         When the store last came back.
     """
 
-    rows: dict[TargetName, TargetEntry] = field(default_factory=dict)
+    entries: dict[TargetName, TargetEntry] = field(default_factory=dict)
     missing: dict[TargetName, float] = field(default_factory=dict)
     returned: float = float("-inf")
 
@@ -61,24 +61,24 @@
     def put(self, entry: TargetEntry) -> bool:
         """Take in an entry; return whether it changes anything."""
         self.missing.pop(entry.name, None)
-        changed = self.rows.get(entry.name) != entry
-        self.rows[entry.name] = entry
+        changed = self.entries.get(entry.name) != entry
+        self.entries[entry.name] = entry
         return changed
 
     def drop(self, name: TargetName, now: float) -> bool:
         """Take in that an entry is gone; return whether that changes anything."""
-        row = self.rows.get(name)
+        row = self.entries.get(name)
         if row is None or name in self.missing:
             return False
         if now - self.returned < RETURN_S and not row.leaving:
             self.missing[name] = self.returned + RETURN_S
             return False
-        del self.rows[name]
+        del self.entries[name]
         return True
 
     def keep_only(self, names: set[TargetName], now: float) -> bool:
         """Drop what is not in ``names``; return whether anything changed."""
-        gone = [name for name in self.rows if name not in names]
+        gone = [name for name in self.entries if name not in names]
         return any([self.drop(name, now) for name in gone])
 
     def expire(self, now: float) -> bool:
@@ -86,5 +86,5 @@
         late = [name for name, until in self.missing.items() if until <= now]
         for name in late:
             del self.missing[name]
-            self.rows.pop(name, None)
+            self.entries.pop(name, None)
         return bool(late)
--- a/godwitladder/orders/stream.py
+++ b/godwitladder/orders/stream.py
@@ -12,7 +12,6 @@
 from godwitladder.clock import Clock
 from godwitladder.findings import GodwitladderError
 from godwitladder.ids import Nonce, Offset, TargetName
-from godwitladder.orders.book import OrderBook
 from godwitladder.orders.records import (
     BadRecord,
     Lease,
@@ -21,6 +20,7 @@
     decode_record,
     encode_record,
 )
+from godwitladder.orders.table import OrderBook
 
 ORDER_STREAM = "orders"
 LEASE_S = 10.0
--- a/godwitladder/platform/entries.py
+++ b/godwitladder/platform/entries.py
@@ -34,7 +34,7 @@
             address=raw["address"],
             zone=Zone(raw["zone"]),
             slots=raw["slots"],
-            born_ms=raw.get("born", 0),
+            started_ms=raw.get("born", 0),
             leaving=STATES[raw["state"]],
             release=_release_of(raw),
         )
--- a/godwitladder/platform/source.py
+++ b/godwitladder/platform/source.py
@@ -56,7 +56,7 @@
                 log.info("A host's record is unreadable", extra={"error": str(error)})
         return tuple(rows)
 
-    def list_host(self, host: ListedHost) -> None:
+    def register_host(self, host: ListedHost) -> None:
         """Put ``host`` on the list, by its address."""
         value = json.dumps([host.zone, host.leaving]).encode()
         self.store.append(names.HOSTS_TOPIC, host.address, value)
@@ -82,7 +82,7 @@
             return None
         return result.unwrap()
 
-    def tell_rollout(
+    def write_rollout_state(
         self, record: Record, order: RolloutOrder, state: RolloutState
     ) -> None:
         """Write how the roll-out that ``record`` orders stands."""
--- a/godwitladder/quarantine/watch.py
+++ b/godwitladder/quarantine/watch.py
@@ -10,9 +10,9 @@
 
 import pykka
 
-from godwitladder.claims.actor import GiveUp, Note, Want
-from godwitladder.claims.collector import Settled, Verdict, Wanted
+from godwitladder.claims.actor import Note, ReleaseClaim, SubmitClaim
 from godwitladder.claims.records import BODY_BYTES, KEY_BYTES, nonce_bytes
+from godwitladder.claims.tracker import ClaimRequest, ClaimResult, Verdict
 from godwitladder.clock import Clock
 from godwitladder.configuration.model import ServiceKind
 from godwitladder.configuration.state import ConfigState
@@ -24,7 +24,7 @@
 from godwitladder.membership.links import Link
 from godwitladder.membership.mesh import Mesh
 from godwitladder.outcomes import Reason, Refusal, RequestState, refuse
-from godwitladder.quarantine.echoes import NoteEchoes
+from godwitladder.quarantine.acknowledgements import NoteEchoes
 from godwitladder.quarantine.records import Cleared, Crash, CrashNote, Lifted
 from godwitladder.serving.calls import Call, CallRefused
 
@@ -127,7 +127,7 @@
         with self.lock:
             return self.table.status(digest, self.clock.monotonic())
 
-    def take(self, link: Link, message: CrashNote) -> None:
+    def handle_message(self, link: Link, message: CrashNote) -> None:
         """Take in a peer's note, and pass it on once."""
         self.echoes.note(message.report, link.peer)
         if self.apply(message, 0.0):
@@ -175,7 +175,7 @@
         if not self.echoes.wait(note.report, ECHO_S):
             log.warning("Not all peers know of a crash", extra={"note": repr(note)})
 
-    def held(self) -> dict[BodyDigest, float]:
+    def remaining_quarantines(self) -> dict[BodyDigest, float]:
         """Return the seconds left of each quarantine."""
         now = self.clock.monotonic()
         with self.lock:
@@ -210,11 +210,13 @@
         key = hashlib.sha256(b"trial %d" % period).digest()[:KEY_BYTES]
         nonce = nonce_bytes(secrets.token_hex(12))
         due = self.clock.monotonic() + TRIAL_WAIT_S
-        reply: queue.SimpleQueue[Settled] = queue.SimpleQueue()
-        self.claims.tell(Want(Wanted(key, nonce, bytes(BODY_BYTES), 0.0, due), reply))
+        reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
+        self.claims.tell(
+            SubmitClaim(ClaimRequest(key, nonce, bytes(BODY_BYTES), 0.0, due), reply)
+        )
         if reply.get().verdict is not Verdict.WON:
             return False
-        trial.release = lambda: self.claims.tell(GiveUp(key, nonce))
+        trial.release = lambda: self.claims.tell(ReleaseClaim(key, nonce))
         return True
 
     def _note_end(
--- a/godwitladder/routing/app.py
+++ b/godwitladder/routing/app.py
@@ -106,7 +106,7 @@
     def __init__(
         self,
         form: HeaderCodec,
-        passer: RoutedProxy,
+        proxy: RoutedProxy,
         freshness: DocumentFreshness,
         clock: Clock,
         metrics: Metrics,
@@ -117,7 +117,7 @@
         self.max_open_calls = max_open_calls
         self.gate = gate or AdmissionGate()
         self.form = form
-        self.passer = passer
+        self.proxy = proxy
         self.freshness = freshness
         self.clock = clock
         self.metrics = metrics
@@ -136,7 +136,7 @@
             log.exception("A call can't be read", extra={"request": facts.attempt})
             return answer_problem(start_response, internal_fault())
         gone = environ.get("waitress.client_disconnected", lambda: False)
-        return self.passer.serve(call, gone, start_response)
+        return self.proxy.serve(call, gone, start_response)
 
     def turn_away(
         self, error: CallRefused, facts: CallMetadata, start_response
@@ -189,7 +189,7 @@
         self.need_open((service, workspace.name), facts)
         body = read_body(environ, document.limits.body_bytes)
         digest = digest_call(workspace.name, path, body)
-        held_s = self.passer.losses.held_s(digest)
+        held_s = self.proxy.losses.held_s(digest)
         if held_s > 0:
             text = "Several targets lost the answer to this call."
             raise _refused(Reason.LOST_BEFORE, text, held_s)
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -13,7 +13,7 @@
 from godwitladder.clock import Clock
 from godwitladder.decisions.retry_budget import RetryBudget, RetryLimits
 from godwitladder.discovery.feed import Feed, StoreView
-from godwitladder.discovery.hostlist import HostList
+from godwitladder.discovery.host_list import HostList
 from godwitladder.discovery.messages import FeedNews, FeedWanted
 from godwitladder.discovery.source import Source
 from godwitladder.drain import count_unfinished, stop_accepting
@@ -145,7 +145,7 @@
             clock,
             self.freshness,
             self.publish_view,
-            reads_first=not settings.first_start or settings.listen.peers in seeds,
+            reads_at_start=not settings.first_start or settings.listen.peers in seeds,
         )
         self.mesh = Mesh(
             settings.host,
@@ -173,10 +173,10 @@
             lambda rows: self.membership.tell(HostListRead(rows)),
         )
         self.router.connect(self.mesh, self.membership, self.scheduler, self.allocator)
-        self.feed.spread = self.mesh.broadcast
-        self.feed.ask = self.ask_peer
-        self.router.message_handlers[FeedNews] = lambda link, news: self.feed.take_news(
-            news
+        self.feed.broadcast = self.mesh.broadcast
+        self.feed.send_request = self.ask_peer
+        self.router.message_handlers[FeedNews] = lambda link, news: (
+            self.feed.apply_news(news)
         )
         self.router.message_handlers[FeedWanted] = self.tell_newcomer
         self.losses = LossRegistry(clock, self.mesh.broadcast)
@@ -200,12 +200,12 @@
 
     def tell_newcomer(self, link: Link, wanted: FeedWanted) -> None:
         """Tell a host that has just started what this one knows of the store."""
-        self.feed.answer(lambda news: link.send(encode(news)))
+        self.feed.answer_request(lambda news: link.send(encode(news)))
 
     def link_up(self, link: Link) -> None:
         """Tell the membership of a new link; ask at once what this host lacks."""
         self.membership.tell(LinkUp(link))
-        self.feed.ask_peer(lambda wanted: link.send(encode(wanted)))
+        self.feed.request_state(lambda wanted: link.send(encode(wanted)))
 
     def take_loss(self, link: Link, news: AnswerLost) -> None:
         """Take in a lost answer, and pass it on to hosts that can't have it yet.
@@ -373,7 +373,7 @@
         period_s = FIRST_LOOK_S
         while not self.clock.wait(self.stopping, period_s):
             linked = bool(self.mesh.current())
-            period_s = self.host_list.look(linked, self.feed.hosts)
+            period_s = self.host_list.update(linked, self.feed.hosts)
             self.reload_if_changed()
 
 
--- a/godwitladder/routing/state.py
+++ b/godwitladder/routing/state.py
@@ -70,7 +70,7 @@
         memory_tokens=service.memory_tokens,
         prefill_tps=PREFILL_TPS,
         decode_tps=DECODE_TPS,
-        generation=str(entry.born_ms),
+        generation=str(entry.started_ms),
         state=state_of_target(entry, unproved),
     )
 
--- a/godwitladder/routing/status.py
+++ b/godwitladder/routing/status.py
@@ -44,7 +44,7 @@
             "hosts": list(host.hosts),
             "targets": {
                 row.name: "leaving" if row.leaving else "active"
-                for row in host.feed.table.rows.values()
+                for row in host.feed.table.entries.values()
             },
             "open_calls": host.app.open_calls,
         }
--- a/godwitladder/serving/keyed.py
+++ b/godwitladder/serving/keyed.py
@@ -13,16 +13,21 @@
 
 import pykka
 
-from godwitladder.claims.actor import GiveUp, Want
-from godwitladder.claims.collector import RETRY_S, Settled, Verdict, Wanted
+from godwitladder.claims.actor import ReleaseClaim, SubmitClaim
 from godwitladder.claims.issued import (
     ForgedKey,
     IssuedKey,
     IssuedKeys,
-    Spending,
+    KeyUseResult,
     read_key,
 )
 from godwitladder.claims.records import body_bytes, key_bytes, nonce_bytes
+from godwitladder.claims.tracker import (
+    RETRY_DELAY_S,
+    ClaimRequest,
+    ClaimResult,
+    Verdict,
+)
 from godwitladder.clock import Clock
 from godwitladder.ids import HostId, Incarnation, StreamId
 from godwitladder.logs import component_logger
@@ -218,7 +223,7 @@
     def _give_back_unrun(self, first: OriginalRequest, row: RequestRow):
         def on_end(state: RequestState) -> None:
             if state is RequestState.NOT_RUN:
-                self.issued.give_back(row.key)
+                self.issued.restore(row.key)
                 self.repeats.discard(row.key, first)
 
         return on_end
@@ -228,18 +233,20 @@
             # Only a request that is known not to have run frees its key: the
             # next one with it runs on whatever host it reaches.
             if state is RequestState.NOT_RUN:
-                self.claims.tell(GiveUp(key_bytes(row.key), nonce_bytes(row.stream)))
+                self.claims.tell(
+                    ReleaseClaim(key_bytes(row.key), nonce_bytes(row.stream))
+                )
                 self.repeats.discard(row.key, first)
 
         return on_end
 
     def _spend(self, issued: IssuedKey, row: RequestRow) -> None:
-        spending = self.issued.spend(issued, row.key, row.body, self.clock.monotonic())
-        if spending is Spending.SPENT:
+        spending = self.issued.use(issued, row.key, row.body, self.clock.monotonic())
+        if spending is KeyUseResult.SPENT:
             raise held("")
-        if spending is Spending.REUSED:
+        if spending is KeyUseResult.REUSED:
             raise CallRefused(refuse(Reason.KEY_REUSED, OTHER_BODY))
-        if spending is Spending.EXPIRED:
+        if spending is KeyUseResult.EXPIRED:
             raise CallRefused(expired())
 
     def _claim(self, call: Call, environ: Mapping) -> Holder | None:
@@ -269,18 +276,18 @@
             return Holder(held_by.host, held_by.incarnation, stream)
         raise CallRefused(_refusals()[settled.verdict])
 
-    def _await_claim(self, row: RequestRow, environ: Mapping) -> Settled:
+    def _await_claim(self, row: RequestRow, environ: Mapping) -> ClaimResult:
         now = self.clock.monotonic()
         due = min(row.deadline, now + self.settings.claims.patience_s)
-        wanted = Wanted(
+        wanted = ClaimRequest(
             key_bytes(row.key),
             nonce_bytes(row.stream),
             body_bytes(row.body),
             uuid7_time_s(environ[KEY_HEADER]),
             due,
         )
-        reply: queue.SimpleQueue[Settled] = queue.SimpleQueue()
-        self.claims.tell(Want(wanted, reply))
+        reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
+        self.claims.tell(SubmitClaim(wanted, reply))
         return reply.get()
 
     def _ask_holder(
@@ -320,7 +327,7 @@
     return {
         Verdict.REUSED: refuse(Reason.KEY_REUSED, OTHER_BODY),
         Verdict.EXPIRED: expired(),
-        Verdict.UNAVAILABLE: refuse(Reason.LOG_UNAVAILABLE, NO_LOG, RETRY_S),
+        Verdict.UNAVAILABLE: refuse(Reason.LOG_UNAVAILABLE, NO_LOG, RETRY_DELAY_S),
     }
 
 
--- a/godwitladder/serving/keys.py
+++ b/godwitladder/serving/keys.py
@@ -5,7 +5,12 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from godwitladder.claims.actor import ClaimLog, Claims, Follow, HasSettled
+from godwitladder.claims.actor import (
+    ClaimLogThreads,
+    Claims,
+    IsIdle,
+    SubscribeCrashEvents,
+)
 from godwitladder.claims.issued import IssuedKeys, sign_key
 from godwitladder.clients.log import LogClient
 from godwitladder.clock import Clock
@@ -108,14 +113,14 @@
         self.claims = supervised(Claims, fail).start(
             host, incarnation, settings.claims, clock, metrics, work
         )
-        self.claim_log = ClaimLog(
+        self.claim_log = ClaimLogThreads(
             self.claims, client, clock, work, settings.claims.batch_s
         )
         self.forwarder = Forwarder(host, incarnation, mesh, callers, clock)
         self.watch = CrashWatch(
             callers.dispatcher.serve, lambda: callers.config, self.claims, mesh, clock
         )
-        self.claims.tell(Follow(self.watch.replay))
+        self.claims.tell(SubscribeCrashEvents(self.watch.replay))
         self.keyed = callers.keyed = KeyedCalls(
             settings,
             self.claims,
@@ -133,9 +138,9 @@
         return {
             ForwardedCall: self.forwarder.handle_message,
             ForwardedAnswer: self.forwarder.handle_message,
-            Crash: self.watch.take,
-            Cleared: self.watch.take,
-            Lifted: self.watch.take,
+            Crash: self.watch.handle_message,
+            Cleared: self.watch.handle_message,
+            Lifted: self.watch.handle_message,
         }
 
     def start(self, tick_s: float) -> None:
@@ -147,7 +152,7 @@
     def flush(self) -> None:
         """Wait, within bounds, until the log has every release."""
         due = self.clock.monotonic() + FLUSH_S
-        while not self.claims.ask(HasSettled()):
+        while not self.claims.ask(IsIdle()):
             if self.clock.monotonic() >= due:
                 log.warning("Releases were left when the host stopped")
                 return
--- a/godwitladder/serving/quarantine.py
+++ b/godwitladder/serving/quarantine.py
@@ -27,7 +27,7 @@
     if method == "GET" and path == QUARANTINE_PATH:
         rows = [
             {"digest": digest, "ends_in_s": round(seconds, 1)}
-            for digest, seconds in watch.held().items()
+            for digest, seconds in watch.remaining_quarantines().items()
         ]
         return _answer(start_response, {"quarantined": rows})
     if method == "POST" and path == LIFT_PATH:
--- a/godwitladder/standins/ingress.py
+++ b/godwitladder/standins/routed.py
@@ -75,7 +75,7 @@
         """Put a configuration in force, as the operator does."""
         self.put(names.CONFIG_TOPIC, names.CONFIG_KEY, json.dumps(config).encode())
 
-    def forget(self, topic: str) -> None:
+    def compact(self, topic: str) -> None:
         """Drop the history of a topic; the newest record of each key stays."""
         with self.lock:
             part = self.topics[topic]
@@ -204,7 +204,7 @@
     def __init__(self) -> None:
         self.knobs = EngineKnobs()
         self.runs: list[Run] = []
-        self.broken = 0
+        self.broken_connections = 0
 
 
 class EngineHandler(BaseHTTPRequestHandler):
@@ -229,7 +229,7 @@
         try:
             self.run(engine.knobs)
         except OSError:
-            engine.broken += 1
+            engine.broken_connections += 1
 
     do_GET = do_POST
 
--- a/soak/inject.py
+++ b/soak/inject.py
@@ -39,9 +39,9 @@
             Kind.STORE_LOSES: lambda f: self.turn_store("lose", True, f),
             Kind.STORE_FORGET: self.forget,
             Kind.STORE_CUT: lambda f: self.hold(self.host(f).store, f, *Way),
-            Kind.STORE_SILENT: lambda f: self.host(f).store.silence(),
+            Kind.STORE_SILENT: lambda f: self.host(f).store.blackhole(),
             Kind.TARGET_RESET: lambda f: self.target(f).proxy.reset(),
-            Kind.TARGET_SILENT: lambda f: self.target(f).proxy.silence(),
+            Kind.TARGET_SILENT: lambda f: self.target(f).proxy.blackhole(),
             Kind.TARGET_HELD: lambda f: self.hold(self.target(f).proxy, f, Way.FROM),
             Kind.TARGET_GONE: self.crash_target,
             Kind.TARGET_REFUSES: lambda f: self.turn(f, "refuse", True, False),
@@ -54,7 +54,7 @@
             ),
             Kind.TARGET_LEAVES: self.take_target_out,
             Kind.PEER_RESET: lambda f: self.host(f).door.reset(),
-            Kind.PEER_SILENT: lambda f: self.host(f).door.silence(),
+            Kind.PEER_SILENT: lambda f: self.host(f).door.blackhole(),
             Kind.CONFIG: lambda f: self.change_config(),
             Kind.REVOKE: self.revoke,
         }
@@ -142,7 +142,7 @@
         """Let the store forget its history."""
         store = self.fleet.store.standin
         for topic in list(store.topics):
-            store.forget(topic)
+            store.compact(topic)
 
     def hold(self, proxy: Proxy, fault: Fault, *ways: Way) -> None:
         """Pass nothing on in some directions for a time."""
--- a/tests/claims/test_collector.py
+++ b/tests/claims/test_collector.py
@@ -1,8 +1,8 @@
 """Claims in single steps: retention, gaps, dated keys, outages."""
 
-from godwitladder.claims.collector import Collector, Verdict, Wanted
 from godwitladder.claims.records import Claim, Release, encode_record
 from godwitladder.claims.table import AHEAD_S, RIVALS_PER_KEY, ClaimTable
+from godwitladder.claims.tracker import ClaimRequest, ClaimTracker, Verdict
 from godwitladder.clients.log import Page, Record
 from tests.claims.test_machine import BODY, RETENTION_S, WINDOW_S, FakeLog
 
@@ -10,20 +10,20 @@
 FAR = 1e9
 
 
-def make_host(name: str) -> Collector:
-    return Collector(name, 1, ClaimTable(WINDOW_S))
+def make_host(name: str) -> ClaimTracker:
+    return ClaimTracker(name, 1, ClaimTable(WINDOW_S))
 
 
-def catch_up(log: FakeLog, *hosts: Collector) -> list[Verdict]:
+def catch_up(log: FakeLog, *hosts: ClaimTracker) -> list[Verdict]:
     pages = [host.read(log.page(host.table.next)) for host in hosts]
     return [row.verdict for page in pages for row in page]
 
 
 def claim(
-    log: FakeLog, host: Collector, nonce: bytes, body=BODY, dated=0.0
+    log: FakeLog, host: ClaimTracker, nonce: bytes, body=BODY, dated=0.0
 ) -> list[Verdict]:
     catch_up(log, host)
-    settled = host.want(Wanted(KEY, nonce, body, dated, FAR), log.now)
+    settled = host.want(ClaimRequest(KEY, nonce, body, dated, FAR), log.now)
     if settled:
         return [settled.verdict]
     log.append(host.take_batch())
@@ -102,7 +102,7 @@
     log, host = FakeLog(), make_host("a")
     log.append([Release(b"x" * 16, b"x")])
     catch_up(log, host)
-    host.want(Wanted(KEY, b"1", BODY, 0.0, FAR), log.now)
+    host.want(ClaimRequest(KEY, b"1", BODY, 0.0, FAR), log.now)
     log.append([Claim(KEY, b"0", "b", 1, BODY, 0.0)])
     log.append(host.take_batch())
     host.append_done()
@@ -136,7 +136,7 @@
     log, host = FakeLog(), make_host("a")
     catch_up(log, host)
     host.read_failed()
-    settled = host.want(Wanted(KEY, b"1", BODY, 0.0, FAR), log.now)
+    settled = host.want(ClaimRequest(KEY, b"1", BODY, 0.0, FAR), log.now)
     assert settled.verdict is Verdict.UNAVAILABLE
     assert not host.take_batch()
 
@@ -144,7 +144,7 @@
 def test_claim_that_was_never_sent_needs_no_release():
     """A request refused before its claim left the host costs no append."""
     log, host = FakeLog(), make_host("a")
-    host.want(Wanted(KEY, b"1", BODY, 0.0, log.now + 1), log.now)
+    host.want(ClaimRequest(KEY, b"1", BODY, 0.0, log.now + 1), log.now)
     log.now += 2
     assert [row.verdict for row in host.expire(log.now)] == [Verdict.UNAVAILABLE]
     assert not host.take_batch()
@@ -186,7 +186,7 @@
     """Of two hosts that claim at once, one wins; the other frees its claim."""
     log, host, other = FakeLog(), make_host("a"), make_host("b")
     for index, claimer in enumerate((host, other)):
-        claimer.want(Wanted(KEY, b"%d" % index, BODY, 0.0, FAR), log.now)
+        claimer.want(ClaimRequest(KEY, b"%d" % index, BODY, 0.0, FAR), log.now)
         log.append(claimer.take_batch())
         claimer.append_done()
     assert catch_up(log, host, other) == [Verdict.WON, Verdict.HELD]
--- a/tests/claims/test_keys.py
+++ b/tests/claims/test_keys.py
@@ -9,7 +9,7 @@
     PREFIX,
     ForgedKey,
     IssuedKeys,
-    Spending,
+    KeyUseResult,
     read_key,
     sign_key,
 )
@@ -31,25 +31,25 @@
     keys = IssuedKeys("a", 1, WINDOW_S)
     key = keys.issue("advisers", 10.0)
     assert read_key(SECRET, sign_key(SECRET, key)) == key
-    assert keys.spend(key, "d", "body", 11.0) is Spending.GRANTED
-    assert keys.spend(key, "d", "body", 12.0) is Spending.SPENT
-    assert keys.spend(key, "d", "else", 12.0) is Spending.REUSED
-    keys.give_back("d")
-    assert keys.spend(key, "d", "body", 13.0) is Spending.GRANTED
+    assert keys.use(key, "d", "body", 11.0) is KeyUseResult.GRANTED
+    assert keys.use(key, "d", "body", 12.0) is KeyUseResult.SPENT
+    assert keys.use(key, "d", "else", 12.0) is KeyUseResult.REUSED
+    keys.restore("d")
+    assert keys.use(key, "d", "body", 13.0) is KeyUseResult.GRANTED
 
 
 def test_issued_key_is_refused_by_another_process_and_after_its_window():
     """A key whose use may be forgotten, or was never known here, runs nothing."""
     keys = IssuedKeys("a", 1, WINDOW_S)
     key = keys.issue("advisers", 10.0)
-    keys.spend(key, "d", "body", 11.0)
+    keys.use(key, "d", "body", 11.0)
     for index in range(30):
         late = keys.issue("advisers", 10.0 + 10 * index)
-        keys.spend(late, f"other-{index}", "body", 10.0 + 10 * index)
+        keys.use(late, f"other-{index}", "body", 10.0 + 10 * index)
     assert len(keys.spent) < 15
-    assert keys.spend(key, "d", "body", 320.0) is Spending.EXPIRED
+    assert keys.use(key, "d", "body", 320.0) is KeyUseResult.EXPIRED
     with pytest.raises(ForgedKey):
-        IssuedKeys("a", 2, WINDOW_S).spend(key, "d", "body", 12.0)
+        IssuedKeys("a", 2, WINDOW_S).use(key, "d", "body", 12.0)
 
 
 def test_key_signed_by_nobody_is_no_issued_key():
--- a/tests/claims/test_machine.py
+++ b/tests/claims/test_machine.py
@@ -13,9 +13,9 @@
     run_state_machine_as_test,
 )
 
-from godwitladder.claims.collector import Collector, Settled, Verdict, Wanted
 from godwitladder.claims.records import encode_record
 from godwitladder.claims.table import ClaimTable
+from godwitladder.claims.tracker import ClaimRequest, ClaimResult, ClaimTracker, Verdict
 from godwitladder.clients.log import Page, Record
 
 HOSTS = 3
@@ -86,10 +86,10 @@
         self.naive = NaiveKeys()
         self.runs: list[tuple[bytes, float]] = []
 
-    def make_host(self, index: int, incarnation: int) -> Collector:
-        return Collector(f"host-{index}", incarnation, ClaimTable(WINDOW_S))
+    def make_host(self, index: int, incarnation: int) -> ClaimTracker:
+        return ClaimTracker(f"host-{index}", incarnation, ClaimTable(WINDOW_S))
 
-    def take(self, settled: list[Settled]) -> None:
+    def take(self, settled: list[ClaimResult]) -> None:
         for row in settled:
             attempt = self.attempts[row.nonce]
             assert attempt.state == "pending", "a claim was settled twice"
@@ -100,7 +100,7 @@
     def want_on(self, index: int, key: bytes) -> Attempt:
         nonce = len(self.attempts).to_bytes(12, "big")
         attempt = self.attempts[nonce] = Attempt(index, key, nonce)
-        wanted = Wanted(key, nonce, BODY, 0.0, self.log.now + PATIENCE_S)
+        wanted = ClaimRequest(key, nonce, BODY, 0.0, self.log.now + PATIENCE_S)
         settled = self.hosts[index].want(wanted, self.log.now)
         self.take([settled] if settled else [])
         return attempt
--- a/tests/claims/test_notes.py
+++ b/tests/claims/test_notes.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from godwitladder.claims.actor import Claims, PageRead
-from godwitladder.claims.collector import Settled, Verdict
+from godwitladder.claims.tracker import ClaimResult, Verdict
 from godwitladder.metrics import Metrics
 
 
@@ -15,14 +15,14 @@
     soon as it has it: the note must be known by then, or the request that
     crashes targets is tried once more and takes a third one.
     """
-    reply: queue.SimpleQueue[Settled] = queue.SimpleQueue()
+    reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
     known_before = []
     claims = Claims.__new__(Claims)
     claims.metrics = Metrics()
     claims.replies = {b"n": reply}
     claims.take_note = lambda note, time: known_before.append(reply.empty())
     claims.collector = SimpleNamespace(
-        read=lambda page: [Settled(b"n", Verdict.WON)], notes=[("a crash", 0.0)]
+        read=lambda page: [ClaimResult(b"n", Verdict.WON)], notes=[("a crash", 0.0)]
     )
     claims.take(PageRead(None))
     assert known_before == [True]
--- a/tests/configuration/fakes.py
+++ b/tests/configuration/fakes.py
@@ -42,22 +42,22 @@
 
     def __init__(self, log):
         self.log = log
-        self.cut = False
-        self.lose = 0
+        self.disconnected = False
+        self.lost_answers = 0
         self.after_append = lambda: None
 
     def append(self, stream, records):
-        if self.cut:
+        if self.disconnected:
             raise LogNotReached("cut off")
         offset = self.log.append(stream, records)
         self.after_append()
-        if self.lose:
-            self.lose -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             raise LogUnavailable("the answer was lost")
         return offset
 
     def read(self, stream, start, wait_s=0.0):
-        if self.cut:
+        if self.disconnected:
             raise LogNotReached("cut off")
         return self.log.read(stream, start, wait_s)
 
--- a/tests/configuration/test_operators.py
+++ b/tests/configuration/test_operators.py
@@ -127,7 +127,7 @@
 
 def test_outage_before_anything_is_sent_is_not_run(desk):
     """The log takes no connections: the ticket is not in it, and never will be."""
-    desk.client.cut = True
+    desk.client.disconnected = True
     status, headers, answer = desk.submit(ticket(1, tier("urgent")))
     assert (status, answer["outcome"]) == (503, "not_run")
     assert int(headers["Retry-After"]) > 0
@@ -140,7 +140,7 @@
     Ticket 2 doesn't in time, and its operator reads that it may have been
     taken and that the same ticket can be sent again.
     """
-    desk.client.lose = 2
+    desk.client.lost_answers = 2
     status, _, answer = desk.submit(ticket(1, tier("urgent")))
     assert (status, answer["verdict"]) == (202, "accepted")
     desk.client.after_append = lambda: None
--- a/tests/discovery/test_discovery.py
+++ b/tests/discovery/test_discovery.py
@@ -94,22 +94,22 @@
         for teller in tellers:
             news = teller.all_news()
             if news is not None:
-                feed.take_news(decode(encode(news)))
+                feed.apply_news(decode(encode(news)))
         return bool(tellers)
 
-    feed.ask = ask
+    feed.send_request = ask
     return feed, views
 
 
 def names(feed):
-    return sorted(feed.table.rows)
+    return sorted(feed.table.entries)
 
 
 def test_a_target_that_leaves_the_list_is_gone_at_once():
     table = TargetTable()
     table.put(ONE)
     assert table.drop("e1", now=100.0)
-    assert not table.rows
+    assert not table.entries
 
 
 def test_targets_that_lapsed_with_the_store_are_kept_until_they_are_back():
@@ -123,10 +123,10 @@
     table.put(TWO)
     table.store_returned(100.0)
     assert not table.keep_only(set(), now=100.1)
-    assert set(table.rows) == {"e1", "e2"}
+    assert set(table.entries) == {"e1", "e2"}
     table.put(ONE)
     assert table.expire(100.0 + RETURN_S)
-    assert set(table.rows) == {"e1"}
+    assert set(table.entries) == {"e1"}
 
 
 def test_a_target_that_had_said_it_leaves_is_not_waited_for():
@@ -156,7 +156,7 @@
     reader, _ = make_feed(source, clock)
     other, views = make_feed(source, clock, host="h2")
     reader.step(), other.step()
-    reader.spread = other.take_news
+    reader.broadcast = other.apply_news
     reads = source.reads
     for _ in range(10):
         source.put(b"one")
@@ -176,7 +176,7 @@
     feed, _ = make_feed(source, clock)
     feed.step()
     news = []
-    feed.spread = news.append
+    feed.broadcast = news.append
     source.put(b"one")
     source.put(b"two", "e2")
     clock.advance(PERIOD_S)
@@ -196,7 +196,7 @@
     source.put(b"one")
     one, _ = make_feed(source, clock, "h1")
     two, _ = make_feed(source, clock, "h2")
-    one.spread = two.take_news
+    one.broadcast = two.apply_news
     one.step()
     assert names(two) == ["e1"]
     source.put(b"one leaves")
@@ -240,7 +240,7 @@
     source.put(b"one leaves")
     clock.advance(PERIOD_S)
     reader.step()
-    reader.spread = other.take_news
+    reader.broadcast = other.apply_news
     clock.advance(PERIOD_S)
     reader.step()
     assert other.freshness.age_s(clock.boottime()) > 1.5 * PERIOD_S
@@ -313,7 +313,7 @@
     source.away = False
     source.put(b"one leaves")
     clock.advance(PERIOD_S)
-    peer.spread = feed.take_news
+    peer.broadcast = feed.apply_news
     peer.step()
     assert views[-1].targets == (replace(ONE, leaving=True), TWO)
 
@@ -377,11 +377,11 @@
     source.put_document(1)
     reader, _ = make_feed(source, clock)
     told = []
-    reader.answer(told.append)
+    reader.answer_request(told.append)
     assert not told
     reader.step()
     assert [news.documents.next for news in told] == [1]
-    reader.answer(told.append)
+    reader.answer_request(told.append)
     assert len(told) == 2
 
 
@@ -389,6 +389,6 @@
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     feed, _ = make_newcomer(source, clock, [])
-    feed.reads_first = True
+    feed.reads_at_start = True
     feed.step()
     assert feed.document.version == 1
--- a/tests/discovery/test_hostlist.py
+++ b/tests/discovery/test_hostlist.py
@@ -1,6 +1,6 @@
 """Which hosts use the store's list of hosts, and when."""
 
-from godwitladder.discovery.hostlist import (
+from godwitladder.discovery.host_list import (
     KEEPERS,
     LONELY_PERIOD_S,
     PERIOD_S,
@@ -23,7 +23,7 @@
         self.reads += 1
         return tuple(self.rows.values())
 
-    def list_host(self, row):
+    def register_host(self, row):
         self.fail_if_away()
         self.rows[row.address] = row
 
@@ -45,7 +45,7 @@
 def test_a_few_linked_hosts_keep_the_list_and_the_others_call_nothing():
     store = MemoryList()
     lists, _ = make_lists(store)
-    assert {one.look(True, HOSTS) for one in lists} == {PERIOD_S}
+    assert {one.update(True, HOSTS) for one in lists} == {PERIOD_S}
     assert len(store.rows) == KEEPERS
     assert store.reads == KEEPERS
 
@@ -55,9 +55,9 @@
     store = MemoryList()
     lists, told = make_lists(store)
     for one in lists[:-1]:
-        one.look(True, HOSTS)
+        one.update(True, HOSTS)
     newcomer = lists[-1]
-    assert newcomer.look(False, (newcomer.host,)) == LONELY_PERIOD_S
+    assert newcomer.update(False, (newcomer.host,)) == LONELY_PERIOD_S
     assert len(told[newcomer.host][-1]) >= KEEPERS
 
 
@@ -65,11 +65,11 @@
     store = MemoryList()
     lists, _ = make_lists(store)
     for one in lists:
-        one.look(True, HOSTS)
+        one.update(True, HOSTS)
     left = [one for one in lists if not one.listed]
     hosts = tuple(one.host for one in left)
     for one in left:
-        one.look(True, hosts)
+        one.update(True, hosts)
     assert sum(one.listed for one in left) == KEEPERS
 
 
@@ -77,11 +77,11 @@
     store = MemoryList()
     lists, told = make_lists(store)
     for one in lists:
-        one.look(True, HOSTS)
+        one.update(True, HOSTS)
         one.leave()
     assert len(store.rows) == KEEPERS
     reader = next(one for one in lists if not one.listed)
-    reader.look(False, HOSTS)
+    reader.update(False, HOSTS)
     assert told[reader.host] == [(reader.row,)]
 
 
@@ -90,9 +90,9 @@
     store = MemoryList()
     store.away = True
     lists, told = make_lists(store)
-    assert lists[0].look(False, HOSTS[:1]) == LONELY_PERIOD_S
+    assert lists[0].update(False, HOSTS[:1]) == LONELY_PERIOD_S
     assert not lists[0].listed
     assert not told["h0"]
     store.away = False
-    assert lists[0].look(True, HOSTS[:1]) == PERIOD_S
+    assert lists[0].update(True, HOSTS[:1]) == PERIOD_S
     assert lists[0].listed
--- a/tests/discovery/test_rollouts.py
+++ b/tests/discovery/test_rollouts.py
@@ -8,7 +8,7 @@
 
 from godwitladder.configuration.model import TargetState
 from godwitladder.discovery.feed import StoreView
-from godwitladder.discovery.rolloutdesk import AFTER_S, RolloutDesk
+from godwitladder.discovery.rollout_tracker import AFTER_S, RolloutDesk
 from godwitladder.discovery.rollouts import RolloutOrder, RolloutState, held_back
 from godwitladder.discovery.source import Batch, Record, StoreUnavailable
 from godwitladder.discovery.targets import TargetEntry
--- a/tests/discovery/test_slow_store.py
+++ b/tests/discovery/test_slow_store.py
@@ -44,7 +44,7 @@
             )
             feed.hosts = self.names
             feed.step()
-            feed.spread = lambda news, teller=feed: self.tell(teller, news)
+            feed.broadcast = lambda news, teller=feed: self.tell(teller, news)
             self.feeds.append(feed)
         for feed in self.feeds:
             feed.read()
@@ -54,7 +54,7 @@
         for feed in self.feeds:
             if feed is not teller:
                 self.told += len(news.documents.records)
-                feed.take_news(news)
+                feed.apply_news(news)
 
     def play(self, seconds: float) -> None:
         """Let time pass; a read ends a while after it began."""
@@ -106,9 +106,9 @@
     source, clock = MemorySource(), ManualClock()
     source.put_document(1)
     restarted, _ = make_newcomer(source, clock, [], host="h2")
-    restarted.reads_first = True
+    restarted.reads_at_start = True
     told = []
-    restarted.spread = told.append
+    restarted.broadcast = told.append
     restarted.step()
     assert restarted.document.version == 1
     assert not told
@@ -122,8 +122,8 @@
     other.step()
     source.put_document(2)
     reader, _ = make_newcomer(source, clock, [], host="h1")
-    reader.reads_first = True
-    reader.spread = other.take_news
+    reader.reads_at_start = True
+    reader.broadcast = other.apply_news
     reader.step()
     assert other.document.version == 2
 
@@ -136,11 +136,11 @@
     source.put_document(1)
     began = clock.boottime()
     documents, entries = source.read_documents(0), source.read_entries(0)
-    one.spread = two.take_news
+    one.broadcast = two.apply_news
     clock.advance(PERIOD_S)
     one.step()
     told = []
-    two.spread = told.append
+    two.broadcast = told.append
     two.finish_read(documents, entries, began)
     (news,) = told
     assert (news.documents.start, news.documents.records) == (1, ())
@@ -152,10 +152,10 @@
     feed, _ = make_newcomer(source, clock, [])
     asked = []
     for peer in range(8):
-        feed.ask_peer(lambda wanted, peer=peer: asked.append(peer) is None)
+        feed.request_state(lambda wanted, peer=peer: asked.append(peer) is None)
     assert asked == [0]
     clock.advance(ASK_S)
-    feed.ask_peer(lambda wanted: asked.append(8) is None)
+    feed.request_state(lambda wanted: asked.append(8) is None)
     assert asked == [0, 8]
 
 
@@ -169,7 +169,7 @@
     strong, _ = make_feed(source, clock, hosts=("h1",))
     weak, _ = make_feed(source, clock, host="h9", hosts=("h1",))
     strong.step(), weak.step()
-    weak.spread = strong.take_news
+    weak.broadcast = strong.apply_news
     strong.source, away.away = away, True
     for _ in range(60):
         clock.advance(0.1)
--- a/tests/orders/test_book.py
+++ b/tests/orders/test_book.py
@@ -3,13 +3,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from godwitladder.orders.book import GUARD_S, OrderBook
 from godwitladder.orders.records import (
     Lease,
     WeightRead,
     decode_record,
     encode_record,
 )
+from godwitladder.orders.table import GUARD_S, OrderBook
 
 LEASE_S = 10.0
 STEPS = st.lists(
--- a/tests/orders/test_issuer.py
+++ b/tests/orders/test_issuer.py
@@ -62,7 +62,9 @@
 
     def want(self, name, order, number):
         target = Target(self.engine.address, "a", ("letters",), **vars(order))
-        self.states[name] = ConfigState(targets={"t": target}, numbers={"t": number})
+        self.states[name] = ConfigState(
+            targets={"t": target}, target_ticket_numbers={"t": number}
+        )
 
     def taken(self):
         return [row["model"] for row in self.engine.standin.orders]
@@ -154,14 +156,14 @@
 
 
 def test_lost_answer_to_a_lease_is_settled_by_reading(world):
-    world.issuers["one"].stream.client.lose = 1
+    world.issuers["one"].stream.client.lost_answers = 1
     world.issuers["one"].order("t")
     assert world.taken() == ["letters-2"]
 
 
 def test_nothing_is_ordered_while_the_log_is_away(world):
     issuer = world.issuers["one"]
-    issuer.stream.client.cut = True
+    issuer.stream.client.disconnected = True
     issuer.look_after("t")
     assert world.taken() == []
     assert issuer.mine() == []
--- a/tests/quarantine/test_watch.py
+++ b/tests/quarantine/test_watch.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from godwitladder.claims.actor import GiveUp, Note, Want
-from godwitladder.claims.collector import Settled, Verdict
+from godwitladder.claims.actor import Note, ReleaseClaim, SubmitClaim
+from godwitladder.claims.tracker import ClaimResult, Verdict
 from godwitladder.clock import ManualClock
 from godwitladder.configuration.model import Service, ServiceKind, Target
 from godwitladder.configuration.state import ConfigState
@@ -35,8 +35,8 @@
 
     def tell(self, message) -> None:
         self.told.append(message)
-        if isinstance(message, Want):
-            message.reply.put(Settled(message.wanted.nonce, self.verdict))
+        if isinstance(message, SubmitClaim):
+            message.reply.put(ClaimResult(message.wanted.nonce, self.verdict))
 
     def kinds(self) -> list[type]:
         return [type(message) for message in self.told]
@@ -125,7 +125,7 @@
     watch.run = end(RequestState.COMPLETED)
     assert watch.serve(call, {}, None) == [None]
     assert watch.standing(crash_digest(call)) is QuarantineStatus.CLEAR
-    assert watch.claims.kinds() == [Note, Want, Note, GiveUp]
+    assert watch.claims.kinds() == [Note, SubmitClaim, Note, ReleaseClaim]
     assert isinstance(watch.mesh.sent[-1], Cleared)
 
 
@@ -161,10 +161,10 @@
     """Notes come over links and by the log; an old one suspects nobody anew."""
     watch = make_watch(end(RequestState.COMPLETED))
     note = Crash("report", "t1", "d", False)
-    watch.take(FakeLink("peer"), note)
-    watch.take(FakeLink("peer"), note)
+    watch.handle_message(FakeLink("peer"), note)
+    watch.handle_message(FakeLink("peer"), note)
     assert watch.mesh.sent == [note]
-    watch.take(FakeLink("peer"), Cleared("second", "d"))
+    watch.handle_message(FakeLink("peer"), Cleared("second", "d"))
     watch.replay(note, watch.clock.wall())
     watch.replay(Crash("third", "t2", "d", False), watch.clock.wall() - HOLD_S - 1)
     assert watch.standing("d") is QuarantineStatus.CLEAR
@@ -196,9 +196,9 @@
     thread.start()
     wait_until(lambda: watch.mesh.sent, "the note to be sent")
     note = watch.mesh.sent[0]
-    watch.take(FakeLink("near"), note)
+    watch.handle_message(FakeLink("near"), note)
     assert not answered.is_set()
-    watch.take(FakeLink("far"), note)
+    watch.handle_message(FakeLink("far"), note)
     thread.join()
     assert answered.is_set()
 
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -21,7 +21,7 @@
 from godwitladder.serving.losses import AnswerLost, LossRegistry, digest_call
 from godwitladder.serving.proxying import RoutedProxy
 from godwitladder.serving.upstream import StreamTruncated
-from godwitladder.standins.ingress import start_engine
+from godwitladder.standins.routed import start_engine
 from tests.fleet import wait_until
 from tests.platform.test_adapter import CONFIG
 
@@ -117,7 +117,7 @@
         form = PlatformHeaders()
         self.freshness = DocumentFreshness(5.0)
         self.freshness.confirm(self.clock.boottime())
-        passer = RoutedProxy(
+        proxy = RoutedProxy(
             form,
             self.desk,
             self.clock,
@@ -127,7 +127,7 @@
             LossRegistry(self.clock, lambda message: None),
             lambda: 1,
         )
-        self.app = RoutedApp(form, passer, self.freshness, self.clock, Metrics())
+        self.app = RoutedApp(form, proxy, self.freshness, self.clock, Metrics())
         document = decode_document(json.dumps(CONFIG | {"routes": ROUTES}).encode())
         self.app.in_force = index_document(document)
 
@@ -352,7 +352,7 @@
     threading.Timer(0.4, left.set).start()
     answer = bench.call("/stream/x", gone=left.is_set)
     assert answer.cut
-    wait_until(lambda: engine.broken == 1, "the stream to break")
+    wait_until(lambda: engine.broken_connections == 1, "the stream to break")
     assert not bench.watch.calls
 
 
@@ -366,7 +366,7 @@
     bench.engines[0].standin.knobs.foreign = True
     digest = digest_call("w1", "/charge/bad", b"x")
     for name in ("t8", "t9"):
-        bench.app.passer.losses.record_loss(AnswerLost(digest, name))
+        bench.app.proxy.losses.record_loss(AnswerLost(digest, name))
     assert bench.call("/charge/bad", body=b"x").status == 502
     assert bench.call("/charge/bad", body=b"x").status == 503
     assert bench.call("/charge/good", body=b"x").status == 200
