--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from demo.fleet import ADVISER_KEY, OPERATOR_TOKEN, RETURNS_KEY, DemoFailed, Fleet
-from demo.scenes import SCENES, Row
+from demo.scenarios import SCENES, Row
 
 
 def run_scenes(fleet: Fleet) -> list[Row]:
