--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,6 +1,7 @@
-"""Real hosts under faults that are injected from outside them, by seed.
+"""Seeded fault-injection tests of a fleet of host processes.
 
-Hosts run as processes. Their store, their targets and some of their links lie
-behind loopback proxies. A seed draws the faults, and what callers and targets
-saw is held against the promises of `docs/PROMISES.md`.
+Each host runs in its own process. Loopback proxies stand in front of the store,
+the targets and some of the links between hosts. The seed determines the faults.
+What callers and targets observed is checked against the guarantees in
+`docs/PROMISES.md`.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds of the soak and prints what each showed."""
+"""Command line of the soak test: run seeds and print the outcome of each."""
 
 import sys
 import time
@@ -20,24 +20,24 @@
     hosts: int = 4,
     logs: str = "",
 ) -> None:
-    """Play seeds and exit with 1 if any promise was broken.
+    """Run seeds, and exit with status 1 if any guarantee was violated.
 
     Parameters
     ----------
     first : int
-        The first seed; drawn from the time of day if it is left out.
+        First seed; the current Unix time if omitted.
     count : int
-        How many seeds, one after the other.
+        Number of consecutive seeds.
     jobs : int
-        How many are played at a time.
+        Number of seeds that run concurrently.
     faults : int
-        Faults in each.
+        Number of faults per seed.
     seconds : float
-        Length of each, without its start and end.
+        Duration of each run in seconds, without startup and final checks.
     hosts : int
-        Processes of hosts in each.
+        Number of host processes per run.
     logs : str
-        Folder for the logs of hosts, one folder in it for each seed.
+        Directory for the logs of the hosts, with one subdirectory per seed.
     """
     begin = int(time.time()) if first < 0 else first
     size = Size(hosts=hosts, faults=faults, seconds=seconds)
@@ -59,7 +59,7 @@
 
 
 def print_outcome(outcome: Outcome) -> None:
-    """Print one line for a seed, and one for each promise that it broke."""
+    """Print a summary line, and a line for each of the first ten violations."""
     line = f"seed {outcome.seed}: {outcome.calls} calls, {outcome.answered} answered"
     print(f"{line}, {outcome.runs} runs, {len(outcome.broken)} broken", flush=True)
     for text in outcome.broken[:10]:
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that send calls over connections that they keep, and note what they get."""
+"""Callers that send calls over persistent connections and record the answers."""
 
 import http.client
 import random
@@ -15,12 +15,15 @@
 DEADLINE_S = 5.0
 LOOK_S = 1.0
 MISSES = 2
-"""The balancer looks once a second, and takes a host out after two misses."""
+"""Consecutive failed probes, one per `LOOK_S`, that take a host out of rotation."""
 LONGEST_RETURN_S = 1.0
 
 
 class Balancer(threading.Thread):
-    """Knows which hosts are sent new connections."""
+    """Model of a load balancer that probes the readiness of hosts.
+
+    Callers open new connections to the hosts in rotation only.
+    """
 
     def __init__(self, fleet: Fleet, over: threading.Event) -> None:
         super().__init__(daemon=True)
@@ -29,20 +32,20 @@
         self.misses = {host.name: 0 for host in fleet.hosts}
 
     def run(self) -> None:
-        """Look at all hosts until the run is over."""
+        """Probe all hosts until the run is over."""
         while not self.over.wait(LOOK_S):
             for host in self.fleet.hosts:
                 missed = not host.is_ready()
                 self.misses[host.name] = self.misses[host.name] + 1 if missed else 0
 
     def hosts(self) -> list[Host]:
-        """Return the hosts in rotation; all of them if none is."""
+        """Return the hosts in rotation, or all hosts if none is."""
         rows = [row for row in self.fleet.hosts if self.misses[row.name] < MISSES]
         return rows or self.fleet.hosts
 
 
 class Caller(threading.Thread):
-    """Sends one call after the other."""
+    """Thread that sends one call at a time."""
 
     def __init__(
         self,
@@ -65,7 +68,7 @@
         self.returned_s = 0.0
 
     def run(self) -> None:
-        """Call until the run is over."""
+        """Send calls until the run is over."""
         count = 0
         while not self.over.is_set():
             count += 1
@@ -75,7 +78,10 @@
         self.hang_up()
 
     def begin(self, count: int) -> Attempt:
-        """Return the next call, on the connection that is open if there is one."""
+        """Record and return the next call.
+
+        It uses the open connection, or a new one to a random host in rotation.
+        """
         if self.connection is None:
             self.host = self.dice.choice(self.balancer.hosts())
             address = self.host.callers
@@ -88,7 +94,10 @@
         return attempt
 
     def send(self, attempt: Attempt) -> None:
-        """Send a call and note its answer."""
+        """Send a call and record its answer or error.
+
+        A call whose connection can't be opened stays without an end.
+        """
         try:
             if self.connection.sock is None:
                 self.connection.connect()
@@ -104,7 +113,7 @@
         attempt.ended = self.clock()
 
     def exchange(self, attempt: Attempt) -> None:
-        """Write a call and read its answer."""
+        """Write the request and read the answer, or abandon the call at random."""
         headers = {
             "Host": "shop.example",
             names.ATTEMPT: attempt.name,
@@ -127,13 +136,13 @@
             self.hang_up()
 
     def pause_s(self, attempt: Attempt) -> float:
-        """Return how long to wait before the next call."""
+        """Return the seconds to wait before the next call."""
         if attempt.status in (429, 503):
             return min(max(self.returned_s, PAUSE_S), LONGEST_RETURN_S)
         return PAUSE_S if attempt.status else 5 * PAUSE_S
 
     def hang_up(self) -> None:
-        """Close the connection."""
+        """Close the connection, if one is open."""
         if self.connection is not None:
             self.connection.close()
         self.connection = None
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of one run, their store and targets, and the proxies between."""
+"""The host processes, store and targets of one run, and the proxies between them."""
 
 import contextlib
 import http.client
@@ -44,15 +44,17 @@
 ANSWER_S = 2.0
 LOOK_S = 0.02
 INTERPRETER_S = 0.15
-"""Processor time in which the interpreter starts: five times what it takes, and a
-third of what loading the host takes."""
+"""CPU time after which the interpreter counts as started.
+
+This is five times what its start takes, and a third of what loading the host takes.
+"""
 USER_TICKS, SYSTEM_TICKS = 13, 14
-"""Places in the kernel's line on a process, whose name holds no space."""
+"""Zero-based fields of /proc/PID/stat, if the process name contains no space."""
 TARGET_SLOTS = 4
 
 
 def make_config(version: int, keys: list[str]) -> dict:
-    """Return the operator's configuration."""
+    """Return the configuration document that an operator would publish."""
     routes = [
         {
             "name": name,
@@ -77,7 +79,10 @@
 
 
 class Host:
-    """One host: its settings file, its process, and its way to the store."""
+    """A host: its settings file, its process, and the proxies around it.
+
+    One proxy leads from the host to the store, the other from peers to the host.
+    """
 
     def __init__(self, folder: Path, name: str, zone: str, store: str) -> None:
         self.name = name
@@ -93,16 +98,16 @@
 
     @property
     def callers(self) -> str:
-        """Where callers reach it."""
+        """Address at which the host accepts callers."""
         return f"127.0.0.1:{self.ports[0]}"
 
     @property
     def peers(self) -> str:
-        """Where it listens for peers."""
+        """Address at which the host accepts peers."""
         return f"127.0.0.1:{self.ports[3]}"
 
     def write(self, seeds: list[str]) -> None:
-        """Write its settings."""
+        """Write the settings file; ``seeds`` are addresses of peers."""
         text = SETTINGS.format(
             name=self.name,
             zone=self.zone,
@@ -113,7 +118,7 @@
         self.path.write_text(text)
 
     def start(self) -> None:
-        """Start its process."""
+        """Start the process."""
         self.stopping = False
         self.process = subprocess.Popen(
             [sys.executable, "-m", "godwitladder.platform"],
@@ -123,17 +128,17 @@
         )
 
     def note_end(self) -> None:
-        """Note if the process has ended though nobody stopped it."""
+        """Record whether the process has exited without being stopped."""
         if self.process is not None and not self.stopping:
             self.ended_itself |= self.process.poll() is not None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if the process is there."""
+        """Send a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill the process."""
+        """Kill the process and wait for its end."""
         self.note_end()
         self.stopping = True
         self.signal(signal.SIGKILL)
@@ -141,10 +146,10 @@
             self.process.wait()
 
     def holds_signals(self) -> bool:
-        """Return whether the process answers SIGTERM in a way of its own.
+        """Return whether the process has installed a handler for SIGTERM.
 
-        SIGHUP tells nothing: where the soak itself runs under nohup, processes
-        pass it over from their first moment.
+        SIGHUP would not show this: if the soak test itself runs under nohup, its
+        child processes ignore SIGHUP from the start.
         """
         try:
             text = Path(f"/proc/{self.process.pid}/status").read_text()
@@ -154,7 +159,10 @@
         return bool(int(masks["SigCgt"], 16) & 1 << signal.SIGTERM - 1)
 
     def is_interpreter_up(self) -> bool:
-        """Return whether the interpreter has had its time to start."""
+        """Return whether the process has used enough CPU time to have started.
+
+        True also if the process no longer exists.
+        """
         try:
             fields = Path(f"/proc/{self.process.pid}/stat").read_text().split()
         except OSError:
@@ -163,21 +171,24 @@
         return ticks / os.sysconf("SC_CLK_TCK") >= INTERPRETER_S
 
     def wait_for_interpreter(self) -> None:
-        """Wait until the interpreter runs the program: none can answer before.
+        """Wait until the interpreter has started and runs the program.
 
-        A program that has been running for a while without care for signals is
-        not waited for.
+        No Python program can handle signals earlier. A program that has run for
+        `INTERPRETER_S` of CPU time without installing a handler is not waited for.
         """
         while not self.holds_signals() and not self.is_interpreter_up():
             time.sleep(LOOK_S)
 
     def reload(self) -> None:
-        """Tell the process that its settings have changed."""
+        """Make the process reload its settings."""
         self.wait_for_interpreter()
         self.signal(signal.SIGHUP)
 
     def terminate(self) -> int | None:
-        """Stop the process as planned; return its status, None for none in time."""
+        """Stop the process gracefully; return its exit status.
+
+        A process that has not exited in time is killed, and None is returned.
+        """
         self.stopping = True
         self.wait_for_interpreter()
         self.signal(signal.SIGTERM)
@@ -188,21 +199,21 @@
             return None
 
     def is_ready(self) -> bool:
-        """Return whether the balancer would send callers here."""
+        """Return whether the readiness probe succeeds."""
         try:
             return self.get(self.ports[1], "/")[0] == 200
         except (OSError, http.client.HTTPException):
             return False
 
     def status(self) -> dict:
-        """Return what the host says of itself; empty if it says nothing."""
+        """Return the status that the host reports; empty if it can't be read."""
         try:
             return json.loads(self.get(self.ports[2], "/v1/status")[1])
         except (OSError, http.client.HTTPException, ValueError):
             return {}
 
     def get(self, port: int, path: str) -> tuple[int, bytes]:
-        """Return the status and body of a page."""
+        """Return the HTTP status and body of a GET request."""
         connection = http.client.HTTPConnection("127.0.0.1", port, timeout=ANSWER_S)
         with contextlib.closing(connection):
             connection.request("GET", path)
@@ -210,7 +221,7 @@
             return answer.status, answer.read()
 
     def close(self) -> None:
-        """End the process and close what belongs to it."""
+        """Kill the process, and close the proxies and the log file."""
         if self.process is not None and self.process.poll() is None:
             self.signal(signal.SIGCONT)
             self.kill()
@@ -220,7 +231,7 @@
 
 
 class Target:
-    """One target behind its proxy."""
+    """A stand-in target behind a proxy."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -231,11 +242,11 @@
 
     @property
     def knobs(self):
-        """Return its faults."""
+        """Return the switches for the faults of the stand-in."""
         return self.server.standin.knobs
 
     def entry(self, state: str) -> bytes:
-        """Return its entry in the store."""
+        """Return the encoded entry of the target in the store."""
         row = {
             "service": SERVICE,
             "address": self.proxy.address,
@@ -250,14 +261,14 @@
         return json.dumps(row).encode()
 
     def close(self) -> None:
-        """Stop it."""
+        """Stop the proxy and the server."""
         self.proxy.close()
         self.server.shutdown()
         self.server.server_close()
 
 
 class Fleet:
-    """Hosts, targets and the store of one run; an exit stack owns them all."""
+    """The hosts, targets and store of one run; the exit stack closes them all."""
 
     def __init__(
         self, stack: contextlib.ExitStack, folder: Path, hosts: int, targets: int
@@ -282,16 +293,20 @@
             host.start()
 
     def put_config(self) -> None:
-        """Put the configuration as it is now in force."""
+        """Publish the current version and keys to the store."""
         self.store.standin.put_config(make_config(self.version, self.keys))
 
     def enter(self, target: Target, state: str) -> None:
-        """Write the entry of a target; an empty state takes it out."""
+        """Write the entry of a target; an empty ``state`` deletes it."""
         value = target.entry(state) if state else b""
         self.store.standin.put(names.ENTRIES_TOPIC, target.name, value)
 
     def is_whole(self) -> bool:
-        """Return whether every host is ready and knows of every other and target."""
+        """Return whether every host is ready and up to date.
+
+        An up-to-date host knows all hosts, all targets and the current version of
+        the configuration.
+        """
         for host in self.hosts:
             row = host.status()
             known = len(row.get("hosts", ())), len(row.get("targets", ()))
@@ -302,7 +317,7 @@
         return True
 
     def wait_whole(self, within_s: float) -> bool:
-        """Wait for `is_whole`; return whether it came."""
+        """Wait at most ``within_s`` seconds for `is_whole`; return its last result."""
         due = time.monotonic() + within_s
         while time.monotonic() < due:
             if self.is_whole():
--- a/soak/inject.py
+++ b/soak/inject.py
@@ -1,4 +1,4 @@
-"""Does to a fleet what a plan says."""
+"""Injects planned faults into a fleet."""
 
 import signal
 import threading
@@ -14,10 +14,10 @@
 
 
 class Injector:
-    """Runs the faults of a plan, each in a thread of its own.
+    """Injects the faults of a run, each in its own thread.
 
-    Faults of one host or target may overlap: each puts back what it changed,
-    and the end of the run heals everything.
+    Faults of the same host or target may overlap. Each fault reverts what it
+    changed; `heal` ends what may remain of overlapping faults after the run.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         }
 
     def run(self, began: float) -> None:
-        """Let every fault begin at its time, and wait for the end of all."""
+        """Start every fault at its time, and wait until all have ended."""
         threads = []
         for fault in self.history.faults:
             time.sleep(max(0.0, began + fault.at - time.monotonic()))
@@ -73,27 +73,30 @@
             thread.join()
 
     def host(self, fault: Fault) -> Host:
-        """Return the host that a fault happens to."""
+        """Return the host that a fault affects."""
         return self.fleet.hosts[fault.subject % len(self.fleet.hosts)]
 
     def target(self, fault: Fault) -> Target:
-        """Return the target that a fault happens to."""
+        """Return the target that a fault affects."""
         return self.fleet.targets[fault.subject % len(self.fleet.targets)]
 
     def claim(self, name: str) -> bool:
-        """Return whether nothing else stops or starts ``name`` just now."""
+        """Reserve a host or target by name for stopping and starting it.
+
+        Returns False if another fault has reserved it already.
+        """
         with self.lock:
             free = name not in self.busy
             self.busy.add(name)
         return free
 
     def release(self, name: str) -> None:
-        """Let others stop and start ``name``."""
+        """End the reservation of ``name``."""
         with self.lock:
             self.busy.discard(name)
 
     def kill_host(self, fault: Fault) -> None:
-        """Kill a host, and start it again."""
+        """Kill a host, and restart it when the fault ends."""
         host = self.host(fault)
         if self.claim(host.name):
             host.kill()
@@ -102,7 +105,7 @@
             self.release(host.name)
 
     def kill_all(self, fault: Fault) -> None:
-        """Kill all hosts at once, and start them again."""
+        """Kill all hosts that aren't reserved, and restart them after at most 1 s."""
         rows = [host for host in self.fleet.hosts if self.claim(host.name)]
         for host in rows:
             host.kill()
@@ -112,7 +115,7 @@
             self.release(host.name)
 
     def pause_host(self, fault: Fault) -> None:
-        """Let a host stand still."""
+        """Suspend the process of a host for the duration of the fault."""
         host = self.host(fault)
         if self.claim(host.name):
             host.signal(signal.SIGSTOP)
@@ -121,7 +124,7 @@
             self.release(host.name)
 
     def stop_host(self, fault: Fault) -> None:
-        """Stop a host as planned, and start it again."""
+        """Stop a host gracefully, and restart it."""
         host = self.host(fault)
         if not self.claim(host.name):
             return
@@ -132,26 +135,26 @@
         self.release(host.name)
 
     def turn_store(self, knob: str, value: float, fault: Fault) -> None:
-        """Let the store misbehave for a time."""
+        """Set a fault of the store for the duration, then clear it."""
         knobs = self.fleet.store.standin.knobs
         setattr(knobs, knob, value)
         time.sleep(fault.for_s)
         setattr(knobs, knob, type(value)())
 
     def forget(self, fault: Fault) -> None:
-        """Let the store forget its history."""
+        """Compact the history of every topic in the store."""
         store = self.fleet.store.standin
         for topic in list(store.topics):
             store.compact(topic)
 
     def hold(self, proxy: Proxy, fault: Fault, *ways: Way) -> None:
-        """Pass nothing on in some directions for a time."""
+        """Hold back the bytes of some directions for the duration of the fault."""
         proxy.held.update(ways)
         time.sleep(fault.for_s)
         proxy.held.difference_update(ways)
 
     def crash_target(self, fault: Fault) -> None:
-        """Let a target be gone for a time."""
+        """Reset the connections of a target, and refuse new ones for the duration."""
         proxy = self.target(fault).proxy
         proxy.refusing = True
         proxy.reset()
@@ -159,14 +162,14 @@
         proxy.refusing = False
 
     def turn(self, fault: Fault, knob: str, value, usual) -> None:
-        """Let a target misbehave for a time."""
+        """Set a fault of a target for the duration, then restore its usual value."""
         knobs = self.target(fault).knobs
         setattr(knobs, knob, value)
         time.sleep(fault.for_s)
         setattr(knobs, knob, usual)
 
     def take_target_out(self, fault: Fault) -> None:
-        """Let a target leave, vanish from the store, and come back."""
+        """Mark a target as draining, delete its entry halfway, then restore it."""
         target = self.target(fault)
         if not self.claim(target.name):
             return
@@ -180,13 +183,13 @@
         self.release(target.name)
 
     def change_config(self) -> None:
-        """Put a new version in force that changes nothing."""
+        """Publish a new version of the configuration without other changes."""
         with self.lock:
             self.fleet.version += 7
             self.fleet.put_config()
 
     def revoke(self, fault: Fault) -> None:
-        """Take a key away for good."""
+        """Revoke the last API key for good, unless it is the only one."""
         with self.lock:
             if len(self.fleet.keys) < 2:
                 return
@@ -196,7 +199,7 @@
             self.history.revoked[key] = self.clock()
 
     def heal(self) -> None:
-        """End whatever may still go on."""
+        """Heal all proxies and resume all suspended hosts."""
         for host in self.fleet.hosts:
             host.store.heal()
             host.door.heal()
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,4 @@
-"""Draws the faults of one run from its seed. Pure."""
+"""Draws the faults of a run from its seed. This module has no side effects."""
 
 import enum
 import random
@@ -6,7 +6,7 @@
 
 
 class Kind(enum.Enum):
-    """What may happen, by whom it happens to."""
+    """Kinds of faults and planned operations, named after what they affect."""
 
     HOST_KILL = "host_kill"
     HOST_PAUSE = "host_pause"
@@ -39,26 +39,35 @@
 PLANNED = frozenset(
     {Kind.HOST_TERM, Kind.HOST_HUP, Kind.CONFIG, Kind.REVOKE, Kind.TARGET_LEAVES}
 )
-"""Work of operators, around which no call may be cut off."""
+"""Planned operations of operators, which must not interrupt any call."""
 
 STORE_KINDS = frozenset(kind for kind in Kind if kind.value.startswith("store"))
 
 CALM_SEEDS = 4
-"""Each so many-th seed has planned work only, so that cuts around it show."""
+"""Seeds that are a multiple of this draw planned operations only.
+
+In these runs no other fault excuses an interrupted call.
+"""
 
 LONGEST_S = 4.0
 LAST_SHARE = 0.75
-"""Faults begin in the first part of a run, so that their effects are seen."""
+"""Fraction of a run in which faults start; the rest leaves time for their effects."""
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault; times are seconds from the start of the run.
+    """A fault or planned operation.
 
     Attributes
     ----------
+    at : float
+        Start in seconds since the start of the run.
+    kind : Kind
+        What happens.
     subject : int
-        Which host or target it happens to, counted around.
+        Index of the affected host or target, modulo their number.
+    for_s : float
+        Duration in seconds.
     """
 
     at: float
@@ -68,17 +77,24 @@
 
     @property
     def until(self) -> float:
-        """When it is over."""
+        """End in seconds since the start of the run."""
         return self.at + self.for_s
 
 
 def draw(seed: int, seconds: float, count: int) -> list[Fault]:
-    """Return ``count`` faults in order of time; some overlap, some come twice.
+    """Return the faults of a run in order of their start.
+
+    Faults may overlap. Some are repeated shortly after, on a host or target that
+    is drawn anew.
 
     Parameters
     ----------
+    seed : int
+        Seed of the random generator. The same arguments give the same faults.
     seconds : float
-        Length of the run.
+        Duration of the run.
+    count : int
+        Number of faults.
     """
     dice = random.Random(seed)
     kinds = sorted(PLANNED if seed % CALM_SEEDS == 0 else Kind, key=lambda k: k.value)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, holds, loses and resets connections."""
+"""A loopback proxy that delays, holds back, discards and resets traffic."""
 
 import contextlib
 import enum
@@ -9,20 +9,23 @@
 
 CHUNK_BYTES = 65_536
 LOOK_S = 0.02
-"""How often a held direction looks whether it may go on."""
+"""Interval at which a held direction checks whether it has been released."""
 RESET = struct.pack("ii", 1, 0)
-"""A linger of zero seconds makes closing a connection a reset."""
+"""Value of SO_LINGER: a linger time of zero makes ``close`` send a reset."""
 
 
 class Way(enum.Enum):
-    """Directions of a proxy's connections."""
+    """Direction of traffic, relative to the address behind the proxy."""
 
     TO = "to"
     FROM = "from"
 
 
 class Connection:
-    """One connection through a proxy: a socket to each end."""
+    """A proxied connection: the sockets to its client and to the address behind.
+
+    While ``lost`` is set, the pumps discard data and leave the sockets open.
+    """
 
     def __init__(self, near: socket.socket, far: socket.socket) -> None:
         self.near = near
@@ -30,13 +33,14 @@
         self.lost = False
 
     def ends(self, way: Way) -> tuple[socket.socket, socket.socket]:
-        """Return where bytes come from and go to on ``way``."""
+        """Return the source and the destination of a direction."""
         return (self.near, self.far) if way is Way.TO else (self.far, self.near)
 
     def reset(self) -> None:
-        """Reset both ends."""
-        # The pumps must not close them in the usual way. Shut for reading, they
-        # let go of the sockets, which else stay open while a pump reads.
+        """Reset the connection at both ends."""
+        # The flag keeps the pumps from closing the sockets without a reset.
+        # Shutting them down for reading wakes a pump blocked in recv, which
+        # otherwise keeps its socket open.
         self.lost = True
         for end in (self.near, self.far):
             with contextlib.suppress(OSError):
@@ -45,7 +49,7 @@
             end.close()
 
     def close(self) -> None:
-        """Close both ends."""
+        """Shut down and close both sockets."""
         for end in (self.near, self.far):
             with contextlib.suppress(OSError):
                 end.shutdown(socket.SHUT_RDWR)
@@ -53,21 +57,23 @@
 
 
 class Proxy:
-    """Passes connections on to an address, as badly as it is told.
+    """TCP proxy to one address, with faults that can be set while it runs.
 
     Parameters
     ----------
     to : str
-        Where it connects to, ``address:port``.
+        Address to forward connections to, ``address:port``.
 
     Attributes
     ----------
     delay_s : float
-        Seconds that each piece is held back.
+        Delay in seconds of each chunk.
     held : set of Way
-        Directions in which nothing is passed on for now.
+        Directions whose bytes are held back until `heal`.
     refusing : bool
         Whether new connections are reset.
+    address : str
+        Address at which the proxy listens, ``address:port``.
     """
 
     def __init__(self, to: str) -> None:
@@ -83,14 +89,17 @@
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self) -> None:
-        """Take connections until the proxy is closed."""
+        """Accept connections until the proxy is closed."""
         with contextlib.suppress(OSError):
             while True:
                 near, _ = self.server.accept()
                 threading.Thread(target=self.open, args=(near,), daemon=True).start()
 
     def open(self, near: socket.socket) -> None:
-        """Connect ``near`` to the address, and pass bytes both ways."""
+        """Connect a client to the address behind, and start a pump per direction.
+
+        The client is reset if the proxy refuses connections or can't connect.
+        """
         try:
             if self.refusing:
                 raise ConnectionRefusedError("told to refuse")
@@ -110,7 +119,7 @@
             pump.start()
 
     def pump(self, connection: Connection, way: Way) -> None:
-        """Pass bytes on in one direction until either end closes."""
+        """Forward bytes in one direction until either end closes."""
         source, sink = connection.ends(way)
         with contextlib.suppress(OSError):
             while data := source.recv(CHUNK_BYTES):
@@ -127,25 +136,25 @@
         connection.close()
 
     def reset(self) -> None:
-        """Reset all connections."""
+        """Reset all open connections."""
         with self.lock:
             rows, self.connections = self.connections, set()
         for row in rows:
             row.reset()
 
     def silence(self) -> None:
-        """Lose track of all open connections: they stay open, and carry nothing."""
+        """Discard all further data of the open connections without closing them."""
         with self.lock:
             for row in self.connections:
                 row.lost = True
 
     def heal(self) -> None:
-        """Behave again; connections that were silenced stay so."""
+        """End all faults, but for connections that were silenced: these stay so."""
         self.delay_s, self.refusing = 0.0, False
         self.held.clear()
 
     def close(self) -> None:
-        """Stop, and close all connections."""
+        """Stop listening and close all connections."""
         self.server.close()
         self.heal()
         with self.lock:
--- a/soak/records.py
+++ b/soak/records.py
@@ -1,4 +1,7 @@
-"""What callers saw, and the promises that it is held against. Pure."""
+"""Records of a run and the checks of its guarantees.
+
+This module has no side effects.
+"""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -7,12 +10,12 @@
 from soak.plan import PLANNED, STORE_KINDS, Fault, Kind
 
 REFUSALS = frozenset({408, 421, 429, 503})
-"""Statuses that promise that nothing ran and nothing will."""
+"""Statuses that guarantee that the call has not run and will not run."""
 
 DENIALS = frozenset({400, 401, 403, 404})
 EVENTS = 5
 CONTACT_S = 3.0
-"""Faults excuse what happens up to so long after them."""
+"""Seconds after the end of a fault in which its effects are excused."""
 REVOKE_S = 5.0
 DRAIN_S = 2.0
 CONFIG_S = 2.0
@@ -20,16 +23,21 @@
 
 @dataclass
 class Attempt:
-    """One call as its caller saw it; times are seconds of the run.
+    """A call as its caller observed it.
 
     Attributes
     ----------
+    sent, ended : float
+        Times in seconds since the start of the run; ``ended`` is 0 while the call
+        is open, and stays 0 if its connection couldn't be opened.
     status : int
-        0 where no answer came.
+        HTTP status, or 0 if no answer came.
     body : bytes or None
-        None where the answer ended early.
+        Body, or None if the answer ended early.
     left : bool
         Whether the caller gave up before it had the answer.
+    error : str
+        The exception that ended the call; empty if there was none.
     """
 
     name: str
@@ -46,7 +54,7 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether targets may run it more than once."""
+        """Whether the call may run more than once."""
         return self.route in ("lookup", "resume")
 
     @property
@@ -55,7 +63,7 @@
         return self.route in ("stream", "resume")
 
     def wanted(self) -> bytes:
-        """Return the only right body."""
+        """Return the only correct body of the answer."""
         if self.streams:
             events = range(1, EVENTS + 1)
             return b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in events)
@@ -64,7 +72,17 @@
 
 @dataclass(frozen=True)
 class TargetRun:
-    """One request that a target ran."""
+    """A request that a target ran.
+
+    Attributes
+    ----------
+    at : float
+        Time in seconds since the start of the run.
+    name : str
+        Name of the call, as in `Attempt`.
+    keys : bool
+        Whether the request still carried the API key of the caller.
+    """
 
     at: float
     target: str
@@ -75,16 +93,21 @@
 
 @dataclass
 class History:
-    """All that was seen in one run.
+    """Everything that was observed in one run.
 
     Attributes
     ----------
+    attempts : dict
+        Calls by name.
     revoked : dict
-        When the store took the configuration without a key.
+        API key -> time at which a configuration without it was in the store.
     left : list of tuple
-        Targets, from when to when the store had them as leaving or gone.
+        Target, start and end of each time in which the store listed the target as
+        draining or not at all.
     ended : list of str
-        Hosts whose process ended by itself.
+        Hosts whose process exited by itself.
+    findings : list of str
+        Violations that were found during the run.
     """
 
     faults: list[Fault]
@@ -96,7 +119,7 @@
     findings: list[str] = field(default_factory=list)
 
     def check(self) -> list[str]:
-        """Return every promise that was broken, with the place."""
+        """Return a line for each violation of a guarantee."""
         parts = (
             self.findings,
             [f"the process of {host} ended by itself" for host in self.ended],
@@ -112,7 +135,7 @@
         return [row for part in parts for row in part]
 
     def run_twice(self) -> list[str]:
-        """Return calls that ran more than once and may not."""
+        """Return calls that ran more than once though they must not."""
         counts = Counter(run.name for run in self.runs)
         return [
             f"{name} ({self.attempts[name].route}) ran {count} times"
@@ -122,7 +145,7 @@
         ]
 
     def run_though_refused(self) -> list[str]:
-        """Return calls of which it was said that they had not run."""
+        """Return calls that ran though their answer states that they had not."""
         ran = {run.name for run in self.runs}
         return [
             f"{row.name} ({row.route}) was answered {row.status} by {row.host} and ran"
@@ -131,7 +154,7 @@
         ]
 
     def wrong_answers(self) -> list[str]:
-        """Return successes that aren't the caller's own whole answer."""
+        """Return successful calls whose body or signature isn't that of the call."""
         rows = []
         for row in self.attempts.values():
             if row.status != 200 or row.body is None:
@@ -141,7 +164,7 @@
         return rows
 
     def unasked(self) -> list[str]:
-        """Return runs that nobody asked for, or of another workspace, or with a key."""
+        """Return runs without a call, for a wrong workspace, or with a caller's key."""
         return [
             f"{run.target} ran {run.name} for {run.workspace!r}, key: {run.keys}"
             for run in self.runs
@@ -149,7 +172,7 @@
         ]
 
     def run_with_revoked_keys(self) -> list[str]:
-        """Return runs of calls sent too long after their key was taken away."""
+        """Return runs of calls sent over `REVOKE_S` after their key was revoked."""
         rows = []
         for run in self.runs:
             attempt = self.attempts.get(run.name)
@@ -160,7 +183,10 @@
         return rows
 
     def denied(self) -> list[str]:
-        """Return calls whose key and route were there all the time, and denied."""
+        """Return denied calls whose key was valid throughout the run.
+
+        All routes exist throughout the run.
+        """
         return [
             f"{row.name} ({row.route}) was answered {row.status} by {row.host}"
             for row in self.attempts.values()
@@ -168,7 +194,11 @@
         ]
 
     def sent_to_leaving(self) -> list[str]:
-        """Return runs on targets that had left, by hosts that could know."""
+        """Return runs on targets that had left.
+
+        They count only if both the call and the run came more than `DRAIN_S`
+        later, and no fault kept the host from learning of it.
+        """
         return [
             f"{run.target} ran {run.name} {run.at - since:.2f} s after it left"
             for run in self.runs
@@ -180,7 +210,7 @@
         ]
 
     def cut_by_planned_work(self) -> list[str]:
-        """Return calls without a whole answer where only planned work went on."""
+        """Return calls that failed while nothing but planned operations went on."""
         return [
             f"{row.name} ({row.route}) at {row.host} ended with {row.error}"
             for row in self.attempts.values()
@@ -189,7 +219,10 @@
         ]
 
     def is_calm(self, begin: float, end: float, kinds: Iterable[Kind]) -> bool:
-        """Return whether none of ``kinds`` went on, or had just ended."""
+        """Return whether no fault of ``kinds`` went on between ``begin`` and ``end``.
+
+        A fault that ended less than ``2 * CONTACT_S`` before ``begin`` counts too.
+        """
         return not any(
             fault.kind in kinds
             and fault.at < end
@@ -202,4 +235,4 @@
     {Kind.HOST_KILL, Kind.HOST_PAUSE, Kind.HOST_TERM, Kind.ALL_KILL}
     | {Kind.PEER_RESET, Kind.PEER_SILENT}
 )
-"""Faults after which a host needs a moment to hear what its peers know."""
+"""Faults after which a host needs time to learn what its peers know."""
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays one seed: starts a fleet, lets callers call, injects faults, checks."""
+"""Runs a seed: starts a fleet, sends calls, injects faults and checks the result."""
 
 import contextlib
 import tempfile
@@ -16,14 +16,14 @@
 
 START_S = 40.0
 RECOVER_S = 40.0
-"""Bounds of waits, far above what is promised: a busy machine is no fault."""
+"""Timeouts far above the guaranteed times, so that a busy machine causes no failure."""
 LAST_CALLS = 20
 SERVED_SHARE = 0.9
 
 
 @dataclass(frozen=True)
 class Size:
-    """How large one run is."""
+    """Size of a run: numbers of its parts, and its duration in seconds."""
 
     hosts: int = 4
     targets: int = 3
@@ -34,7 +34,19 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What one run showed."""
+    """Result of a run.
+
+    Attributes
+    ----------
+    calls : int
+        Number of calls that were prepared.
+    answered : int
+        Number of calls with a complete answer of status 200.
+    runs : int
+        Number of requests that targets ran.
+    broken : list of str
+        A line for each violation of a guarantee.
+    """
 
     seed: int
     calls: int
@@ -44,7 +56,11 @@
 
 
 def play(seed: int, size: Size, folder: Path | None = None) -> Outcome:
-    """Play one seed; logs of the hosts go to ``folder``."""
+    """Run one seed and return its outcome.
+
+    The settings and logs of the hosts go to ``folder``, or else to a temporary
+    directory.
+    """
     with contextlib.ExitStack() as stack:
         if folder is None:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
@@ -55,7 +71,7 @@
 
 
 class Play:
-    """One run on a fleet that stands."""
+    """A run on a fleet that has started."""
 
     def __init__(self, seed: int, size: Size, fleet: Fleet) -> None:
         self.seed = seed
@@ -70,7 +86,7 @@
         return time.monotonic() - self.began
 
     def run(self) -> Outcome:
-        """Return what the run showed."""
+        """Send calls and inject faults, then check the recovery; return the outcome."""
         balancer = Balancer(self.fleet, self.over)
         callers = [
             Caller(number, self.seed, self.history, balancer, self.clock, self.over)
@@ -90,7 +106,11 @@
         return self.outcome()
 
     def see_recovery(self, caller: Caller) -> None:
-        """Hold against the promises what the fleet does once all is well."""
+        """Record a violation if the fleet has not recovered after the faults.
+
+        Its hosts must be up to date again and answer nearly all of the last calls.
+        Hosts that exited by themselves are recorded too.
+        """
         if not self.fleet.wait_whole(RECOVER_S):
             rows = [host.status() for host in self.fleet.hosts]
             self.history.findings.append(f"the fleet did not recover: {rows}")
@@ -103,7 +123,10 @@
             self.history.findings.append(f"served {served} of {LAST_CALLS} at the end")
 
     def is_served(self, caller: Caller, number: int) -> bool:
-        """Send one call at the end, and return whether it is answered."""
+        """Send a call on a new connection; return whether it is answered.
+
+        A call that its caller abandons counts as answered.
+        """
         caller.hang_up()
         attempt = caller.begin(1_000_000 + number)
         attempt.key = "k1"
@@ -111,7 +134,7 @@
         return attempt.left or attempt.status == 200
 
     def see_targets(self) -> None:
-        """Take in what targets ran."""
+        """Record the requests that the targets ran."""
         for target in self.fleet.targets:
             for run in target.server.standin.runs:
                 headers = run.headers
@@ -126,7 +149,7 @@
                 )
 
     def outcome(self) -> Outcome:
-        """Return the run in short."""
+        """Check the history and return the outcome."""
         rows: list[Attempt] = list(self.history.attempts.values())
         answered = sum(row.status == 200 and row.body is not None for row in rows)
         runs = len(self.history.runs)
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the soak, and its short run."""
+"""Tests of the soak test itself, and short runs of it."""
--- a/tests/soak/test_fleet.py
+++ b/tests/soak/test_fleet.py
@@ -1,4 +1,4 @@
-"""Processes of the soak, and the signals that they get."""
+"""Signals to the host processes of the soak test."""
 
 import signal
 
@@ -27,11 +27,11 @@
 
 
 def test_a_host_that_is_stopped_at_once_ends_as_planned(host, hangups_ignored):
-    """The soak runs under nohup, and stops a host that it has just started.
+    """SIGTERM must not be sent before the interpreter of a host has started.
 
-    Its processes pass SIGHUP over from their first moment, which says nothing
-    of whether they are ready to be stopped. Taken for a sign, it let SIGTERM
-    come while the interpreter was starting, and looked like a host's fault.
+    If the soak test runs under nohup, its processes ignore SIGHUP from the start.
+    Taking this for readiness sent SIGTERM while the interpreter was starting, and
+    the exit status looked like a fault of the host.
     """
     for _ in range(3):
         host.start()
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy does to connections what it is told."""
+"""Tests of the faults of the proxy."""
 
 import contextlib
 import socket
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def pair():
-    """Return a proxy before an echo, and a way to connect through it."""
+    """Return a proxy to an echo server, and a function that connects through it."""
     with contextlib.ExitStack() as stack:
         server = socket.create_server(("127.0.0.1", 0))
         stack.callback(server.close)
--- a/tests/soak/test_records.py
+++ b/tests/soak/test_records.py
@@ -1,4 +1,4 @@
-"""Each promise that the soak holds is seen to be broken where it is."""
+"""Violations of each guarantee that the soak test checks are found."""
 
 import pytest
 
@@ -7,7 +7,10 @@
 
 
 def make_history(faults=(), **attempt):
-    """Return a history with one whole call that ran once at e0."""
+    """Return a history with one fully answered call that ran once on e0.
+
+    Keyword arguments replace attributes of the call.
+    """
     row = Attempt("a", "h0", "charge", "k1", sent=10.0, ended=10.1)
     row.status, row.body, row.signature = 200, b"answer of a", "signed-a"
     for name, value in attempt.items():
@@ -71,7 +74,7 @@
 
 
 def test_a_host_that_could_not_know_is_excused():
-    """The store was away while the target left; its hosts had no way to hear."""
+    """The store was down while the target left, so hosts couldn't learn of it."""
     history = make_history([Fault(4.0, Kind.STORE_DOWN, 0, 3.0)])
     history.left.append(("e0", 5.0, 12.0))
     assert history.check() == []
