--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -7,7 +7,7 @@
 
 import defopt
 
-from soak.run import Outcome, Size, play
+from soak.run import Outcome, RunSize, run_seed
 
 
 def main(
@@ -39,30 +39,32 @@
     logs : str
         Directory for the logs of the hosts, with one subdirectory per seed.
     """
-    begin = int(time.time()) if first < 0 else first
-    size = Size(hosts=hosts, faults=faults, seconds=seconds)
+    first_seed = int(time.time()) if first < 0 else first
+    size = RunSize(hosts=hosts, faults=faults, seconds=seconds)
 
-    def play_one(seed: int) -> Outcome:
+    def run_one_seed(seed: int) -> Outcome:
         folder = None
         if logs:
             folder = Path(logs) / str(seed)
             folder.mkdir(parents=True, exist_ok=True)
-        outcome = play(seed, size, folder)
+        outcome = run_seed(seed, size, folder)
         print_outcome(outcome)
         return outcome
 
     with ThreadPoolExecutor(jobs) as pool:
-        outcomes = list(pool.map(play_one, range(begin, begin + count)))
-    broken = [row.seed for row in outcomes if row.broken]
-    print(f"{len(outcomes)} seeds, {len(broken)} broken: {broken}", flush=True)
-    sys.exit(1 if broken else 0)
+        outcomes = list(pool.map(run_one_seed, range(first_seed, first_seed + count)))
+    failed_seeds = [row.seed for row in outcomes if row.violations]
+    print(
+        f"{len(outcomes)} seeds, {len(failed_seeds)} broken: {failed_seeds}", flush=True
+    )
+    sys.exit(1 if failed_seeds else 0)
 
 
 def print_outcome(outcome: Outcome) -> None:
     """Print a summary line, and a line for each of the first ten violations."""
     line = f"seed {outcome.seed}: {outcome.calls} calls, {outcome.answered} answered"
-    print(f"{line}, {outcome.runs} runs, {len(outcome.broken)} broken", flush=True)
-    for text in outcome.broken[:10]:
+    print(f"{line}, {outcome.runs} runs, {len(outcome.violations)} broken", flush=True)
+    for text in outcome.violations[:10]:
         print(f"  {text}", flush=True)
 
 
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -10,13 +10,13 @@
 from soak.fleet import ROUTES, Fleet, Host
 from soak.records import Attempt, History
 
-PAUSE_S = 0.02
-GIVE_UP_SHARE = 0.03
+CALL_INTERVAL_S = 0.02
+ABANDON_PROBABILITY = 0.03
 DEADLINE_S = 5.0
-LOOK_S = 1.0
-MISSES = 2
-"""Consecutive failed probes, one per `LOOK_S`, that take a host out of rotation."""
-LONGEST_RETURN_S = 1.0
+PROBE_INTERVAL_S = 1.0
+UNHEALTHY_THRESHOLD = 2
+"""Number of consecutive failed probes that takes a host out of rotation."""
+MAX_RETRY_DELAY_S = 1.0
 
 
 class Balancer(threading.Thread):
@@ -25,22 +25,28 @@
     Callers open new connections to the hosts in rotation only.
     """
 
-    def __init__(self, fleet: Fleet, over: threading.Event) -> None:
+    def __init__(self, fleet: Fleet, stop_event: threading.Event) -> None:
         super().__init__(daemon=True)
         self.fleet = fleet
-        self.over = over
-        self.misses = {host.name: 0 for host in fleet.hosts}
+        self.stop_event = stop_event
+        self.failed_probes = {host.name: 0 for host in fleet.hosts}
 
     def run(self) -> None:
         """Probe all hosts until the run is over."""
-        while not self.over.wait(LOOK_S):
+        while not self.stop_event.wait(PROBE_INTERVAL_S):
             for host in self.fleet.hosts:
-                missed = not host.is_ready()
-                self.misses[host.name] = self.misses[host.name] + 1 if missed else 0
+                failed = not host.is_ready()
+                self.failed_probes[host.name] = (
+                    self.failed_probes[host.name] + 1 if failed else 0
+                )
 
-    def hosts(self) -> list[Host]:
+    def hosts_in_rotation(self) -> list[Host]:
         """Return the hosts in rotation, or all hosts if none is."""
-        rows = [row for row in self.fleet.hosts if self.misses[row.name] < MISSES]
+        rows = [
+            row
+            for row in self.fleet.hosts
+            if self.failed_probes[row.name] < UNHEALTHY_THRESHOLD
+        ]
         return rows or self.fleet.hosts
 
 
@@ -54,41 +60,41 @@
         history: History,
         balancer: Balancer,
         clock: Callable[[], float],
-        over: threading.Event,
+        stop_event: threading.Event,
     ) -> None:
         super().__init__(daemon=True)
         self.number = number
-        self.dice = random.Random(f"{seed}-{number}")
+        self.rng = random.Random(f"{seed}-{number}")
         self.history = history
         self.balancer = balancer
         self.clock = clock
-        self.over = over
+        self.stop_event = stop_event
         self.host: Host | None = None
         self.connection: http.client.HTTPConnection | None = None
-        self.returned_s = 0.0
+        self.retry_delay_s = 0.0
 
     def run(self) -> None:
         """Send calls until the run is over."""
         count = 0
-        while not self.over.is_set():
+        while not self.stop_event.is_set():
             count += 1
-            attempt = self.begin(count)
+            attempt = self.prepare(count)
             self.send(attempt)
-            self.over.wait(self.pause_s(attempt))
-        self.hang_up()
+            self.stop_event.wait(self.pause_s(attempt))
+        self.close_connection()
 
-    def begin(self, count: int) -> Attempt:
+    def prepare(self, count: int) -> Attempt:
         """Record and return the next call.
 
         It uses the open connection, or a new one to a random host in rotation.
         """
         if self.connection is None:
-            self.host = self.dice.choice(self.balancer.hosts())
-            address = self.host.callers
+            self.host = self.rng.choice(self.balancer.hosts_in_rotation())
+            address = self.host.caller_address
             self.connection = http.client.HTTPConnection(address, timeout=DEADLINE_S)
-        route = self.dice.choice(ROUTES)[0]
+        route = self.rng.choice(ROUTES)[0]
         name = f"c{self.number}-{count}"
-        key = self.dice.choice(("k1", "k2"))
+        key = self.rng.choice(("k1", "k2"))
         attempt = Attempt(name, self.host.name, route, key, self.clock())
         self.history.attempts[name] = attempt
         return attempt
@@ -102,14 +108,14 @@
             if self.connection.sock is None:
                 self.connection.connect()
         except OSError:
-            self.hang_up()
+            self.close_connection()
             return
         attempt.sent = self.clock()
         try:
             self.exchange(attempt)
         except (OSError, http.client.HTTPException) as error:
             attempt.error = repr(error)
-            self.hang_up()
+            self.close_connection()
         attempt.ended = self.clock()
 
     def exchange(self, attempt: Attempt) -> None:
@@ -120,28 +126,28 @@
             names.DEADLINE_MS: str(int(DEADLINE_S * 1000)),
             "Authorization": f"Bearer {attempt.key}",
         }
-        path = f"/{attempt.route}/{'stream/' if attempt.streams else ''}x"
+        path = f"/{attempt.route}/{'stream/' if attempt.is_streaming else ''}x"
         self.connection.request("POST", path, attempt.name.encode(), headers)
-        if self.dice.random() < GIVE_UP_SHARE:
-            time.sleep(self.dice.uniform(0.0, 0.1))
-            attempt.left = True
-            self.hang_up()
+        if self.rng.random() < ABANDON_PROBABILITY:
+            time.sleep(self.rng.uniform(0.0, 0.1))
+            attempt.abandoned = True
+            self.close_connection()
             return
         answer = self.connection.getresponse()
         attempt.status = answer.status
         attempt.signature = answer.getheader(names.SIGNATURE, "")
         attempt.body = answer.read()
-        self.returned_s = float(answer.getheader("Retry-After") or 0.0)
+        self.retry_delay_s = float(answer.getheader("Retry-After") or 0.0)
         if answer.will_close:
-            self.hang_up()
+            self.close_connection()
 
     def pause_s(self, attempt: Attempt) -> float:
         """Return the seconds to wait before the next call."""
         if attempt.status in (429, 503):
-            return min(max(self.returned_s, PAUSE_S), LONGEST_RETURN_S)
-        return PAUSE_S if attempt.status else 5 * PAUSE_S
+            return min(max(self.retry_delay_s, CALL_INTERVAL_S), MAX_RETRY_DELAY_S)
+        return CALL_INTERVAL_S if attempt.status else 5 * CALL_INTERVAL_S
 
-    def hang_up(self) -> None:
+    def close_connection(self) -> None:
         """Close the connection, if one is open."""
         if self.connection is not None:
             self.connection.close()
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -40,15 +40,15 @@
     ("stream", "streaming", {"maxAttempts": 1}),
     ("resume", "streaming", {"resumable": True}),
 )
-GRACE_S = 8.0
-ANSWER_S = 2.0
-LOOK_S = 0.02
-INTERPRETER_S = 0.15
+SHUTDOWN_GRACE_S = 8.0
+HTTP_TIMEOUT_S = 2.0
+POLL_INTERVAL_S = 0.02
+INTERPRETER_START_CPU_S = 0.15
 """CPU time after which the interpreter counts as started.
 
 This is five times what its start takes, and a third of what loading the host takes.
 """
-USER_TICKS, SYSTEM_TICKS = 13, 14
+UTIME_FIELD, STIME_FIELD = 13, 14
 """Zero-based fields of /proc/PID/stat, if the process name contains no space."""
 TARGET_SLOTS = 4
 
@@ -66,9 +66,9 @@
             "priority": 1,
             "service": SERVICE,
             "maxAttempts": 2,
-            **more,
+            **overrides,
         }
-        for name, kind, more in ROUTES
+        for name, kind, overrides in ROUTES
     ]
     return {
         "version": version,
@@ -88,64 +88,64 @@
         self.name = name
         self.zone = zone
         self.ports = free_ports(4)
-        self.store = Proxy(store)
-        self.door = Proxy(self.peers)
-        self.path = folder / f"{name}.toml"
+        self.store_proxy = Proxy(store)
+        self.peer_proxy = Proxy(self.peer_address)
+        self.settings_path = folder / f"{name}.toml"
         self.log = (folder / f"{name}.log").open("ab")
         self.process: subprocess.Popen | None = None
         self.stopping = False
-        self.ended_itself = False
+        self.exited_unexpectedly = False
 
     @property
-    def callers(self) -> str:
+    def caller_address(self) -> str:
         """Address at which the host accepts callers."""
         return f"127.0.0.1:{self.ports[0]}"
 
     @property
-    def peers(self) -> str:
+    def peer_address(self) -> str:
         """Address at which the host accepts peers."""
         return f"127.0.0.1:{self.ports[3]}"
 
-    def write(self, seeds: list[str]) -> None:
+    def write_settings(self, seeds: list[str]) -> None:
         """Write the settings file; ``seeds`` are addresses of peers."""
         text = SETTINGS.format(
             name=self.name,
             zone=self.zone,
             ports=self.ports,
-            store=self.store.address,
+            store=self.store_proxy.address,
             seeds=json.dumps(seeds),
         )
-        self.path.write_text(text)
+        self.settings_path.write_text(text)
 
     def start(self) -> None:
         """Start the process."""
         self.stopping = False
         self.process = subprocess.Popen(
             [sys.executable, "-m", "godwitladder.platform"],
-            env=os.environ | {names.SETTINGS_VARIABLE: str(self.path)},
+            env=os.environ | {names.SETTINGS_VARIABLE: str(self.settings_path)},
             stdout=self.log,
             stderr=self.log,
         )
 
-    def note_end(self) -> None:
+    def record_unexpected_exit(self) -> None:
         """Record whether the process has exited without being stopped."""
         if self.process is not None and not self.stopping:
-            self.ended_itself |= self.process.poll() is not None
+            self.exited_unexpectedly |= self.process.poll() is not None
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def kill(self) -> None:
         """Kill the process and wait for its end."""
-        self.note_end()
+        self.record_unexpected_exit()
         self.stopping = True
-        self.signal(signal.SIGKILL)
+        self.send_signal(signal.SIGKILL)
         if self.process is not None:
             self.process.wait()
 
-    def holds_signals(self) -> bool:
+    def handles_sigterm(self) -> bool:
         """Return whether the process has installed a handler for SIGTERM.
 
         SIGHUP would not show this: if the soak test itself runs under nohup, its
@@ -158,7 +158,7 @@
         masks = dict(line.split(":\t") for line in text.splitlines() if "Sig" in line)
         return bool(int(masks["SigCgt"], 16) & 1 << signal.SIGTERM - 1)
 
-    def is_interpreter_up(self) -> bool:
+    def has_interpreter_started(self) -> bool:
         """Return whether the process has used enough CPU time to have started.
 
         True also if the process no longer exists.
@@ -167,22 +167,22 @@
             fields = Path(f"/proc/{self.process.pid}/stat").read_text().split()
         except OSError:
             return True
-        ticks = int(fields[USER_TICKS]) + int(fields[SYSTEM_TICKS])
-        return ticks / os.sysconf("SC_CLK_TCK") >= INTERPRETER_S
+        ticks = int(fields[UTIME_FIELD]) + int(fields[STIME_FIELD])
+        return ticks / os.sysconf("SC_CLK_TCK") >= INTERPRETER_START_CPU_S
 
     def wait_for_interpreter(self) -> None:
         """Wait until the interpreter has started and runs the program.
 
-        No Python program can handle signals earlier. A program that has run for
-        `INTERPRETER_S` of CPU time without installing a handler is not waited for.
+        No Python program can handle signals earlier. A program that has used
+        `INTERPRETER_START_CPU_S` without installing a handler is not waited for.
         """
-        while not self.holds_signals() and not self.is_interpreter_up():
-            time.sleep(LOOK_S)
+        while not self.handles_sigterm() and not self.has_interpreter_started():
+            time.sleep(POLL_INTERVAL_S)
 
     def reload(self) -> None:
         """Make the process reload its settings."""
         self.wait_for_interpreter()
-        self.signal(signal.SIGHUP)
+        self.send_signal(signal.SIGHUP)
 
     def terminate(self) -> int | None:
         """Stop the process gracefully; return its exit status.
@@ -191,9 +191,9 @@
         """
         self.stopping = True
         self.wait_for_interpreter()
-        self.signal(signal.SIGTERM)
+        self.send_signal(signal.SIGTERM)
         try:
-            return self.process.wait(GRACE_S + ANSWER_S)
+            return self.process.wait(SHUTDOWN_GRACE_S + HTTP_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.kill()
             return None
@@ -201,20 +201,22 @@
     def is_ready(self) -> bool:
         """Return whether the readiness probe succeeds."""
         try:
-            return self.get(self.ports[1], "/")[0] == 200
+            return self.http_get(self.ports[1], "/")[0] == 200
         except (OSError, http.client.HTTPException):
             return False
 
     def status(self) -> dict:
         """Return the status that the host reports; empty if it can't be read."""
         try:
-            return json.loads(self.get(self.ports[2], "/v1/status")[1])
+            return json.loads(self.http_get(self.ports[2], "/v1/status")[1])
         except (OSError, http.client.HTTPException, ValueError):
             return {}
 
-    def get(self, port: int, path: str) -> tuple[int, bytes]:
+    def http_get(self, port: int, path: str) -> tuple[int, bytes]:
         """Return the HTTP status and body of a GET request."""
-        connection = http.client.HTTPConnection("127.0.0.1", port, timeout=ANSWER_S)
+        connection = http.client.HTTPConnection(
+            "127.0.0.1", port, timeout=HTTP_TIMEOUT_S
+        )
         with contextlib.closing(connection):
             connection.request("GET", path)
             answer = connection.getresponse()
@@ -223,10 +225,10 @@
     def close(self) -> None:
         """Kill the process, and close the proxies and the log file."""
         if self.process is not None and self.process.poll() is None:
-            self.signal(signal.SIGCONT)
+            self.send_signal(signal.SIGCONT)
             self.kill()
-        self.store.close()
-        self.door.close()
+        self.store_proxy.close()
+        self.peer_proxy.close()
         self.log.close()
 
 
@@ -245,7 +247,7 @@
         """Return the switches for the faults of the stand-in."""
         return self.server.standin.knobs
 
-    def entry(self, state: str) -> bytes:
+    def make_entry(self, state: str) -> bytes:
         """Return the encoded entry of the target in the store."""
         row = {
             "service": SERVICE,
@@ -282,26 +284,28 @@
         self.targets = [Target(f"e{n}") for n in range(targets)]
         for target in self.targets:
             stack.callback(target.close)
-            self.enter(target, "ready")
+            self.write_entry(target, "ready")
         self.hosts = [
             Host(folder, f"h{n}", "ab"[n % 2], self.store.address) for n in range(hosts)
         ]
         for host in self.hosts:
             stack.callback(host.close)
-            others = [row.door.address for row in self.hosts[:2] if row is not host]
-            host.write(others)
+            others = [
+                row.peer_proxy.address for row in self.hosts[:2] if row is not host
+            ]
+            host.write_settings(others)
             host.start()
 
     def put_config(self) -> None:
         """Publish the current version and keys to the store."""
         self.store.standin.put_config(make_config(self.version, self.keys))
 
-    def enter(self, target: Target, state: str) -> None:
+    def write_entry(self, target: Target, state: str) -> None:
         """Write the entry of a target; an empty ``state`` deletes it."""
-        value = target.entry(state) if state else b""
+        value = target.make_entry(state) if state else b""
         self.store.standin.put(names.ENTRIES_TOPIC, target.name, value)
 
-    def is_whole(self) -> bool:
+    def is_converged(self) -> bool:
         """Return whether every host is ready and up to date.
 
         An up-to-date host knows all hosts, all targets and the current version of
@@ -316,11 +320,11 @@
                 return False
         return True
 
-    def wait_whole(self, within_s: float) -> bool:
-        """Wait at most ``within_s`` seconds for `is_whole`; return its last result."""
-        due = time.monotonic() + within_s
-        while time.monotonic() < due:
-            if self.is_whole():
+    def wait_until_converged(self, within_s: float) -> bool:
+        """Wait up to ``within_s`` seconds for `is_converged`; return if it held."""
+        deadline = time.monotonic() + within_s
+        while time.monotonic() < deadline:
+            if self.is_converged():
                 return True
             time.sleep(0.1)
         return False
--- a/soak/inject.py
+++ b/soak/inject.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 
 from soak.fleet import Fleet, Host, Target
-from soak.plan import Fault, Kind
-from soak.proxy import Proxy, Way
+from soak.plan import Fault, FaultKind
+from soak.proxy import Direction, Proxy
 from soak.records import History
 
-SLOW_S = 0.4
+SLOW_DELAY_S = 0.4
 
 
 class Injector:
@@ -27,43 +27,59 @@
         self.history = history
         self.clock = clock
         self.lock = threading.Lock()
-        self.busy: set[str] = set()
-        self.actions: dict[Kind, Callable[[Fault], None]] = {
-            Kind.HOST_KILL: self.kill_host,
-            Kind.HOST_PAUSE: self.pause_host,
-            Kind.HOST_TERM: self.stop_host,
-            Kind.HOST_HUP: lambda f: self.host(f).reload(),
-            Kind.ALL_KILL: self.kill_all,
-            Kind.STORE_DOWN: lambda f: self.turn_store("status", 503, f),
-            Kind.STORE_SLOW: lambda f: self.turn_store("mute_s", SLOW_S, f),
-            Kind.STORE_LOSES: lambda f: self.turn_store("lose", True, f),
-            Kind.STORE_FORGET: self.forget,
-            Kind.STORE_CUT: lambda f: self.hold(self.host(f).store, f, *Way),
-            Kind.STORE_SILENT: lambda f: self.host(f).store.silence(),
-            Kind.TARGET_RESET: lambda f: self.target(f).proxy.reset(),
-            Kind.TARGET_SILENT: lambda f: self.target(f).proxy.silence(),
-            Kind.TARGET_HELD: lambda f: self.hold(self.target(f).proxy, f, Way.FROM),
-            Kind.TARGET_GONE: self.crash_target,
-            Kind.TARGET_REFUSES: lambda f: self.turn(f, "refuse", True, False),
-            Kind.TARGET_FAILS: lambda f: self.turn(f, "status", 500, 200),
-            Kind.TARGET_FOREIGN: lambda f: self.turn(f, "foreign", True, False),
-            Kind.TARGET_CUTS: lambda f: self.turn(f, "cut_after", 2, -1),
-            Kind.TARGET_SLOW: lambda f: self.turn(f, "pause_s", SLOW_S, 0.02),
-            Kind.TARGET_REPLACED: lambda f: self.turn(
+        self.reserved: set[str] = set()
+        self.actions: dict[FaultKind, Callable[[Fault], None]] = {
+            FaultKind.HOST_KILL: self.kill_host,
+            FaultKind.HOST_PAUSE: self.pause_host,
+            FaultKind.HOST_TERM: self.stop_host,
+            FaultKind.HOST_HUP: lambda f: self.host(f).reload(),
+            FaultKind.ALL_KILL: self.kill_all,
+            FaultKind.STORE_DOWN: lambda f: self.set_store_fault("status", 503, f),
+            FaultKind.STORE_SLOW: lambda f: self.set_store_fault(
+                "mute_s", SLOW_DELAY_S, f
+            ),
+            FaultKind.STORE_LOSES: lambda f: self.set_store_fault("lose", True, f),
+            FaultKind.STORE_FORGET: self.compact_store,
+            FaultKind.STORE_CUT: lambda f: self.hold_directions(
+                self.host(f).store_proxy, f, *Direction
+            ),
+            FaultKind.STORE_SILENT: lambda f: self.host(f).store_proxy.silence(),
+            FaultKind.TARGET_RESET: lambda f: self.target(f).proxy.reset(),
+            FaultKind.TARGET_SILENT: lambda f: self.target(f).proxy.silence(),
+            FaultKind.TARGET_HELD: lambda f: self.hold_directions(
+                self.target(f).proxy, f, Direction.FROM_UPSTREAM
+            ),
+            FaultKind.TARGET_GONE: self.crash_target,
+            FaultKind.TARGET_REFUSES: lambda f: self.set_target_fault(
+                f, "refuse", True, False
+            ),
+            FaultKind.TARGET_FAILS: lambda f: self.set_target_fault(
+                f, "status", 500, 200
+            ),
+            FaultKind.TARGET_FOREIGN: lambda f: self.set_target_fault(
+                f, "foreign", True, False
+            ),
+            FaultKind.TARGET_CUTS: lambda f: self.set_target_fault(
+                f, "cut_after", 2, -1
+            ),
+            FaultKind.TARGET_SLOW: lambda f: self.set_target_fault(
+                f, "pause_s", SLOW_DELAY_S, 0.02
+            ),
+            FaultKind.TARGET_REPLACED: lambda f: self.set_target_fault(
                 f, "name", "a stranger", self.target(f).name
             ),
-            Kind.TARGET_LEAVES: self.take_target_out,
-            Kind.PEER_RESET: lambda f: self.host(f).door.reset(),
-            Kind.PEER_SILENT: lambda f: self.host(f).door.silence(),
-            Kind.CONFIG: lambda f: self.change_config(),
-            Kind.REVOKE: self.revoke,
+            FaultKind.TARGET_LEAVES: self.deregister_target,
+            FaultKind.PEER_RESET: lambda f: self.host(f).peer_proxy.reset(),
+            FaultKind.PEER_SILENT: lambda f: self.host(f).peer_proxy.silence(),
+            FaultKind.CONFIG: lambda f: self.change_config(),
+            FaultKind.REVOKE: self.revoke,
         }
 
-    def run(self, began: float) -> None:
+    def run(self, started_at: float) -> None:
         """Start every fault at its time, and wait until all have ended."""
         threads = []
         for fault in self.history.faults:
-            time.sleep(max(0.0, began + fault.at - time.monotonic()))
+            time.sleep(max(0.0, started_at + fault.start_s - time.monotonic()))
             thread = threading.Thread(
                 target=self.actions[fault.kind], args=(fault,), daemon=True
             )
@@ -74,42 +90,42 @@
 
     def host(self, fault: Fault) -> Host:
         """Return the host that a fault affects."""
-        return self.fleet.hosts[fault.subject % len(self.fleet.hosts)]
+        return self.fleet.hosts[fault.affected_index % len(self.fleet.hosts)]
 
     def target(self, fault: Fault) -> Target:
         """Return the target that a fault affects."""
-        return self.fleet.targets[fault.subject % len(self.fleet.targets)]
+        return self.fleet.targets[fault.affected_index % len(self.fleet.targets)]
 
-    def claim(self, name: str) -> bool:
+    def reserve(self, name: str) -> bool:
         """Reserve a host or target by name for stopping and starting it.
 
         Returns False if another fault has reserved it already.
         """
         with self.lock:
-            free = name not in self.busy
-            self.busy.add(name)
+            free = name not in self.reserved
+            self.reserved.add(name)
         return free
 
     def release(self, name: str) -> None:
         """End the reservation of ``name``."""
         with self.lock:
-            self.busy.discard(name)
+            self.reserved.discard(name)
 
     def kill_host(self, fault: Fault) -> None:
         """Kill a host, and restart it when the fault ends."""
         host = self.host(fault)
-        if self.claim(host.name):
+        if self.reserve(host.name):
             host.kill()
-            time.sleep(fault.for_s)
+            time.sleep(fault.duration_s)
             host.start()
             self.release(host.name)
 
     def kill_all(self, fault: Fault) -> None:
         """Kill all hosts that aren't reserved, and restart them after at most 1 s."""
-        rows = [host for host in self.fleet.hosts if self.claim(host.name)]
+        rows = [host for host in self.fleet.hosts if self.reserve(host.name)]
         for host in rows:
             host.kill()
-        time.sleep(min(fault.for_s, 1.0))
+        time.sleep(min(fault.duration_s, 1.0))
         for host in rows:
             host.start()
             self.release(host.name)
@@ -117,16 +133,16 @@
     def pause_host(self, fault: Fault) -> None:
         """Suspend the process of a host for the duration of the fault."""
         host = self.host(fault)
-        if self.claim(host.name):
-            host.signal(signal.SIGSTOP)
-            time.sleep(fault.for_s)
-            host.signal(signal.SIGCONT)
+        if self.reserve(host.name):
+            host.send_signal(signal.SIGSTOP)
+            time.sleep(fault.duration_s)
+            host.send_signal(signal.SIGCONT)
             self.release(host.name)
 
     def stop_host(self, fault: Fault) -> None:
         """Stop a host gracefully, and restart it."""
         host = self.host(fault)
-        if not self.claim(host.name):
+        if not self.reserve(host.name):
             return
         status = host.terminate()
         if status != 0:
@@ -134,52 +150,54 @@
         host.start()
         self.release(host.name)
 
-    def turn_store(self, knob: str, value: float, fault: Fault) -> None:
+    def set_store_fault(self, knob: str, value: float, fault: Fault) -> None:
         """Set a fault of the store for the duration, then clear it."""
         knobs = self.fleet.store.standin.knobs
         setattr(knobs, knob, value)
-        time.sleep(fault.for_s)
+        time.sleep(fault.duration_s)
         setattr(knobs, knob, type(value)())
 
-    def forget(self, fault: Fault) -> None:
+    def compact_store(self, fault: Fault) -> None:
         """Compact the history of every topic in the store."""
         store = self.fleet.store.standin
         for topic in list(store.topics):
             store.compact(topic)
 
-    def hold(self, proxy: Proxy, fault: Fault, *ways: Way) -> None:
+    def hold_directions(
+        self, proxy: Proxy, fault: Fault, *directions: Direction
+    ) -> None:
         """Hold back the bytes of some directions for the duration of the fault."""
-        proxy.held.update(ways)
-        time.sleep(fault.for_s)
-        proxy.held.difference_update(ways)
+        proxy.held.update(directions)
+        time.sleep(fault.duration_s)
+        proxy.held.difference_update(directions)
 
     def crash_target(self, fault: Fault) -> None:
         """Reset the connections of a target, and refuse new ones for the duration."""
         proxy = self.target(fault).proxy
         proxy.refusing = True
         proxy.reset()
-        time.sleep(fault.for_s)
+        time.sleep(fault.duration_s)
         proxy.refusing = False
 
-    def turn(self, fault: Fault, knob: str, value, usual) -> None:
+    def set_target_fault(self, fault: Fault, knob: str, value, normal_value) -> None:
         """Set a fault of a target for the duration, then restore its usual value."""
         knobs = self.target(fault).knobs
         setattr(knobs, knob, value)
-        time.sleep(fault.for_s)
-        setattr(knobs, knob, usual)
+        time.sleep(fault.duration_s)
+        setattr(knobs, knob, normal_value)
 
-    def take_target_out(self, fault: Fault) -> None:
+    def deregister_target(self, fault: Fault) -> None:
         """Mark a target as draining, delete its entry halfway, then restore it."""
         target = self.target(fault)
-        if not self.claim(target.name):
+        if not self.reserve(target.name):
             return
-        self.fleet.enter(target, "draining")
+        self.fleet.write_entry(target, "draining")
         since = self.clock()
-        time.sleep(fault.for_s / 2)
-        self.fleet.enter(target, "")
-        time.sleep(fault.for_s / 2)
-        self.history.left.append((target.name, since, self.clock()))
-        self.fleet.enter(target, "ready")
+        time.sleep(fault.duration_s / 2)
+        self.fleet.write_entry(target, "")
+        time.sleep(fault.duration_s / 2)
+        self.history.departures.append((target.name, since, self.clock()))
+        self.fleet.write_entry(target, "ready")
         self.release(target.name)
 
     def change_config(self) -> None:
@@ -201,8 +219,8 @@
     def heal(self) -> None:
         """Heal all proxies and resume all suspended hosts."""
         for host in self.fleet.hosts:
-            host.store.heal()
-            host.door.heal()
-            host.signal(signal.SIGCONT)
+            host.store_proxy.heal()
+            host.peer_proxy.heal()
+            host.send_signal(signal.SIGCONT)
         for target in self.fleet.targets:
             target.proxy.heal()
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 
-class Kind(enum.Enum):
+class FaultKind(enum.Enum):
     """Kinds of faults and planned operations, named after what they affect."""
 
     HOST_KILL = "host_kill"
@@ -36,21 +36,27 @@
     REVOKE = "revoke"
 
 
-PLANNED = frozenset(
-    {Kind.HOST_TERM, Kind.HOST_HUP, Kind.CONFIG, Kind.REVOKE, Kind.TARGET_LEAVES}
+PLANNED_KINDS = frozenset(
+    {
+        FaultKind.HOST_TERM,
+        FaultKind.HOST_HUP,
+        FaultKind.CONFIG,
+        FaultKind.REVOKE,
+        FaultKind.TARGET_LEAVES,
+    }
 )
 """Planned operations of operators, which must not interrupt any call."""
 
-STORE_KINDS = frozenset(kind for kind in Kind if kind.value.startswith("store"))
+STORE_KINDS = frozenset(kind for kind in FaultKind if kind.value.startswith("store"))
 
-CALM_SEEDS = 4
+PLANNED_ONLY_INTERVAL = 4
 """Seeds that are a multiple of this draw planned operations only.
 
 In these runs no other fault excuses an interrupted call.
 """
 
-LONGEST_S = 4.0
-LAST_SHARE = 0.75
+MAX_FAULT_DURATION_S = 4.0
+LAST_START_FRACTION = 0.75
 """Fraction of a run in which faults start; the rest leaves time for their effects."""
 
 
@@ -60,28 +66,28 @@
 
     Attributes
     ----------
-    at : float
+    start_s : float
         Start in seconds since the start of the run.
-    kind : Kind
+    kind : FaultKind
         What happens.
-    subject : int
+    affected_index : int
         Index of the affected host or target, modulo their number.
-    for_s : float
+    duration_s : float
         Duration in seconds.
     """
 
-    at: float
-    kind: Kind
-    subject: int
-    for_s: float
+    start_s: float
+    kind: FaultKind
+    affected_index: int
+    duration_s: float
 
     @property
-    def until(self) -> float:
+    def end_s(self) -> float:
         """End in seconds since the start of the run."""
-        return self.at + self.for_s
+        return self.start_s + self.duration_s
 
 
-def draw(seed: int, seconds: float, count: int) -> list[Fault]:
+def draw_faults(seed: int, seconds: float, count: int) -> list[Fault]:
     """Return the faults of a run in order of their start.
 
     Faults may overlap. Some are repeated shortly after, on a host or target that
@@ -96,15 +102,22 @@
     count : int
         Number of faults.
     """
-    dice = random.Random(seed)
-    kinds = sorted(PLANNED if seed % CALM_SEEDS == 0 else Kind, key=lambda k: k.value)
+    rng = random.Random(seed)
+    kinds = sorted(
+        PLANNED_KINDS if seed % PLANNED_ONLY_INTERVAL == 0 else FaultKind,
+        key=lambda k: k.value,
+    )
     faults = []
     while len(faults) < count:
-        kind = dice.choice(kinds)
-        at = dice.uniform(0.5, seconds * LAST_SHARE)
-        fault = Fault(at, kind, dice.randrange(100), dice.uniform(0.3, LONGEST_S))
+        kind = rng.choice(kinds)
+        start_s = rng.uniform(0.5, seconds * LAST_START_FRACTION)
+        fault = Fault(
+            start_s, kind, rng.randrange(100), rng.uniform(0.3, MAX_FAULT_DURATION_S)
+        )
         faults.append(fault)
-        if dice.random() < 0.3:
-            again = at + dice.uniform(0.1, 1.0)
-            faults.append(Fault(again, kind, dice.randrange(100), fault.for_s))
-    return sorted(faults[:count], key=lambda fault: fault.at)
+        if rng.random() < 0.3:
+            repeat_start_s = start_s + rng.uniform(0.1, 1.0)
+            faults.append(
+                Fault(repeat_start_s, kind, rng.randrange(100), fault.duration_s)
+            )
+    return sorted(faults[:count], key=lambda fault: fault.start_s)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -8,49 +8,53 @@
 import time
 
 CHUNK_BYTES = 65_536
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 """Interval at which a held direction checks whether it has been released."""
-RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 """Value of SO_LINGER: a linger time of zero makes ``close`` send a reset."""
 
 
-class Way(enum.Enum):
+class Direction(enum.Enum):
     """Direction of traffic, relative to the address behind the proxy."""
 
-    TO = "to"
-    FROM = "from"
+    TO_UPSTREAM = "to"
+    FROM_UPSTREAM = "from"
 
 
 class Connection:
     """A proxied connection: the sockets to its client and to the address behind.
 
-    While ``lost`` is set, the pumps discard data and leave the sockets open.
+    While ``discards_data`` is set, the pumps discard data and leave the sockets open.
     """
 
-    def __init__(self, near: socket.socket, far: socket.socket) -> None:
-        self.near = near
-        self.far = far
-        self.lost = False
+    def __init__(self, client: socket.socket, upstream: socket.socket) -> None:
+        self.client = client
+        self.upstream = upstream
+        self.discards_data = False
 
-    def ends(self, way: Way) -> tuple[socket.socket, socket.socket]:
+    def endpoints(self, direction: Direction) -> tuple[socket.socket, socket.socket]:
         """Return the source and the destination of a direction."""
-        return (self.near, self.far) if way is Way.TO else (self.far, self.near)
+        return (
+            (self.client, self.upstream)
+            if direction is Direction.TO_UPSTREAM
+            else (self.upstream, self.client)
+        )
 
     def reset(self) -> None:
         """Reset the connection at both ends."""
         # The flag keeps the pumps from closing the sockets without a reset.
         # Shutting them down for reading wakes a pump blocked in recv, which
         # otherwise keeps its socket open.
-        self.lost = True
-        for end in (self.near, self.far):
+        self.discards_data = True
+        for end in (self.client, self.upstream):
             with contextlib.suppress(OSError):
-                end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 end.shutdown(socket.SHUT_RD)
             end.close()
 
     def close(self) -> None:
         """Shut down and close both sockets."""
-        for end in (self.near, self.far):
+        for end in (self.client, self.upstream):
             with contextlib.suppress(OSError):
                 end.shutdown(socket.SHUT_RDWR)
             end.close()
@@ -61,14 +65,14 @@
 
     Parameters
     ----------
-    to : str
+    upstream_address : str
         Address to forward connections to, ``address:port``.
 
     Attributes
     ----------
     delay_s : float
         Delay in seconds of each chunk.
-    held : set of Way
+    held : set of Direction
         Directions whose bytes are held back until `heal`.
     refusing : bool
         Whether new connections are reset.
@@ -76,26 +80,28 @@
         Address at which the proxy listens, ``address:port``.
     """
 
-    def __init__(self, to: str) -> None:
-        host, _, port = to.rpartition(":")
-        self.to = host, int(port)
+    def __init__(self, upstream_address: str) -> None:
+        host, _, port = upstream_address.rpartition(":")
+        self.upstream_address = host, int(port)
         self.delay_s = 0.0
-        self.held: set[Way] = set()
+        self.held: set[Direction] = set()
         self.refusing = False
         self.connections: set[Connection] = set()
         self.lock = threading.Lock()
         self.server = socket.create_server(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self.server.getsockname()[1]}"
-        threading.Thread(target=self.accept, daemon=True).start()
+        threading.Thread(target=self.accept_connections, daemon=True).start()
 
-    def accept(self) -> None:
+    def accept_connections(self) -> None:
         """Accept connections until the proxy is closed."""
         with contextlib.suppress(OSError):
             while True:
-                near, _ = self.server.accept()
-                threading.Thread(target=self.open, args=(near,), daemon=True).start()
+                client, _ = self.server.accept()
+                threading.Thread(
+                    target=self.handle_client, args=(client,), daemon=True
+                ).start()
 
-    def open(self, near: socket.socket) -> None:
+    def handle_client(self, client: socket.socket) -> None:
         """Connect a client to the address behind, and start a pump per direction.
 
         The client is reset if the proxy refuses connections or can't connect.
@@ -103,33 +109,33 @@
         try:
             if self.refusing:
                 raise ConnectionRefusedError("told to refuse")
-            far = socket.create_connection(self.to, timeout=5.0)
+            upstream = socket.create_connection(self.upstream_address, timeout=5.0)
         except OSError:
-            near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            near.close()
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+            client.close()
             return
-        far.settimeout(None)
-        connection = Connection(near, far)
+        upstream.settimeout(None)
+        connection = Connection(client, upstream)
         with self.lock:
             self.connections.add(connection)
-        for way in Way:
+        for direction in Direction:
             pump = threading.Thread(
-                target=self.pump, args=(connection, way), daemon=True
+                target=self.pump, args=(connection, direction), daemon=True
             )
             pump.start()
 
-    def pump(self, connection: Connection, way: Way) -> None:
+    def pump(self, connection: Connection, direction: Direction) -> None:
         """Forward bytes in one direction until either end closes."""
-        source, sink = connection.ends(way)
+        source, sink = connection.endpoints(direction)
         with contextlib.suppress(OSError):
             while data := source.recv(CHUNK_BYTES):
-                while way in self.held:
-                    time.sleep(LOOK_S)
+                while direction in self.held:
+                    time.sleep(POLL_INTERVAL_S)
                 if self.delay_s:
                     time.sleep(self.delay_s)
-                if not connection.lost:
+                if not connection.discards_data:
                     sink.sendall(data)
-        if connection.lost:
+        if connection.discards_data:
             return
         with self.lock:
             self.connections.discard(connection)
@@ -138,15 +144,15 @@
     def reset(self) -> None:
         """Reset all open connections."""
         with self.lock:
-            rows, self.connections = self.connections, set()
-        for row in rows:
-            row.reset()
+            connections, self.connections = self.connections, set()
+        for connection in connections:
+            connection.reset()
 
     def silence(self) -> None:
         """Discard all further data of the open connections without closing them."""
         with self.lock:
-            for row in self.connections:
-                row.lost = True
+            for connection in self.connections:
+                connection.discards_data = True
 
     def heal(self) -> None:
         """End all faults, but for connections that were silenced: these stay so."""
@@ -158,6 +164,6 @@
         self.server.close()
         self.heal()
         with self.lock:
-            rows, self.connections = self.connections, set()
-        for row in rows:
-            row.close()
+            connections, self.connections = self.connections, set()
+        for connection in connections:
+            connection.close()
--- a/soak/records.py
+++ b/soak/records.py
@@ -7,17 +7,19 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from soak.plan import PLANNED, STORE_KINDS, Fault, Kind
+from soak.plan import PLANNED_KINDS, STORE_KINDS, Fault, FaultKind
 
-REFUSALS = frozenset({408, 421, 429, 503})
+REFUSAL_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that guarantee that the call has not run and will not run."""
 
-DENIALS = frozenset({400, 401, 403, 404})
-EVENTS = 5
-CONTACT_S = 3.0
+DENIAL_STATUSES = frozenset({400, 401, 403, 404})
+STREAM_EVENTS = 5
+FAULT_EFFECT_S = 3.0
 """Seconds after the end of a fault in which its effects are excused."""
-REVOKE_S = 5.0
-DRAIN_S = 2.0
+MAX_REVOCATION_DELAY_S = 5.0
+"""Seconds after a revocation in which calls with the key may still run."""
+MAX_REMOVAL_DELAY_S = 2.0
+"""Seconds after the departure of a target in which it may still be sent calls."""
 CONFIG_S = 2.0
 
 
@@ -34,7 +36,7 @@
         HTTP status, or 0 if no answer came.
     body : bytes or None
         Body, or None if the answer ended early.
-    left : bool
+    abandoned : bool
         Whether the caller gave up before it had the answer.
     error : str
         The exception that ended the call; empty if there was none.
@@ -49,23 +51,23 @@
     status: int = 0
     body: bytes | None = None
     signature: str = ""
-    left: bool = False
+    abandoned: bool = False
     error: str = ""
 
     @property
-    def may_repeat(self) -> bool:
+    def may_run_again(self) -> bool:
         """Whether the call may run more than once."""
         return self.route in ("lookup", "resume")
 
     @property
-    def streams(self) -> bool:
+    def is_streaming(self) -> bool:
         """Whether the answer is a stream."""
         return self.route in ("stream", "resume")
 
-    def wanted(self) -> bytes:
+    def expected_body(self) -> bytes:
         """Return the only correct body of the answer."""
-        if self.streams:
-            events = range(1, EVENTS + 1)
+        if self.is_streaming:
+            events = range(1, STREAM_EVENTS + 1)
             return b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in events)
         return b"answer of " + self.name.encode()
 
@@ -76,19 +78,19 @@
 
     Attributes
     ----------
-    at : float
+    started_s : float
         Time in seconds since the start of the run.
     name : str
         Name of the call, as in `Attempt`.
-    keys : bool
+    has_key : bool
         Whether the request still carried the API key of the caller.
     """
 
-    at: float
+    started_s: float
     target: str
     name: str
     workspace: str
-    keys: bool
+    has_key: bool
 
 
 @dataclass
@@ -101,10 +103,10 @@
         Calls by name.
     revoked : dict
         API key -> time at which a configuration without it was in the store.
-    left : list of tuple
+    departures : list of tuple
         Target, start and end of each time in which the store listed the target as
         draining or not at all.
-    ended : list of str
+    exited_hosts : list of str
         Hosts whose process exited by itself.
     findings : list of str
         Violations that were found during the run.
@@ -114,43 +116,45 @@
     attempts: dict[str, Attempt] = field(default_factory=dict)
     runs: list[TargetRun] = field(default_factory=list)
     revoked: dict[str, float] = field(default_factory=dict)
-    left: list[tuple[str, float, float]] = field(default_factory=list)
-    ended: list[str] = field(default_factory=list)
+    departures: list[tuple[str, float, float]] = field(default_factory=list)
+    exited_hosts: list[str] = field(default_factory=list)
     findings: list[str] = field(default_factory=list)
 
     def check(self) -> list[str]:
         """Return a line for each violation of a guarantee."""
         parts = (
             self.findings,
-            [f"the process of {host} ended by itself" for host in self.ended],
-            self.run_twice(),
-            self.run_though_refused(),
+            [f"the process of {host} ended by itself" for host in self.exited_hosts],
+            self.duplicate_runs(),
+            self.runs_after_refusal(),
             self.wrong_answers(),
-            self.unasked(),
-            self.run_with_revoked_keys(),
-            self.denied(),
-            self.sent_to_leaving(),
-            self.cut_by_planned_work(),
+            self.unexpected_runs(),
+            self.runs_with_revoked_keys(),
+            self.wrongly_denied(),
+            self.runs_on_departed_targets(),
+            self.interrupted_by_planned_operations(),
         )
         return [row for part in parts for row in part]
 
-    def run_twice(self) -> list[str]:
+    def duplicate_runs(self) -> list[str]:
         """Return calls that ran more than once though they must not."""
         counts = Counter(run.name for run in self.runs)
         return [
             f"{name} ({self.attempts[name].route}) ran {count} times"
             for name, count in counts.items()
             if count > 1 and name in self.attempts
-            if not self.attempts[name].may_repeat
+            if not self.attempts[name].may_run_again
         ]
 
-    def run_though_refused(self) -> list[str]:
+    def runs_after_refusal(self) -> list[str]:
         """Return calls that ran though their answer states that they had not."""
         ran = {run.name for run in self.runs}
         return [
             f"{row.name} ({row.route}) was answered {row.status} by {row.host} and ran"
             for row in self.attempts.values()
-            if row.status in REFUSALS and row.name in ran and not row.may_repeat
+            if row.status in REFUSAL_STATUSES
+            and row.name in ran
+            and not row.may_run_again
         ]
 
     def wrong_answers(self) -> list[str]:
@@ -159,30 +163,30 @@
         for row in self.attempts.values():
             if row.status != 200 or row.body is None:
                 continue
-            if row.body != row.wanted() or not row.signature.endswith(row.name):
+            if row.body != row.expected_body() or not row.signature.endswith(row.name):
                 rows.append(f"{row.name} ({row.route}) got {row.body[:60]!r}")
         return rows
 
-    def unasked(self) -> list[str]:
+    def unexpected_runs(self) -> list[str]:
         """Return runs without a call, for a wrong workspace, or with a caller's key."""
         return [
-            f"{run.target} ran {run.name} for {run.workspace!r}, key: {run.keys}"
+            f"{run.target} ran {run.name} for {run.workspace!r}, key: {run.has_key}"
             for run in self.runs
-            if run.name not in self.attempts or run.workspace != "w1" or run.keys
+            if run.name not in self.attempts or run.workspace != "w1" or run.has_key
         ]
 
-    def run_with_revoked_keys(self) -> list[str]:
-        """Return runs of calls sent over `REVOKE_S` after their key was revoked."""
+    def runs_with_revoked_keys(self) -> list[str]:
+        """Return runs of calls that were sent too long after their key was revoked."""
         rows = []
         for run in self.runs:
             attempt = self.attempts.get(run.name)
             since = self.revoked.get(attempt.key) if attempt else None
-            if since is not None and attempt.sent > since + REVOKE_S:
+            if since is not None and attempt.sent > since + MAX_REVOCATION_DELAY_S:
                 late_s = attempt.sent - since
                 rows.append(f"{run.name} ran, its key revoked {late_s:.2f} s before")
         return rows
 
-    def denied(self) -> list[str]:
+    def wrongly_denied(self) -> list[str]:
         """Return denied calls whose key was valid throughout the run.
 
         All routes exist throughout the run.
@@ -190,49 +194,54 @@
         return [
             f"{row.name} ({row.route}) was answered {row.status} by {row.host}"
             for row in self.attempts.values()
-            if row.status in DENIALS and row.key not in self.revoked
+            if row.status in DENIAL_STATUSES and row.key not in self.revoked
         ]
 
-    def sent_to_leaving(self) -> list[str]:
+    def runs_on_departed_targets(self) -> list[str]:
         """Return runs on targets that had left.
 
-        They count only if both the call and the run came more than `DRAIN_S`
-        later, and no fault kept the host from learning of it.
+        They count only if the call and the run both came more than
+        `MAX_REMOVAL_DELAY_S` later, and no fault kept the host from learning of it.
         """
         return [
-            f"{run.target} ran {run.name} {run.at - since:.2f} s after it left"
+            f"{run.target} ran {run.name} {run.started_s - since:.2f} s after it left"
             for run in self.runs
-            for target, since, until in self.left
-            if run.target == target and since + DRAIN_S < run.at < until
+            for target, since, until in self.departures
+            if run.target == target
+            and since + MAX_REMOVAL_DELAY_S < run.started_s < until
             if run.name in self.attempts
-            if self.attempts[run.name].sent > since + DRAIN_S
-            if self.is_calm(since, run.at, STORE_KINDS | HOST_FAULTS)
+            if self.attempts[run.name].sent > since + MAX_REMOVAL_DELAY_S
+            if self.has_no_fault(since, run.started_s, STORE_KINDS | STALE_HOST_KINDS)
         ]
 
-    def cut_by_planned_work(self) -> list[str]:
+    def interrupted_by_planned_operations(self) -> list[str]:
         """Return calls that failed while nothing but planned operations went on."""
         return [
             f"{row.name} ({row.route}) at {row.host} ended with {row.error}"
             for row in self.attempts.values()
-            if row.error and not row.left and row.ended > 0
-            if self.is_calm(row.sent, row.ended, frozenset(Kind) - PLANNED)
+            if row.error and not row.abandoned and row.ended > 0
+            if self.has_no_fault(
+                row.sent, row.ended, frozenset(FaultKind) - PLANNED_KINDS
+            )
         ]
 
-    def is_calm(self, begin: float, end: float, kinds: Iterable[Kind]) -> bool:
+    def has_no_fault(
+        self, begin: float, end: float, kinds: Iterable[FaultKind]
+    ) -> bool:
         """Return whether no fault of ``kinds`` went on between ``begin`` and ``end``.
 
-        A fault that ended less than ``2 * CONTACT_S`` before ``begin`` counts too.
+        A fault that ended less than ``2 * FAULT_EFFECT_S`` before ``begin`` counts too.
         """
         return not any(
             fault.kind in kinds
-            and fault.at < end
-            and fault.until + CONTACT_S > begin - CONTACT_S
+            and fault.start_s < end
+            and fault.end_s + FAULT_EFFECT_S > begin - FAULT_EFFECT_S
             for fault in self.faults
         )
 
 
-HOST_FAULTS = frozenset(
-    {Kind.HOST_KILL, Kind.HOST_PAUSE, Kind.HOST_TERM, Kind.ALL_KILL}
-    | {Kind.PEER_RESET, Kind.PEER_SILENT}
+STALE_HOST_KINDS = frozenset(
+    {FaultKind.HOST_KILL, FaultKind.HOST_PAUSE, FaultKind.HOST_TERM, FaultKind.ALL_KILL}
+    | {FaultKind.PEER_RESET, FaultKind.PEER_SILENT}
 )
 """Faults after which a host needs time to learn what its peers know."""
--- a/soak/run.py
+++ b/soak/run.py
@@ -11,18 +11,18 @@
 from soak.callers import Balancer, Caller
 from soak.fleet import Fleet
 from soak.inject import Injector
-from soak.plan import draw
+from soak.plan import draw_faults
 from soak.records import Attempt, History, TargetRun
 
-START_S = 40.0
-RECOVER_S = 40.0
+START_TIMEOUT_S = 40.0
+RECOVERY_TIMEOUT_S = 40.0
 """Timeouts far above the guaranteed times, so that a busy machine causes no failure."""
-LAST_CALLS = 20
-SERVED_SHARE = 0.9
+FINAL_CALLS = 20
+MIN_ANSWERED_FRACTION = 0.9
 
 
 @dataclass(frozen=True)
-class Size:
+class RunSize:
     """Size of a run: numbers of its parts, and its duration in seconds."""
 
     hosts: int = 4
@@ -44,7 +44,7 @@
         Number of calls with a complete answer of status 200.
     runs : int
         Number of requests that targets ran.
-    broken : list of str
+    violations : list of str
         A line for each violation of a guarantee.
     """
 
@@ -52,10 +52,10 @@
     calls: int
     answered: int
     runs: int
-    broken: list[str]
+    violations: list[str]
 
 
-def play(seed: int, size: Size, folder: Path | None = None) -> Outcome:
+def run_seed(seed: int, size: RunSize, folder: Path | None = None) -> Outcome:
     """Run one seed and return its outcome.
 
     The settings and logs of the hosts go to ``folder``, or else to a temporary
@@ -65,82 +65,86 @@
         if folder is None:
             folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
         fleet = Fleet(stack, folder, size.hosts, size.targets)
-        if not fleet.wait_whole(START_S):
+        if not fleet.wait_until_converged(START_TIMEOUT_S):
             return Outcome(seed, 0, 0, 0, ["the hosts did not find each other"])
-        return Play(seed, size, fleet).run()
+        return SoakRun(seed, size, fleet).run()
 
 
-class Play:
+class SoakRun:
     """A run on a fleet that has started."""
 
-    def __init__(self, seed: int, size: Size, fleet: Fleet) -> None:
+    def __init__(self, seed: int, size: RunSize, fleet: Fleet) -> None:
         self.seed = seed
         self.size = size
         self.fleet = fleet
-        self.began = time.monotonic()
-        self.history = History(draw(seed, size.seconds, size.faults))
-        self.over = threading.Event()
+        self.started_at = time.monotonic()
+        self.history = History(draw_faults(seed, size.seconds, size.faults))
+        self.stop_event = threading.Event()
 
     def clock(self) -> float:
         """Return the seconds since the run began."""
-        return time.monotonic() - self.began
+        return time.monotonic() - self.started_at
 
     def run(self) -> Outcome:
         """Send calls and inject faults, then check the recovery; return the outcome."""
-        balancer = Balancer(self.fleet, self.over)
+        balancer = Balancer(self.fleet, self.stop_event)
         callers = [
-            Caller(number, self.seed, self.history, balancer, self.clock, self.over)
+            Caller(
+                number, self.seed, self.history, balancer, self.clock, self.stop_event
+            )
             for number in range(self.size.callers)
         ]
         for thread in (balancer, *callers):
             thread.start()
         injector = Injector(self.fleet, self.history, self.clock)
-        injector.run(self.began)
-        time.sleep(max(0.0, self.began + self.size.seconds - time.monotonic()))
-        self.over.set()
+        injector.run(self.started_at)
+        time.sleep(max(0.0, self.started_at + self.size.seconds - time.monotonic()))
+        self.stop_event.set()
         for thread in (balancer, *callers):
             thread.join()
         injector.heal()
-        self.see_recovery(callers[0])
-        self.see_targets()
+        self.check_recovery(callers[0])
+        self.record_target_runs()
         return self.outcome()
 
-    def see_recovery(self, caller: Caller) -> None:
+    def check_recovery(self, caller: Caller) -> None:
         """Record a violation if the fleet has not recovered after the faults.
 
         Its hosts must be up to date again and answer nearly all of the last calls.
         Hosts that exited by themselves are recorded too.
         """
-        if not self.fleet.wait_whole(RECOVER_S):
+        if not self.fleet.wait_until_converged(RECOVERY_TIMEOUT_S):
             rows = [host.status() for host in self.fleet.hosts]
             self.history.findings.append(f"the fleet did not recover: {rows}")
         for host in self.fleet.hosts:
-            host.note_end()
-            if host.ended_itself:
-                self.history.ended.append(host.name)
-        served = sum(self.is_served(caller, number) for number in range(LAST_CALLS))
-        if served < LAST_CALLS * SERVED_SHARE:
-            self.history.findings.append(f"served {served} of {LAST_CALLS} at the end")
-
-    def is_served(self, caller: Caller, number: int) -> bool:
+            host.record_unexpected_exit()
+            if host.exited_unexpectedly:
+                self.history.exited_hosts.append(host.name)
+        served = sum(
+            self.is_final_call_answered(caller, number) for number in range(FINAL_CALLS)
+        )
+        if served < FINAL_CALLS * MIN_ANSWERED_FRACTION:
+            self.history.findings.append(f"served {served} of {FINAL_CALLS} at the end")
+
+    def is_final_call_answered(self, caller: Caller, number: int) -> bool:
         """Send a call on a new connection; return whether it is answered.
 
         A call that its caller abandons counts as answered.
         """
-        caller.hang_up()
-        attempt = caller.begin(1_000_000 + number)
+        caller.close_connection()
+        attempt = caller.prepare(1_000_000 + number)
         attempt.key = "k1"
         caller.send(attempt)
-        return attempt.left or attempt.status == 200
+        return attempt.abandoned or attempt.status == 200
 
-    def see_targets(self) -> None:
+    def record_target_runs(self) -> None:
         """Record the requests that the targets ran."""
         for target in self.fleet.targets:
             for run in target.server.standin.runs:
                 headers = run.headers
                 self.history.runs.append(
                     TargetRun(
-                        run.at - self.began,
+                        run.at - self.started_at,
                         target.name,
                         headers.get(names.ATTEMPT.lower(), ""),
                         headers.get(names.WORKSPACE.lower(), ""),
--- a/tests/soak/test_fleet.py
+++ b/tests/soak/test_fleet.py
@@ -12,7 +12,7 @@
 def host(tmp_path):
     store = start_store()
     host = Host(tmp_path, "h0", "a", store.address)
-    host.write([])
+    host.write_settings([])
     yield host
     host.close()
     store.shutdown()
@@ -20,13 +20,13 @@
 
 
 @pytest.fixture
-def hangups_ignored():
+def sighup_ignored():
     before = signal.signal(signal.SIGHUP, signal.SIG_IGN)
     yield
     signal.signal(signal.SIGHUP, before)
 
 
-def test_a_host_that_is_stopped_at_once_ends_as_planned(host, hangups_ignored):
+def test_a_host_that_is_stopped_at_once_ends_as_planned(host, sighup_ignored):
     """SIGTERM must not be sent before the interpreter of a host has started.
 
     If the soak test runs under nohup, its processes ignore SIGHUP from the start.
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from soak.proxy import Proxy, Way
+from soak.proxy import Direction, Proxy
 from tests.fleet import wait_until
 
 
 @pytest.fixture
-def pair():
+def echo_proxy():
     """Return a proxy to an echo server, and a function that connects through it."""
     with contextlib.ExitStack() as stack:
         server = socket.create_server(("127.0.0.1", 0))
@@ -41,17 +41,17 @@
             client.sendall(data)
 
 
-def test_bytes_pass_both_ways(pair):
-    _, connect = pair
+def test_bytes_pass_both_ways(echo_proxy):
+    _, connect = echo_proxy
     client = connect()
     client.sendall(b"one")
     assert client.recv(100) == b"one"
 
 
-def test_a_held_direction_passes_its_bytes_once_it_is_healed(pair):
-    proxy, connect = pair
+def test_a_held_direction_passes_its_bytes_once_it_is_healed(echo_proxy):
+    proxy, connect = echo_proxy
     client = connect()
-    proxy.held.add(Way.FROM)
+    proxy.held.add(Direction.FROM_UPSTREAM)
     client.sendall(b"one")
     client.settimeout(0.2)
     with pytest.raises(TimeoutError):
@@ -61,8 +61,8 @@
     assert client.recv(100) == b"one"
 
 
-def test_silenced_connections_carry_nothing_while_new_ones_work(pair):
-    proxy, connect = pair
+def test_silenced_connections_carry_nothing_while_new_ones_work(echo_proxy):
+    proxy, connect = echo_proxy
     client = connect()
     client.sendall(b"one")
     assert client.recv(100) == b"one"
@@ -76,8 +76,8 @@
     assert other.recv(100) == b"three"
 
 
-def test_a_reset_breaks_open_connections(pair):
-    proxy, connect = pair
+def test_a_reset_breaks_open_connections(echo_proxy):
+    proxy, connect = echo_proxy
     client = connect()
     wait_until(lambda: proxy.connections, "the connection")
     proxy.reset()
@@ -85,8 +85,8 @@
         client.recv(100)
 
 
-def test_a_refusing_proxy_resets_new_connections(pair):
-    proxy, connect = pair
+def test_a_refusing_proxy_resets_new_connections(echo_proxy):
+    proxy, connect = echo_proxy
     proxy.refusing = True
     with pytest.raises(OSError, match="reset"):
         connect().recv(100)
--- a/tests/soak/test_records.py
+++ b/tests/soak/test_records.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from soak.plan import Fault, Kind, draw
+from soak.plan import Fault, FaultKind, draw_faults
 from soak.records import Attempt, History, TargetRun
 
 
@@ -20,7 +20,7 @@
     return history
 
 
-def test_a_whole_call_breaks_nothing():
+def test_a_complete_call_violates_nothing():
     assert make_history().check() == []
 
 
@@ -68,23 +68,23 @@
 
 def test_calls_to_a_target_that_left_are_found():
     history = make_history()
-    history.left.append(("e0", 5.0, 12.0))
+    history.departures.append(("e0", 5.0, 12.0))
     (text,) = history.check()
     assert "after it left" in text
 
 
 def test_a_host_that_could_not_know_is_excused():
     """The store was down while the target left, so hosts couldn't learn of it."""
-    history = make_history([Fault(4.0, Kind.STORE_DOWN, 0, 3.0)])
-    history.left.append(("e0", 5.0, 12.0))
+    history = make_history([Fault(4.0, FaultKind.STORE_DOWN, 0, 3.0)])
+    history.departures.append(("e0", 5.0, 12.0))
     assert history.check() == []
 
 
 def test_a_call_cut_by_a_fault_is_excused_and_one_cut_by_planned_work_is_not():
     cut = {"status": 0, "body": None, "error": "reset"}
-    killed = [Fault(9.0, Kind.HOST_KILL, 0, 1.0)]
+    killed = [Fault(9.0, FaultKind.HOST_KILL, 0, 1.0)]
     assert make_history(killed, **cut).check() == []
-    stopped = [Fault(9.0, Kind.HOST_TERM, 0, 1.0)]
+    stopped = [Fault(9.0, FaultKind.HOST_TERM, 0, 1.0)]
     assert len(make_history(stopped, **cut).check()) == 1
 
 
@@ -95,18 +95,18 @@
 
 
 def test_a_seed_draws_the_same_faults_each_time():
-    assert draw(7, 12.0, 8) == draw(7, 12.0, 8)
-    assert draw(7, 12.0, 8) != draw(9, 12.0, 8)
-    assert {fault.kind for seed in range(200) for fault in draw(seed, 12.0, 8)} == set(
-        Kind
-    )
+    assert draw_faults(7, 12.0, 8) == draw_faults(7, 12.0, 8)
+    assert draw_faults(7, 12.0, 8) != draw_faults(9, 12.0, 8)
+    assert {
+        fault.kind for seed in range(200) for fault in draw_faults(seed, 12.0, 8)
+    } == set(FaultKind)
 
 
 def test_a_stranger_at_a_target_that_left_is_found():
     history = make_history()
     history.runs.append(TargetRun(10.2, "e0", "stranger", "w1", False))
-    history.left.append(("e0", 5.0, 10.0))
-    history.left.append(("e0", 10.1, 20.0))
+    history.departures.append(("e0", 5.0, 10.0))
+    history.departures.append(("e0", 10.1, 20.0))
     history.runs.append(TargetRun(15.0, "e0", "stranger", "w1", False))
     assert all(
         "stranger" in text or "after it left" in text for text in history.check()
--- a/tests/soak/test_seeds.py
+++ b/tests/soak/test_seeds.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from soak.run import Size, play
+from soak.run import RunSize, run_seed
 
-SHORT = Size(hosts=3, targets=2, callers=4, faults=6, seconds=6.0)
+SHORT = RunSize(hosts=3, targets=2, callers=4, faults=6, seconds=6.0)
 
 SEEDS = {
     0: "planned work only: no call may be cut",
@@ -20,17 +20,17 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_no_promise_is_broken(seed, tmp_path):
+def test_no_guarantee_is_violated(seed, tmp_path):
     """No guarantee is violated while hosts, store and targets fail.
 
     Calls that must not run twice don't, refused calls have not run, every answer
     is complete and belongs to its call, revoked keys and removed targets are not
     used, and after the faults calls are answered again.
     """
-    assert play(seed, SHORT, tmp_path).broken == []
+    assert run_seed(seed, SHORT, tmp_path).violations == []
 
 
 @pytest.mark.parametrize("seed", FAILED)
-def test_a_seed_that_failed_breaks_no_promise(seed, tmp_path):
+def test_a_failed_seed_violates_no_guarantee(seed, tmp_path):
     """The seed gives the same faults at the same times as in the run that failed."""
-    assert play(seed, Size(faults=14), tmp_path).broken == []
+    assert run_seed(seed, RunSize(faults=14), tmp_path).violations == []
