--- a/soak/inject.py
+++ b/soak/inject.py
@@ -43,9 +43,9 @@
             FaultKind.STORE_CUT: lambda f: self.hold_directions(
                 self.host(f).store_proxy, f, *Direction
             ),
-            FaultKind.STORE_SILENT: lambda f: self.host(f).store_proxy.silence(),
+            FaultKind.STORE_SILENT: lambda f: self.host(f).store_proxy.blackhole(),
             FaultKind.TARGET_RESET: lambda f: self.target(f).proxy.reset(),
-            FaultKind.TARGET_SILENT: lambda f: self.target(f).proxy.silence(),
+            FaultKind.TARGET_SILENT: lambda f: self.target(f).proxy.blackhole(),
             FaultKind.TARGET_HELD: lambda f: self.hold_directions(
                 self.target(f).proxy, f, Direction.FROM_UPSTREAM
             ),
@@ -70,7 +70,7 @@
             ),
             FaultKind.TARGET_LEAVES: self.deregister_target,
             FaultKind.PEER_RESET: lambda f: self.host(f).peer_proxy.reset(),
-            FaultKind.PEER_SILENT: lambda f: self.host(f).peer_proxy.silence(),
+            FaultKind.PEER_SILENT: lambda f: self.host(f).peer_proxy.blackhole(),
             FaultKind.CONFIG: lambda f: self.change_config(),
             FaultKind.REVOKE: self.revoke,
         }
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -148,7 +148,7 @@
         for connection in connections:
             connection.reset()
 
-    def silence(self) -> None:
+    def blackhole(self) -> None:
         """Discard all further data of the open connections without closing them."""
         with self.lock:
             for connection in self.connections:
