--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -155,7 +155,7 @@
                 connection.discards_data = True
 
     def heal(self) -> None:
-        """End all faults, but for connections that were silenced: these stay so."""
+        """End all faults, except that blackholed connections stay so."""
         self.delay_s, self.refusing = 0.0, False
         self.held.clear()
 
--- a/soak/records.py
+++ b/soak/records.py
@@ -15,7 +15,7 @@
 DENIAL_STATUSES = frozenset({400, 401, 403, 404})
 STREAM_EVENTS = 5
 FAULT_EFFECT_S = 3.0
-"""Seconds after the end of a fault in which its effects are excused."""
+"""Margin in seconds after a fault and before a call in which the fault excuses it."""
 MAX_REVOCATION_DELAY_S = 5.0
 """Seconds after a revocation in which calls with the key may still run."""
 MAX_REMOVAL_DELAY_S = 2.0
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -61,7 +61,7 @@
     assert client.recv(100) == b"one"
 
 
-def test_silenced_connections_carry_nothing_while_new_ones_work(echo_proxy):
+def test_blackholed_connections_carry_nothing_while_new_ones_work(echo_proxy):
     proxy, connect = echo_proxy
     client = connect()
     client.sendall(b"one")
