--- a/soak/inject.py
+++ b/soak/inject.py
@@ -207,7 +207,7 @@
             self.fleet.put_config()
 
     def revoke(self, fault: Fault) -> None:
-        """Revoke the last API key for good, unless it is the only one."""
+        """Revoke one API key for good, unless only one is left."""
         with self.lock:
             if len(self.fleet.keys) < 2:
                 return
--- a/soak/run.py
+++ b/soak/run.py
@@ -121,12 +121,12 @@
             if host.exited_unexpectedly:
                 self.history.exited_hosts.append(host.name)
         served = sum(
-            self.is_final_call_answered(caller, number) for number in range(FINAL_CALLS)
+            self.send_final_call(caller, number) for number in range(FINAL_CALLS)
         )
         if served < FINAL_CALLS * MIN_ANSWERED_FRACTION:
             self.history.findings.append(f"served {served} of {FINAL_CALLS} at the end")
 
-    def is_final_call_answered(self, caller: Caller, number: int) -> bool:
+    def send_final_call(self, caller: Caller, number: int) -> bool:
         """Send a call on a new connection; return whether it is answered.
 
         A call that its caller abandons counts as answered.
