--- a/soak/records.py
+++ b/soak/records.py
@@ -1,35 +1,45 @@
-"""What callers saw, and the promises that it is held against. Pure."""
+"""Records of a run and the checks of its guarantees.
+
+This module has no side effects.
+"""
 
 from collections import Counter
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from soak.plan import PLANNED, STORE_KINDS, Fault, Kind
+from soak.plan import PLANNED_KINDS, STORE_KINDS, Fault, FaultKind
 
-REFUSALS = frozenset({408, 421, 429, 503})
-"""Statuses that promise that nothing ran and nothing will."""
+REFUSAL_STATUSES = frozenset({408, 421, 429, 503})
+"""Statuses that guarantee that the call has not run and will not run."""
 
-DENIALS = frozenset({400, 401, 403, 404})
-EVENTS = 5
-CONTACT_S = 3.0
-"""Faults excuse what happens up to so long after them."""
-REVOKE_S = 5.0
-DRAIN_S = 2.0
+DENIAL_STATUSES = frozenset({400, 401, 403, 404})
+STREAM_EVENTS = 5
+FAULT_EFFECT_S = 3.0
+"""Margin in seconds after a fault and before a call in which the fault excuses it."""
+MAX_REVOCATION_DELAY_S = 5.0
+"""Seconds after a revocation in which calls with the key may still run."""
+MAX_REMOVAL_DELAY_S = 2.0
+"""Seconds after the departure of a target in which it may still be sent calls."""
 CONFIG_S = 2.0
 
 
 @dataclass
 class Attempt:
-    """One call as its caller saw it; times are seconds of the run.
+    """A call as its caller observed it.
 
     Attributes
     ----------
+    sent, ended : float
+        Times in seconds since the start of the run; ``ended`` is 0 while the call
+        is open, and stays 0 if its connection couldn't be opened.
     status : int
-        0 where no answer came.
+        HTTP status, or 0 if no answer came.
     body : bytes or None
-        None where the answer ended early.
-    left : bool
+        Body, or None if the answer ended early.
+    abandoned : bool
         Whether the caller gave up before it had the answer.
+    error : str
+        The exception that ended the call; empty if there was none.
     """
 
     name: str
@@ -41,165 +51,197 @@
     status: int = 0
     body: bytes | None = None
     signature: str = ""
-    left: bool = False
+    abandoned: bool = False
     error: str = ""
 
     @property
-    def may_repeat(self) -> bool:
-        """Whether targets may run it more than once."""
+    def may_run_again(self) -> bool:
+        """Whether the call may run more than once."""
         return self.route in ("lookup", "resume")
 
     @property
-    def streams(self) -> bool:
+    def is_streaming(self) -> bool:
         """Whether the answer is a stream."""
         return self.route in ("stream", "resume")
 
-    def wanted(self) -> bytes:
-        """Return the only right body."""
-        if self.streams:
-            events = range(1, EVENTS + 1)
+    def expected_body(self) -> bytes:
+        """Return the only correct body of the answer."""
+        if self.is_streaming:
+            events = range(1, STREAM_EVENTS + 1)
             return b"".join(b"id: %d\ndata: piece %d\n\n" % (n, n) for n in events)
         return b"answer of " + self.name.encode()
 
 
 @dataclass(frozen=True)
 class TargetRun:
-    """One request that a target ran."""
+    """A request that a target ran.
+
+    Attributes
+    ----------
+    started_s : float
+        Time in seconds since the start of the run.
+    name : str
+        Name of the call, as in `Attempt`.
+    has_key : bool
+        Whether the request still carried the API key of the caller.
+    """
 
-    at: float
+    started_s: float
     target: str
     name: str
     workspace: str
-    keys: bool
+    has_key: bool
 
 
 @dataclass
 class History:
-    """All that was seen in one run.
+    """Everything that was observed in one run.
 
     Attributes
     ----------
+    attempts : dict
+        Calls by name.
     revoked : dict
-        When the store took the configuration without a key.
-    left : list of tuple
-        Targets, from when to when the store had them as leaving or gone.
-    ended : list of str
-        Hosts whose process ended by itself.
+        API key -> time at which a configuration without it was in the store.
+    departures : list of tuple
+        Target, start and end of each time in which the store listed the target as
+        draining or not at all.
+    exited_hosts : list of str
+        Hosts whose process exited by itself.
+    findings : list of str
+        Violations that were found during the run.
     """
 
     faults: list[Fault]
     attempts: dict[str, Attempt] = field(default_factory=dict)
     runs: list[TargetRun] = field(default_factory=list)
     revoked: dict[str, float] = field(default_factory=dict)
-    left: list[tuple[str, float, float]] = field(default_factory=list)
-    ended: list[str] = field(default_factory=list)
+    departures: list[tuple[str, float, float]] = field(default_factory=list)
+    exited_hosts: list[str] = field(default_factory=list)
     findings: list[str] = field(default_factory=list)
 
     def check(self) -> list[str]:
-        """Return every promise that was broken, with the place."""
+        """Return a line for each violation of a guarantee."""
         parts = (
             self.findings,
-            [f"the process of {host} ended by itself" for host in self.ended],
-            self.run_twice(),
-            self.run_though_refused(),
+            [f"the process of {host} ended by itself" for host in self.exited_hosts],
+            self.duplicate_runs(),
+            self.runs_after_refusal(),
             self.wrong_answers(),
-            self.unasked(),
-            self.run_with_revoked_keys(),
-            self.denied(),
-            self.sent_to_leaving(),
-            self.cut_by_planned_work(),
+            self.unexpected_runs(),
+            self.runs_with_revoked_keys(),
+            self.wrongly_denied(),
+            self.runs_on_departed_targets(),
+            self.interrupted_by_planned_operations(),
         )
         return [row for part in parts for row in part]
 
-    def run_twice(self) -> list[str]:
-        """Return calls that ran more than once and may not."""
+    def duplicate_runs(self) -> list[str]:
+        """Return calls that ran more than once though they must not."""
         counts = Counter(run.name for run in self.runs)
         return [
             f"{name} ({self.attempts[name].route}) ran {count} times"
             for name, count in counts.items()
             if count > 1 and name in self.attempts
-            if not self.attempts[name].may_repeat
+            if not self.attempts[name].may_run_again
         ]
 
-    def run_though_refused(self) -> list[str]:
-        """Return calls of which it was said that they had not run."""
+    def runs_after_refusal(self) -> list[str]:
+        """Return calls that ran though their answer states that they had not."""
         ran = {run.name for run in self.runs}
         return [
             f"{row.name} ({row.route}) was answered {row.status} by {row.host} and ran"
             for row in self.attempts.values()
-            if row.status in REFUSALS and row.name in ran and not row.may_repeat
+            if row.status in REFUSAL_STATUSES
+            and row.name in ran
+            and not row.may_run_again
         ]
 
     def wrong_answers(self) -> list[str]:
-        """Return successes that aren't the caller's own whole answer."""
+        """Return successful calls whose body or signature isn't that of the call."""
         rows = []
         for row in self.attempts.values():
             if row.status != 200 or row.body is None:
                 continue
-            if row.body != row.wanted() or not row.signature.endswith(row.name):
+            if row.body != row.expected_body() or not row.signature.endswith(row.name):
                 rows.append(f"{row.name} ({row.route}) got {row.body[:60]!r}")
         return rows
 
-    def unasked(self) -> list[str]:
-        """Return runs that nobody asked for, or of another workspace, or with a key."""
+    def unexpected_runs(self) -> list[str]:
+        """Return runs without a call, for a wrong workspace, or with a caller's key."""
         return [
-            f"{run.target} ran {run.name} for {run.workspace!r}, key: {run.keys}"
+            f"{run.target} ran {run.name} for {run.workspace!r}, key: {run.has_key}"
             for run in self.runs
-            if run.name not in self.attempts or run.workspace != "w1" or run.keys
+            if run.name not in self.attempts or run.workspace != "w1" or run.has_key
         ]
 
-    def run_with_revoked_keys(self) -> list[str]:
-        """Return runs of calls sent too long after their key was taken away."""
+    def runs_with_revoked_keys(self) -> list[str]:
+        """Return runs of calls that were sent too long after their key was revoked."""
         rows = []
         for run in self.runs:
             attempt = self.attempts.get(run.name)
             since = self.revoked.get(attempt.key) if attempt else None
-            if since is not None and attempt.sent > since + REVOKE_S:
+            if since is not None and attempt.sent > since + MAX_REVOCATION_DELAY_S:
                 late_s = attempt.sent - since
                 rows.append(f"{run.name} ran, its key revoked {late_s:.2f} s before")
         return rows
 
-    def denied(self) -> list[str]:
-        """Return calls whose key and route were there all the time, and denied."""
+    def wrongly_denied(self) -> list[str]:
+        """Return denied calls whose key was valid throughout the run.
+
+        All routes exist throughout the run.
+        """
         return [
             f"{row.name} ({row.route}) was answered {row.status} by {row.host}"
             for row in self.attempts.values()
-            if row.status in DENIALS and row.key not in self.revoked
+            if row.status in DENIAL_STATUSES and row.key not in self.revoked
         ]
 
-    def sent_to_leaving(self) -> list[str]:
-        """Return runs on targets that had left, by hosts that could know."""
+    def runs_on_departed_targets(self) -> list[str]:
+        """Return runs on targets that had left.
+
+        They count only if the call and the run both came more than
+        `MAX_REMOVAL_DELAY_S` later, and no fault kept the host from learning of it.
+        """
         return [
-            f"{run.target} ran {run.name} {run.at - since:.2f} s after it left"
+            f"{run.target} ran {run.name} {run.started_s - since:.2f} s after it left"
             for run in self.runs
-            for target, since, until in self.left
-            if run.target == target and since + DRAIN_S < run.at < until
+            for target, since, until in self.departures
+            if run.target == target
+            and since + MAX_REMOVAL_DELAY_S < run.started_s < until
             if run.name in self.attempts
-            if self.attempts[run.name].sent > since + DRAIN_S
-            if self.is_calm(since, run.at, STORE_KINDS | HOST_FAULTS)
+            if self.attempts[run.name].sent > since + MAX_REMOVAL_DELAY_S
+            if self.has_no_fault(since, run.started_s, STORE_KINDS | STALE_HOST_KINDS)
         ]
 
-    def cut_by_planned_work(self) -> list[str]:
-        """Return calls without a whole answer where only planned work went on."""
+    def interrupted_by_planned_operations(self) -> list[str]:
+        """Return calls that failed while nothing but planned operations went on."""
         return [
             f"{row.name} ({row.route}) at {row.host} ended with {row.error}"
             for row in self.attempts.values()
-            if row.error and not row.left and row.ended > 0
-            if self.is_calm(row.sent, row.ended, frozenset(Kind) - PLANNED)
+            if row.error and not row.abandoned and row.ended > 0
+            if self.has_no_fault(
+                row.sent, row.ended, frozenset(FaultKind) - PLANNED_KINDS
+            )
         ]
 
-    def is_calm(self, begin: float, end: float, kinds: Iterable[Kind]) -> bool:
-        """Return whether none of ``kinds`` went on, or had just ended."""
+    def has_no_fault(
+        self, begin: float, end: float, kinds: Iterable[FaultKind]
+    ) -> bool:
+        """Return whether no fault of ``kinds`` went on between ``begin`` and ``end``.
+
+        A fault that ended less than ``2 * FAULT_EFFECT_S`` before ``begin`` counts too.
+        """
         return not any(
             fault.kind in kinds
-            and fault.at < end
-            and fault.until + CONTACT_S > begin - CONTACT_S
+            and fault.start_s < end
+            and fault.end_s + FAULT_EFFECT_S > begin - FAULT_EFFECT_S
             for fault in self.faults
         )
 
 
-HOST_FAULTS = frozenset(
-    {Kind.HOST_KILL, Kind.HOST_PAUSE, Kind.HOST_TERM, Kind.ALL_KILL}
-    | {Kind.PEER_RESET, Kind.PEER_SILENT}
+STALE_HOST_KINDS = frozenset(
+    {FaultKind.HOST_KILL, FaultKind.HOST_PAUSE, FaultKind.HOST_TERM, FaultKind.ALL_KILL}
+    | {FaultKind.PEER_RESET, FaultKind.PEER_SILENT}
 )
-"""Faults after which a host needs a moment to hear what its peers know."""
+"""Faults after which a host needs time to learn what its peers know."""
