--- a/godwitladder/standins/base.py
+++ b/godwitladder/standins/base.py
@@ -1,8 +1,8 @@
-"""A small HTTP server with knobs, on which every stand-in is built.
+"""HTTP server with adjustable faults (knobs), the base of the stand-ins.
 
-The standard library's server is used here in place of waitress, since a
-stand-in must be able to misbehave below HTTP: close a connection under a
-request, fall silent, cut an answer short.
+It is built on the standard library's server instead of waitress, because a
+stand-in must be able to fail below HTTP: close a connection during a request,
+stop sending data, or truncate an answer.
 """
 
 import functools
@@ -13,15 +13,15 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-POLL_S = 0.05
+SHUTDOWN_POLL_INTERVAL_S = 0.05
 
 
 class Hangup(Exception):
-    """Raised by a route to close the connection without an answer."""
+    """Raised by a route to close the connection without completing an answer."""
 
 
 class Server(ThreadingHTTPServer):
-    """Serves a stand-in's routes, a thread for each connection."""
+    """Serves a stand-in's routes with one thread per connection."""
 
     daemon_threads = True
     request_queue_size = 512
@@ -34,24 +34,24 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as ``address:port``."""
+        """Address on which the server listens, as ``address:port``."""
         host, port = self.server_address[:2]
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Serve in a thread."""
-        serve = functools.partial(self.serve_forever, POLL_S)
+        """Serve in a background thread."""
+        serve = functools.partial(self.serve_forever, SHUTDOWN_POLL_INTERVAL_S)
         threading.Thread(target=serve, daemon=True).start()
 
     def server_close(self) -> None:
-        """Stop listening, and end the stand-in's own thread if it has one."""
+        """Stop listening, and stop the stand-in's background thread if any."""
         super().server_close()
         with self.standin.changed:
             self.standin.closed = True
             self.standin.changed.notify_all()
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Stay quiet about connections that the other end has closed."""
+        """Print no traceback when the other end has closed the connection."""
 
 
 class Standin:
@@ -60,9 +60,14 @@
     Attributes
     ----------
     knobs : dict
-        Named values that tests set with ``POST /knobs``.
+        Values that set the behavior and the faults, by name. ``GET /knobs``
+        reads them and ``POST /knobs`` changes them.
+    closed : bool
+        Whether the server has been closed.
+    changed : threading.Condition
+        Guards the state of the stand-in, and is notified when it changes.
     routes : dict
-        A function of the handler for each method and first part of the path.
+        Function that answers a request, by method and first path segment.
     """
 
     def __init__(self, knobs: dict[str, Any]) -> None:
@@ -75,7 +80,7 @@
         }
 
     def set_knobs(self, handler: "Handler") -> None:
-        """Change the knobs named in the body."""
+        """Change the knobs named in the JSON body; answer 400 if one is unknown."""
         values = json.loads(handler.body)
         unknown = set(values) - set(self.knobs)
         if unknown:
@@ -86,12 +91,24 @@
             self.changed.notify_all()
         handler.send_json(self.knobs)
 
-    def before(self, handler: "Handler") -> None:
-        """Run before each route but ``knobs``; may raise `Hangup`."""
+    def before_request(self, handler: "Handler") -> None:
+        """Hook run before every route except ``knobs``; may raise `Hangup`."""
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Finds the route of a request and answers in JSON or chunks."""
+    """Calls the route of a request, which answers in JSON or in chunks.
+
+    Attributes
+    ----------
+    parts : list of str
+        Segments of the request's path.
+    query : dict of str to str
+        First value of each query parameter.
+    body : bytes
+        Body of the request.
+    extra_headers : dict of str to str
+        Headers that `send_json` adds.
+    """
 
     protocol_version = "HTTP/1.1"
     disable_nagle_algorithm = True
@@ -99,28 +116,28 @@
     body: bytes = b""
 
     def do_GET(self) -> None:
-        """Answer a GET."""
+        """Answer a GET request."""
         self.answer()
 
     def do_POST(self) -> None:
-        """Answer a POST."""
+        """Answer a POST request."""
         self.answer()
 
     def do_DELETE(self) -> None:
-        """Answer a DELETE."""
+        """Answer a DELETE request."""
         self.answer()
 
     def answer(self) -> None:
-        """Run the route of the request."""
+        """Call the route of the request, or answer 404 if there is none."""
         self.extra_headers: dict[str, str] = {}
         url = urlsplit(self.path)
         self.parts = url.path.strip("/").split("/")
-        self.query = {name: rows[0] for name, rows in parse_qs(url.query).items()}
+        self.query = {name: values[0] for name, values in parse_qs(url.query).items()}
         self.body = self.rfile.read(int(self.headers.get("Content-Length") or 0))
         route = self.server.standin.routes.get((self.command, self.parts[0]))
         try:
             if self.parts[0] != "knobs":
-                self.server.standin.before(self)
+                self.server.standin.before_request(self)
             if route is None:
                 self.send_json({"error": f"no {self.command} {self.path}"}, 404)
             else:
@@ -129,7 +146,7 @@
             self.close_connection = True
 
     def send_json(self, value: Any, status: int = 200) -> None:
-        """Answer with ``value`` in JSON."""
+        """Answer with ``value`` encoded as JSON."""
         body = json.dumps(value).encode()
         self.send_response(status)
         self.send_header("Content-Type", "application/json")
@@ -140,7 +157,7 @@
         self.wfile.write(body)
 
     def start_chunks(self, content_type: str) -> None:
-        """Start an answer in chunks."""
+        """Start a chunked answer with status 200."""
         self.send_response(200)
         self.send_header("Content-Type", content_type)
         self.send_header("Transfer-Encoding", "chunked")
@@ -152,4 +169,4 @@
         self.wfile.flush()
 
     def log_message(self, *args: Any) -> None:
-        """Log nothing: tests read the stand-ins' own records."""
+        """Log no requests; tests read the records that stand-ins keep."""
--- a/godwitladder/standins/ingress.py
+++ b/godwitladder/standins/ingress.py
@@ -1,8 +1,8 @@
-"""Stand-ins of the users' platform: a store of keyed topics, and an engine.
+"""Stand-ins for the platform of routed mode: a store of keyed topics, an engine.
 
-Small programs that speak what the platform's pages say, with knobs for the
-faults that those pages tell of. They use the standard library's server, since
-they must misbehave below HTTP.
+They implement the platform's documented protocol, with knobs for the faults
+that the platform's documentation describes. They are built on the standard
+library's server, because they must be able to fail below HTTP.
 """
 
 import base64
@@ -18,37 +18,47 @@
 
 from godwitladder.platform import names
 
-LENGTH = struct.Struct(">I")
-HEAD = struct.Struct(">QQ")
+RECORD_LENGTH = struct.Struct(">I")
+READ_HEADER = struct.Struct(">QQ")
 
 
 @dataclass
 class Partition:
-    """Records of one topic; ``first`` is the oldest offset still kept."""
+    """Records of one topic.
+
+    Attributes
+    ----------
+    records : list of tuple of str and bytes
+        Key and value of every record; the index is the offset. An empty value
+        deletes the key.
+    first_offset : int
+        Oldest offset that can be read.
+    """
 
     records: list[tuple[str, bytes]] = field(default_factory=list)
-    first: int = 0
+    first_offset: int = 0
 
     def newest(self) -> dict[str, tuple[int, bytes]]:
-        """Return the newest record of each key that was not dropped."""
-        rows = {}
+        """Return offset and value of the newest record of each live key."""
+        newest = {}
         for offset, (key, value) in enumerate(self.records):
-            rows[key] = (offset, value)
-        return {key: row for key, row in rows.items() if row[1]}
+            newest[key] = (offset, value)
+        return {key: record for key, record in newest.items() if record[1]}
 
 
 @dataclass
 class StoreKnobs:
-    """Faults of the store.
+    """Knobs of the store, which set its faults.
 
     Attributes
     ----------
     status : int
-        Answer everything with this status; 0 for none.
+        Status with which every request is answered; 0 for none.
     mute_s : float
-        Seconds before each answer.
+        Delay before each answer, in seconds.
     lose : bool
-        Do what it is asked, and close the connection without an answer.
+        Whether requests are carried out, but their connections closed without
+        an answer.
     """
 
     status: int = 0
@@ -57,7 +67,17 @@
 
 
 class Store:
-    """The topics of the stand-in, and its faults."""
+    """Topics and knobs of the store.
+
+    Attributes
+    ----------
+    topics : dict of str to Partition
+        Records of each topic, by name.
+    knobs : StoreKnobs
+        Faults of the store.
+    reads : int
+        Number of read requests handled.
+    """
 
     def __init__(self) -> None:
         self.topics: dict[str, Partition] = defaultdict(Partition)
@@ -66,55 +86,64 @@
         self.lock = threading.Lock()
 
     def put(self, topic: str, key: str, value: bytes) -> int:
-        """Append one record; without a value its key is dropped."""
+        """Append a record and return the end offset; no value deletes the key."""
         with self.lock:
             self.topics[topic].records.append((key, value))
             return len(self.topics[topic].records)
 
     def put_config(self, config: dict) -> None:
-        """Put a configuration in force, as the operator does."""
+        """Publish a configuration, as the operator does."""
         self.put(names.CONFIG_TOPIC, names.CONFIG_KEY, json.dumps(config).encode())
 
     def forget(self, topic: str) -> None:
-        """Drop the history of a topic; the newest record of each key stays."""
+        """Make the history of a topic unreadable, as compaction does.
+
+        The newest record of each key remains available.
+        """
         with self.lock:
-            part = self.topics[topic]
-            part.first = len(part.records)
+            partition = self.topics[topic]
+            partition.first_offset = len(partition.records)
 
 
 class StoreHandler(BaseHTTPRequestHandler):
-    """Answers the calls of a store."""
+    """Answers requests to the store."""
 
     protocol_version = "HTTP/1.1"
 
     def do_GET(self) -> None:
-        """Answer a read."""
+        """Serve the newest records of a topic, or its records from an offset on."""
         url = urlsplit(self.path)
         query = dict(parse_qsl(url.query))
-        if self.failed():
+        if self.send_failure():
             return
         store = self.server.standin
         store.reads += 1
         with store.lock:
-            part = store.topics[query["topic"]]
+            partition = store.topics[query["topic"]]
             if url.path == names.NEWEST:
-                self.answer(200, newest_page(part, query.get("after", "")))
+                self.answer(200, newest_page(partition, query.get("after", "")))
             else:
-                self.answer(*read_page(part, int(query["from"])))
+                self.answer(*read_page(partition, int(query["from"])))
 
     def do_POST(self) -> None:
-        """Answer an append."""
+        """Append the record in the body."""
         body = self.rfile.read(int(self.headers.get("Content-Length") or 0))
-        if self.failed():
+        if self.send_failure():
             return
         query = dict(parse_qsl(urlsplit(self.path).query))
-        content = body[LENGTH.size :]
+        content = body[RECORD_LENGTH.size :]
         key = content[1 : 1 + content[0]].decode()
         end = self.server.standin.put(query["topic"], key, content[1 + content[0] :])
         self.answer(200, json.dumps({"offset": end - 1, "endOffset": end}).encode())
 
-    def failed(self) -> bool:
-        """Return whether a knob has answered."""
+    def send_failure(self) -> bool:
+        """Delay the answer and send the status that a knob sets, if any.
+
+        Returns
+        -------
+        bool
+            Whether the request has been answered.
+        """
         knobs = self.server.standin.knobs
         time.sleep(knobs.mute_s)
         if knobs.status:
@@ -122,7 +151,7 @@
         return bool(knobs.status)
 
     def answer(self, status: int, body: bytes) -> None:
-        """Send one answer, unless it is to be lost."""
+        """Send an answer, or close the connection if the knob ``lose`` is set."""
         if self.server.standin.knobs.lose:
             self.close_connection = True
             return
@@ -132,50 +161,58 @@
         self.wfile.write(body)
 
     def log_message(self, *args) -> None:
-        """Print nothing."""
+        """Log no requests."""
 
 
-def newest_page(part: Partition, after: str) -> bytes:
-    """Return one page of the newest records."""
-    keys = sorted(key for key in part.newest() if key > after)
-    rows = [
+def newest_page(partition: Partition, after: str) -> bytes:
+    """Return a JSON page of at most two newest records, of keys after ``after``."""
+    keys = sorted(key for key in partition.newest() if key > after)
+    entries = [
         {"key": key, "value": base64.b64encode(value).decode(), "offset": offset}
         for key in keys[:2]
-        for offset, value in [part.newest()[key]]
+        for offset, value in [partition.newest()[key]]
     ]
-    page = {"entries": rows, "hasMore": len(keys) > 2, "endOffset": len(part.records)}
+    page = {
+        "entries": entries,
+        "hasMore": len(keys) > 2,
+        "endOffset": len(partition.records),
+    }
     return json.dumps(page).encode()
 
 
-def read_page(part: Partition, start: int) -> tuple[int, bytes]:
-    """Return the status and body of a read from ``start``."""
-    if start < part.first:
-        return 410, json.dumps({"firstOffset": part.first}).encode()
-    body = HEAD.pack(len(part.records), part.first)
-    for key, value in part.records[start:]:
+def read_page(partition: Partition, start: int) -> tuple[int, bytes]:
+    """Return the status and body of a read from offset ``start`` on."""
+    if start < partition.first_offset:
+        return 410, json.dumps({"firstOffset": partition.first_offset}).encode()
+    body = READ_HEADER.pack(len(partition.records), partition.first_offset)
+    for key, value in partition.records[start:]:
         content = bytes([len(key.encode())]) + key.encode() + value
-        body += LENGTH.pack(len(content)) + content
+        body += RECORD_LENGTH.pack(len(content)) + content
     return 200, body
 
 
 @dataclass
 class EngineKnobs:
-    """Faults of an engine.
+    """Knobs of an engine, which set its faults and its pace.
 
     Attributes
     ----------
     refuse : bool
-        Whether it says that it ran nothing.
+        Whether requests are refused with 503 and marked as not executed.
+    name : str
+        Name of the engine. Requests that expect another instance are refused
+        with 421; if empty, no request is refused for that.
     cut_after : int
-        Events after which a stream is cut in the middle of the next; -1 never.
+        Number of events after which a stream is cut in the middle of the next
+        one; -1 for never.
     foreign : bool
-        Whether it answers with another request's id.
+        Whether answers carry the attempt id of another request.
     pause_s : float
-        Between two events, and before an answer.
+        Delay before each event, and before an answer, in seconds.
     status : int
-        Status of its answers.
-    name : str
-        Its name, by which callers may insist on it; empty for any.
+        Status of answers that are no streams.
+    events : int
+        Number of the last event of a stream.
     """
 
     refuse: bool = False
@@ -189,7 +226,19 @@
 
 @dataclass(frozen=True)
 class Run:
-    """A request that an engine ran; ``at`` is in monotonic seconds."""
+    """A request that an engine ran.
+
+    Attributes
+    ----------
+    method, path : str
+        Request line.
+    headers : dict of str to str
+        Request headers, by their lowercase names.
+    body : bytes
+        Request body.
+    at : float
+        When the request arrived, in monotonic seconds.
+    """
 
     method: str
     path: str
@@ -199,7 +248,17 @@
 
 
 class Engine:
-    """What the stand-in of an engine ran, and its faults."""
+    """Requests that an engine ran, and its knobs.
+
+    Attributes
+    ----------
+    knobs : EngineKnobs
+        Faults and pace of the engine.
+    runs : list of Run
+        Requests that ran, in order of arrival.
+    broken : int
+        Number of connections that broke while an answer was sent.
+    """
 
     def __init__(self) -> None:
         self.knobs = EngineKnobs()
@@ -208,20 +267,20 @@
 
 
 class EngineHandler(BaseHTTPRequestHandler):
-    """Answers requests as an engine does."""
+    """Answers requests to an engine."""
 
     protocol_version = "HTTP/1.1"
 
     def do_POST(self) -> None:
-        """Run a request."""
+        """Run a request, or refuse it as the knobs say."""
         engine = self.server.standin
         body = self.rfile.read(int(self.headers.get("Content-Length") or 0))
-        wanted = self.headers.get(names.EXPECT_INSTANCE, "")
-        if wanted and engine.knobs.name not in ("", wanted):
-            self.head(421, [("Content-Length", "0")])
+        expected = self.headers.get(names.EXPECT_INSTANCE, "")
+        if expected and engine.knobs.name not in ("", expected):
+            self.send_head(421, [("Content-Length", "0")])
             return
         if engine.knobs.refuse:
-            self.head(503, [(names.NOT_EXECUTED, "1"), ("Content-Length", "0")])
+            self.send_head(503, [(names.NOT_EXECUTED, "1"), ("Content-Length", "0")])
             return
         headers = {name.lower(): value for name, value in self.headers.items()}
         now = time.monotonic()
@@ -234,52 +293,52 @@
     do_GET = do_POST
 
     def run(self, knobs: EngineKnobs) -> None:
-        """Answer a request that runs."""
+        """Answer an accepted request."""
         if "/stream/" in self.path:
             self.stream(knobs)
             return
         time.sleep(knobs.pause_s)
         body = b"answer of " + self.headers.get(names.ATTEMPT, "").encode()
-        self.head(knobs.status, [("Content-Length", str(len(body)))])
+        self.send_head(knobs.status, [("Content-Length", str(len(body)))])
         self.wfile.write(body)
 
     def stream(self, knobs: EngineKnobs) -> None:
-        """Answer with events, in chunks."""
-        kind = ("Content-Type", "text/event-stream")
-        self.head(200, [kind, ("Transfer-Encoding", "chunked")])
+        """Send server-sent events in chunks, after the ``Last-Event-Id`` if given."""
+        content_type = ("Content-Type", "text/event-stream")
+        self.send_head(200, [content_type, ("Transfer-Encoding", "chunked")])
         start = int(self.headers.get(names.LAST_EVENT) or 0)
         for number in range(start + 1, knobs.events + 1):
             time.sleep(knobs.pause_s)
             event = b"id: %d\ndata: piece %d\n\n" % (number, number)
             if 0 <= knobs.cut_after < number:
-                self.chunk(event[:7])
+                self.send_chunk(event[:7])
                 self.connection.shutdown(socket.SHUT_RDWR)
-                raise ConnectionResetError("the stream is cut")
-            self.chunk(event)
-        self.chunk(b"")
+                raise ConnectionResetError("stream cut by the knob cut_after")
+            self.send_chunk(event)
+        self.send_chunk(b"")
 
-    def head(self, status: int, headers: list[tuple[str, str]]) -> None:
-        """Send the head of an answer."""
-        attempt = "other" if self.server.standin.knobs.foreign else None
+    def send_head(self, status: int, headers: list[tuple[str, str]]) -> None:
+        """Send the status line and the headers of an answer."""
+        other_id = "other" if self.server.standin.knobs.foreign else None
         self.send_response(status)
-        mine = attempt or self.headers.get(names.ATTEMPT, "")
-        self.send_header(names.ATTEMPT, mine)
-        self.send_header(names.SIGNATURE, f"signed-{mine}")
+        attempt_id = other_id or self.headers.get(names.ATTEMPT, "")
+        self.send_header(names.ATTEMPT, attempt_id)
+        self.send_header(names.SIGNATURE, f"signed-{attempt_id}")
         for name, value in headers:
             self.send_header(name, value)
         self.end_headers()
 
-    def chunk(self, data: bytes) -> None:
-        """Send one chunk."""
+    def send_chunk(self, data: bytes) -> None:
+        """Send one chunk; an empty one ends the answer."""
         self.wfile.write(b"%x\r\n%b\r\n" % (len(data), data))
         self.wfile.flush()
 
     def log_message(self, *args) -> None:
-        """Print nothing."""
+        """Log no requests."""
 
 
 class StandinServer(ThreadingHTTPServer):
-    """Serves one stand-in at a free port."""
+    """Serves one stand-in on a free port, given by ``address``."""
 
     daemon_threads = True
 
@@ -289,16 +348,16 @@
         self.address = f"127.0.0.1:{self.server_port}"
 
     def handle_error(self, request, client_address) -> None:
-        """Print nothing: connections break here on purpose."""
+        """Print no traceback: tests break connections on purpose."""
 
 
 def start_store() -> StandinServer:
-    """Start a store; ``shutdown`` and ``server_close`` end it."""
+    """Start a store; ``shutdown`` and ``server_close`` stop it."""
     return _start(StandinServer(StoreHandler, Store()))
 
 
 def start_engine() -> StandinServer:
-    """Start an engine; ``shutdown`` and ``server_close`` end it."""
+    """Start an engine; ``shutdown`` and ``server_close`` stop it."""
     return _start(StandinServer(EngineHandler, Engine()))
 
 
--- a/godwitladder/standins/ports.py
+++ b/godwitladder/standins/ports.py
@@ -1,48 +1,48 @@
-"""Ports for hosts that tests and the demonstration start on this machine."""
+"""Ports for the hosts that tests and the demonstration start locally."""
 
 import random
 import socket
 
-LOWEST_PORT = 10_000
-LOWEST_OUTGOING_PORT = 32_000
-GUARD_ADDRESS = "127.0.0.2"
-GUARDS: list[socket.socket] = []
+MIN_PORT = 10_000
+EPHEMERAL_PORTS_START = 32_000
+RESERVATION_ADDRESS = "127.0.0.2"
+RESERVATIONS: list[socket.socket] = []
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that are free and stay so until a host listens on them.
+    """Return ``count`` ports that stay free until a host listens on them.
 
-    They are below the range from which the kernel takes ports for outgoing
-    connections: one of those, taken while a host was starting, kept the host
-    from listening now and then.
+    The ports are below the ephemeral range. The kernel may assign a port of that
+    range to an outgoing connection while a host is starting, and the host then
+    fails to listen on it.
     """
     ports: list[int] = []
     while len(ports) < count:
-        port = random.randrange(LOWEST_PORT, LOWEST_OUTGOING_PORT)
+        port = random.randrange(MIN_PORT, EPHEMERAL_PORTS_START)
         if reserve(port) and is_free(port):
             ports.append(port)
     return ports
 
 
 def reserve(port: int) -> bool:
-    """Keep ``port`` from being given out again; return whether that worked.
+    """Reserve ``port`` across processes; return whether it was available.
 
-    The port is held at another loopback address for the life of the process.
-    Two test runs at the same time would otherwise pick the same port before
-    either's host listens, and one host would end at its start.
+    A socket stays bound to the port on another loopback address until the
+    process exits. Otherwise two concurrent test runs could choose the same port
+    before either host listens on it, and one of the hosts would fail to start.
     """
-    guard = socket.socket()
+    reservation = socket.socket()
     try:
-        guard.bind((GUARD_ADDRESS, port))
+        reservation.bind((RESERVATION_ADDRESS, port))
     except OSError:
-        guard.close()
+        reservation.close()
         return False
-    GUARDS.append(guard)
+    RESERVATIONS.append(reservation)
     return True
 
 
 def is_free(port: int) -> bool:
-    """Return whether nothing listens on ``port``."""
+    """Return whether ``port`` can be bound on 127.0.0.1."""
     with socket.socket() as candidate:
         candidate.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
--- a/godwitladder/standins/service.py
+++ b/godwitladder/standins/service.py
@@ -1,17 +1,17 @@
-"""Stand-in of a plain service, which counts what it ran.
+"""Stand-in for a plain service that records the calls it ran.
 
 Knobs
 -----
 delay_s : float
-    Time that each call takes.
+    Duration of each call, in seconds.
 lose_answers : int
-    This many next calls are run, and their answers lost.
+    Number of next calls that run but get no answer.
 cut_answers : int
-    This many next answers end before their stated length.
+    Number of next answers that end before their ``Content-Length``.
 unframed_answers : int
-    This many next answers state no length and are cut.
+    Number of next answers that are truncated and state no length.
 foreign_answers : int
-    This many next answers say that they are another call's.
+    Number of next answers that carry the id of another call.
 """
 
 import hashlib
@@ -30,8 +30,8 @@
 
 
 @dataclass(frozen=True)
-class Ran:
-    """One call that was run."""
+class CallRecord:
+    """A call that ran: its id, service and body digest."""
 
     call: str
     service: str
@@ -39,55 +39,71 @@
 
 
 class PlainService(Standin):
-    """Runs every call that comes and keeps a record of it."""
+    """Runs every call and records it.
+
+    Attributes
+    ----------
+    runs : list of CallRecord
+        The calls that ran, in order of arrival.
+    """
 
     def __init__(self, **knobs) -> None:
         super().__init__({**KNOBS, **knobs})
-        self.runs: list[Ran] = []
-        self.routes |= {("POST", "call"): self.call, ("GET", "ran"): self.report}
+        self.runs: list[CallRecord] = []
+        self.routes |= {("POST", "call"): self.call, ("GET", "ran"): self.report_runs}
 
     def call(self, handler: Handler) -> None:
-        """Run one call."""
+        """Run one call, then answer or fail as the knobs say."""
         digest = hashlib.sha256(handler.body).hexdigest()
-        ran = Ran(handler.headers.get("X-Call-Id", ""), handler.parts[1], digest)
+        record = CallRecord(
+            handler.headers.get("X-Call-Id", ""), handler.parts[1], digest
+        )
         with self.changed:
-            self.runs.append(ran)
+            self.runs.append(record)
             count = len(self.runs)
         time.sleep(self.knobs["delay_s"])
-        if self.take("lose_answers"):
+        if self.consume_knob("lose_answers"):
             raise Hangup
-        if self.take("cut_answers"):
+        if self.consume_knob("cut_answers"):
             handler.send_response(200)
             handler.send_header("Content-Length", "1000")
             handler.end_headers()
             handler.wfile.write(b"{")
             raise Hangup
-        if self.take("unframed_answers"):
+        if self.consume_knob("unframed_answers"):
             handler.send_response(200)
             handler.end_headers()
             handler.wfile.write(b"{")
             raise Hangup
-        if self.take("foreign_answers"):
+        if self.consume_knob("foreign_answers"):
             handler.extra_headers["X-Call-Id"] = "another"
-        handler.send_json({"ran": count, "call": ran.call, "digest": digest})
+        handler.send_json({"ran": count, "call": record.call, "digest": digest})
 
-    def take(self, knob: str) -> bool:
-        """Use up one of a counted knob; return whether there was one."""
+    def consume_knob(self, knob: str) -> bool:
+        """Decrement a counting knob; return whether it was positive."""
         with self.changed:
             if self.knobs[knob] <= 0:
                 return False
             self.knobs[knob] -= 1
             return True
 
-    def report(self, handler: Handler) -> None:
-        """Tell what ran."""
+    def report_runs(self, handler: Handler) -> None:
+        """Serve the calls that ran."""
         with self.changed:
-            rows = [vars(run) for run in self.runs]
-        handler.send_json(rows)
+            runs = [vars(run) for run in self.runs]
+        handler.send_json(runs)
 
 
 def start_service(address: str = "127.0.0.1:0", **knobs) -> Server:
-    """Start a plain service's stand-in and return its server."""
+    """Start a stand-in for a plain service and return its server.
+
+    Parameters
+    ----------
+    address : str
+        Address to listen on, as ``address:port``; port 0 for a free one.
+    **knobs
+        Initial values of knobs that differ from the defaults.
+    """
     server = Server(address, PlainService(**knobs))
     server.start()
     return server
