--- a/godwitladder/configuration/ledger.py
+++ b/godwitladder/configuration/ledger.py
@@ -13,15 +13,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from godwitladder.configuration.judgement import (
+from godwitladder.configuration.model import ObjectKind, ObjectName, Versioned
+from godwitladder.configuration.state import ConfigState
+from godwitladder.configuration.tickets import Ticket, read_ticket
+from godwitladder.configuration.validation import (
     Holders,
     Rejection,
     judge,
     unique_values,
 )
-from godwitladder.configuration.model import ObjectKind, ObjectName, Versioned
-from godwitladder.configuration.state import ConfigState
-from godwitladder.configuration.tickets import Ticket, read_ticket
 from godwitladder.findings import Finding, InvalidInput
 from godwitladder.ids import Offset, TicketNumber
 
@@ -267,7 +267,7 @@
         services=ledger.table(ObjectKind.SERVICE),
         targets=ledger.table(ObjectKind.TARGET),
         keys=keys,
-        numbers={
+        target_ticket_numbers={
             name.name: row.number
             for name, row in ledger.objects.items()
             if name.table == ObjectKind.TARGET.value
--- a/godwitladder/configuration/state.py
+++ b/godwitladder/configuration/state.py
@@ -32,7 +32,7 @@
     services: Mapping[str, Service] = field(default_factory=dict)
     targets: Mapping[str, Target] = field(default_factory=dict)
     keys: Mapping[str, str] = field(default_factory=dict)
-    numbers: Mapping[str, int] = field(default_factory=dict)
+    target_ticket_numbers: Mapping[str, int] = field(default_factory=dict)
 
     def rank(self, workspace: Workspace) -> int:
         """Return the rank of the workspace's tier."""
--- a/godwitladder/configuration/tickets.py
+++ b/godwitladder/configuration/tickets.py
@@ -17,7 +17,7 @@
 from godwitladder.tables import MAX_JSON_INTEGER, read_table
 
 # Bounds are constants and no settings: a verdict must be the same everywhere.
-TICKET_BYTES = 1_048_576
+MAX_TICKET_BYTES = 1_048_576
 NAME_CHARS = 200
 HEAD = ("number", "operator", "reason", "remove")
 TABLES = tuple(kind.value for kind in ObjectKind)
@@ -51,8 +51,8 @@
         With every finding in the text.
     """
     findings = Findings()
-    if len(data) > TICKET_BYTES:
-        findings.add(name, f"has {len(data)} bytes, more than {TICKET_BYTES}")
+    if len(data) > MAX_TICKET_BYTES:
+        findings.add(name, f"has {len(data)} bytes, more than {MAX_TICKET_BYTES}")
         findings.raise_if_any()
     ticket = None
     raw = parse_toml(data, name, findings)
--- a/godwitladder/orders/issuer.py
+++ b/godwitladder/orders/issuer.py
@@ -154,7 +154,7 @@
         # wait for.
         connection = connect(target.address, SEND_S)
         try:
-            lease = self.stream.lease(name, state.numbers.get(name, 0))
+            lease = self.stream.lease(name, state.target_ticket_numbers.get(name, 0))
             if self.clock.monotonic() >= lease.until:
                 raise NotGranted(f"the lease of {name} has passed")
             write_order(connection, order, lease.fence)
--- a/godwitladder/serving/operators.py
+++ b/godwitladder/serving/operators.py
@@ -9,7 +9,7 @@
 from godwitladder.clients.log import LogClient
 from godwitladder.configuration.follower import ConfigFollower
 from godwitladder.configuration.ledger import AuditEntry
-from godwitladder.configuration.tickets import TICKET_BYTES
+from godwitladder.configuration.tickets import MAX_TICKET_BYTES
 from godwitladder.findings import Finding
 from godwitladder.metrics import Metrics
 from godwitladder.outcomes import Reason
@@ -154,8 +154,10 @@
         self, environ: Mapping, operator: str, start_response
     ) -> Iterable[bytes]:
         length = int(environ.get("CONTENT_LENGTH") or 0)
-        if length > TICKET_BYTES:
-            raise deny(Reason.TOO_LARGE, f"A ticket has at most {TICKET_BYTES} bytes.")
+        if length > MAX_TICKET_BYTES:
+            raise deny(
+                Reason.TOO_LARGE, f"A ticket has at most {MAX_TICKET_BYTES} bytes."
+            )
         body = environ["wsgi.input"].read(length)
         wait_s = _read_number(environ, "wait", DEFAULT_WAIT_S)
         submitted = self.submitter.submit(body, operator, wait_s)
--- a/tests/configuration/test_ledger.py
+++ b/tests/configuration/test_ledger.py
@@ -8,11 +8,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from godwitladder.configuration.judgement import Rejection
 from godwitladder.configuration.ledger import Ledger, Verdict
 from godwitladder.configuration.model import ObjectName
 from godwitladder.configuration.snapshots import decode_snapshot, encode_snapshot
 from godwitladder.configuration.tickets import read_ticket
+from godwitladder.configuration.validation import Rejection
 from godwitladder.findings import InvalidInput
 from godwitladder.settings import read_settings
 from tests.configuration.fakes import ticket, tier
--- a/tests/orders/test_issuer.py
+++ b/tests/orders/test_issuer.py
@@ -62,7 +62,9 @@
 
     def want(self, name, order, number):
         target = Target(self.engine.address, "a", ("letters",), **vars(order))
-        self.states[name] = ConfigState(targets={"t": target}, numbers={"t": number})
+        self.states[name] = ConfigState(
+            targets={"t": target}, target_ticket_numbers={"t": number}
+        )
 
     def taken(self):
         return [row["model"] for row in self.engine.standin.orders]
