--- a/godwitladder/standins/ingress.py
+++ b/godwitladder/standins/ingress.py
@@ -95,7 +95,7 @@
         """Publish a configuration, as the operator does."""
         self.put(names.CONFIG_TOPIC, names.CONFIG_KEY, json.dumps(config).encode())
 
-    def forget(self, topic: str) -> None:
+    def compact(self, topic: str) -> None:
         """Make the history of a topic unreadable, as compaction does.
 
         The newest record of each key remains available.
--- a/soak/inject.py
+++ b/soak/inject.py
@@ -142,7 +142,7 @@
         """Let the store forget its history."""
         store = self.fleet.store.standin
         for topic in list(store.topics):
-            store.forget(topic)
+            store.compact(topic)
 
     def hold(self, proxy: Proxy, fault: Fault, *ways: Way) -> None:
         """Pass nothing on in some directions for a time."""
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -199,7 +199,7 @@
 
 def test_history_that_is_gone_is_told(store, client):
     client.append("keyed.t", "a", b"1")
-    store.standin.forget("keyed.t")
+    store.standin.compact("keyed.t")
     with pytest.raises(StoreTrimmed):
         client.read("keyed.t", 0)
 
