--- a/godwitladder/standins/ingress.py
+++ b/godwitladder/standins/ingress.py
@@ -263,7 +263,7 @@
     def __init__(self) -> None:
         self.knobs = EngineKnobs()
         self.runs: list[Run] = []
-        self.broken = 0
+        self.broken_connections = 0
 
 
 class EngineHandler(BaseHTTPRequestHandler):
@@ -288,7 +288,7 @@
         try:
             self.run(engine.knobs)
         except OSError:
-            engine.broken += 1
+            engine.broken_connections += 1
 
     do_GET = do_POST
 
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -354,7 +354,7 @@
     threading.Timer(0.4, disconnected.set).start()
     answer = bench.call("/stream/x", gone=disconnected.is_set)
     assert answer.truncated
-    wait_until(lambda: engine.broken == 1, "the stream to break")
+    wait_until(lambda: engine.broken_connections == 1, "the stream to break")
     assert not bench.watcher.calls
 
 
