--- a/bench/endtoend.py
+++ b/bench/endtoend.py
@@ -41,7 +41,7 @@
     fleet.hosts.append(host)
     fleet.start_host(host)
     rows = [{"address": host.peers, "zone": "a", "leaving": False}]
-    fleet.ask("POST", f"http://{fleet.platform}/hosts", json.dumps(rows))
+    fleet.send_request("POST", f"http://{fleet.platform}/hosts", json.dumps(rows))
     wait_for(lambda: fleet.is_ready(host), "the host to be ready")
     fleet.configure(extra, slots=1000)
     return fleet
--- a/demo/fleet.py
+++ b/demo/fleet.py
@@ -73,7 +73,7 @@
             {"address": host.peers, "zone": host.zone, "leaving": False}
             for host in self.hosts
         ]
-        self.ask("POST", f"http://{self.platform}/hosts", json.dumps(rows))
+        self.send_request("POST", f"http://{self.platform}/hosts", json.dumps(rows))
         for host in self.hosts:
             wait_for(lambda host=host: self.is_ready(host), f"{host.name} to be ready")
         # Until hosts are linked, one can't answer for a key that another holds,
@@ -108,7 +108,7 @@
         slots : int
             Requests that each engine runs at once.
         """
-        answer = self.ask(
+        answer = self.send_request(
             "POST",
             f"http://{self.hosts[0].operators}/v1/tickets",
             f"{ticket_text(self, slots)}\n{extra}",
@@ -123,7 +123,7 @@
                 f"the ticket to be in force on {host.name}",
             )
 
-    def ask(
+    def send_request(
         self, method: str, url: str, body: str | None = None, token: str = ""
     ) -> urllib3.BaseHTTPResponse:
         """Return an answer had whole."""
@@ -136,37 +136,44 @@
             last = (self.folder / f"{host.name}.log").read_text()[-LOG_TAIL:]
             raise DemoFailed(f"{host.name} ended at its start: {last}")
         try:
-            return self.ask("GET", f"http://{host.operators}/readyz").status == 200
+            return (
+                self.send_request("GET", f"http://{host.operators}/readyz").status
+                == 200
+            )
         except urllib3.exceptions.HTTPError:
             return False
 
     def is_linked(self, host: Host) -> bool:
         """Return whether ``host`` has a link to every other host."""
-        metrics = self.ask("GET", f"http://{host.operators}/metrics").data.decode()
+        metrics = self.send_request(
+            "GET", f"http://{host.operators}/metrics"
+        ).data.decode()
         return f"godwitladder_peer_links {len(self.hosts) - 1}\n" in metrics
 
     def config_offset(self, host: Host) -> int:
         """Return the configuration offset in force on ``host``."""
         url = f"http://{host.operators}/v1/status"
-        return json.loads(self.ask("GET", url, token=OPERATOR_TOKEN).data)[
+        return json.loads(self.send_request("GET", url, token=OPERATOR_TOKEN).data)[
             "config_offset"
         ]
 
     def set_knobs(self, address: str, **knobs) -> None:
         """Set knobs of a stand-in."""
-        self.ask("POST", f"http://{address}/knobs", json.dumps(knobs))
+        self.send_request("POST", f"http://{address}/knobs", json.dumps(knobs))
 
     def engine_runs(self) -> dict[str, int]:
         """Return how often each prompt ran, by its digest."""
         counts: dict[str, int] = {}
         for address in self.engines.values():
-            for row in json.loads(self.ask("GET", f"http://{address}/ran").data):
+            for row in json.loads(
+                self.send_request("GET", f"http://{address}/ran").data
+            ):
                 counts[row["digest"]] = counts.get(row["digest"], 0) + row["runs"]
         return counts
 
     def service_runs(self, body: bytes) -> int:
         """Return how often the plain service ran ``body``."""
-        rows = json.loads(self.ask("GET", f"http://{self.service}/ran").data)
+        rows = json.loads(self.send_request("GET", f"http://{self.service}/ran").data)
         digest = hashlib.sha256(body).hexdigest()
         return sum(row["digest"] == digest for row in rows)
 
--- a/demo/scenes.py
+++ b/demo/scenes.py
@@ -175,7 +175,9 @@
 
 def ask_key(fleet: Fleet, host: Host) -> str:
     """Return a key issued by ``host``."""
-    answer = fleet.ask("POST", f"http://{host.callers}/v1/keys", token=ADVISER_KEY)
+    answer = fleet.send_request(
+        "POST", f"http://{host.callers}/v1/keys", token=ADVISER_KEY
+    )
     return json.loads(answer.data)["key"]
 
 
