--- a/tests/configuration/fakes.py
+++ b/tests/configuration/fakes.py
@@ -42,12 +42,12 @@
 
     def __init__(self, log):
         self.log = log
-        self.cut = False
+        self.disconnected = False
         self.lose = 0
         self.after_append = lambda: None
 
     def append(self, stream, records):
-        if self.cut:
+        if self.disconnected:
             raise LogNotReached("cut off")
         offset = self.log.append(stream, records)
         self.after_append()
@@ -57,7 +57,7 @@
         return offset
 
     def read(self, stream, start, wait_s=0.0):
-        if self.cut:
+        if self.disconnected:
             raise LogNotReached("cut off")
         return self.log.read(stream, start, wait_s)
 
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -25,13 +25,13 @@
     hosts = FakeHosts(2)
     hosts.submit(ticket(1, tier("urgent", 3)))
     hosts.follow("host-0")
-    hosts.clients["host-1"].cut = True
+    hosts.clients["host-1"].disconnected = True
     new = hosts.follow("host-1")
     assert not new.caught_up.is_set()
     hosts.heartbeat("host-0", "host-1")
     assert new.caught_up.is_set()
     assert rank(new) == 3
-    hosts.clients["host-1"].cut = False
+    hosts.clients["host-1"].disconnected = False
     hosts.submit(ticket(2, tier("urgent", 4)))
     assert rank(hosts.follow("host-1")) == 4
 
@@ -56,7 +56,7 @@
     hosts.submit(ticket(1, tier("urgent", 1)))
     for name in hosts.followers:
         hosts.follow(name)
-    hosts.clients["host-1"].cut = True
+    hosts.clients["host-1"].disconnected = True
     hosts.submit(ticket(2, tier("urgent", 2)))
     hosts.follow("host-0")
     cut = hosts.follow("host-1")
@@ -77,9 +77,9 @@
     hosts.submit(ticket(9, tier("urgent", 2)))
     follower = hosts.follow("host-0")
     if outage:
-        hosts.clients["host-0"].cut = True
+        hosts.clients["host-0"].disconnected = True
         hosts.follow("host-0")
-        hosts.clients["host-0"].cut = False
+        hosts.clients["host-0"].disconnected = False
     del hosts.log.records["config"][1:]
     if outage:
         hosts.submit(ticket(2, tier("urgent", 5)))
@@ -229,9 +229,9 @@
     hosts = FakeHosts()
     hosts.submit(ticket(1, tier("urgent", 1)))
     follower = hosts.follow("host-0")
-    hosts.clients["host-0"].cut = True
+    hosts.clients["host-0"].disconnected = True
     hosts.follow("host-0")
-    hosts.clients["host-0"].cut = False
+    hosts.clients["host-0"].disconnected = False
     hosts.follow("host-0")
     assert follower.replica.phase is Phase.FOLLOWING
     assert [row.verdict for row in follower.ledger.audit] == [Verdict.ACCEPTED]
--- a/tests/configuration/test_machine.py
+++ b/tests/configuration/test_machine.py
@@ -98,7 +98,7 @@
 
     @rule(name=HOSTS, cut=st.booleans())
     def cut_off(self, name, cut):
-        self.hosts.clients[name].cut = cut
+        self.hosts.clients[name].disconnected = cut
 
     @rule(name=HOSTS)
     def snapshot(self, name):
@@ -146,7 +146,7 @@
         end = len(self.records)
         names = list(self.hosts.followers)
         for name in names:
-            self.hosts.clients[name].cut = False
+            self.hosts.clients[name].disconnected = False
             self.hosts.follow(name, 3 * end + 5)
         self.agree_with_the_naive_replay()
         followers = self.hosts.followers.values()
--- a/tests/configuration/test_operators.py
+++ b/tests/configuration/test_operators.py
@@ -127,7 +127,7 @@
 
 def test_outage_before_anything_is_sent_is_not_run(desk):
     """The log takes no connections: the ticket is not in it, and never will be."""
-    desk.client.cut = True
+    desk.client.disconnected = True
     status, headers, answer = desk.submit(ticket(1, tier("urgent")))
     assert (status, answer["outcome"]) == (503, "not_run")
     assert int(headers["Retry-After"]) > 0
--- a/tests/orders/test_issuer.py
+++ b/tests/orders/test_issuer.py
@@ -163,7 +163,7 @@
 
 def test_nothing_is_ordered_while_the_log_is_away(world):
     issuer = world.issuers["one"]
-    issuer.stream.client.cut = True
+    issuer.stream.client.disconnected = True
     issuer.look_after("t")
     assert world.taken() == []
     assert issuer.mine() == []
