--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 from godwitladder.platform import names
-from godwitladder.standins.ingress import StandinServer, start_engine, start_store
 from godwitladder.standins.ports import free_ports
+from godwitladder.standins.routed import StandinServer, start_engine, start_store
 from soak.proxy import Proxy
 
 SETTINGS = """
--- a/tests/platform/test_adapter.py
+++ b/tests/platform/test_adapter.py
@@ -17,7 +17,7 @@
 from godwitladder.routing.calls import DispatchMetadata
 from godwitladder.routing.model import RouteKind
 from godwitladder.serving.auth import key_digest
-from godwitladder.standins.ingress import start_store
+from godwitladder.standins.routed import start_store
 
 ENTRY = {
     "service": "letters",
--- a/tests/platform/test_hosts.py
+++ b/tests/platform/test_hosts.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from godwitladder.standins.ingress import start_engine, start_store
 from godwitladder.standins.ports import free_ports
+from godwitladder.standins.routed import start_engine, start_store
 from soak.fleet import SETTINGS
 from tests.fleet import wait_until
 from tests.platform.test_adapter import ENTRY
--- a/tests/serving/test_passing.py
+++ b/tests/serving/test_passing.py
@@ -21,7 +21,7 @@
 from godwitladder.serving.losses import AnswerLost, LossRegistry, digest_call
 from godwitladder.serving.proxying import RoutedProxy
 from godwitladder.serving.upstream import StreamTruncated
-from godwitladder.standins.ingress import start_engine
+from godwitladder.standins.routed import start_engine
 from tests.fleet import wait_until
 from tests.platform.test_adapter import CONFIG
 
--- a/tests/soak/test_fleet.py
+++ b/tests/soak/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from godwitladder.standins.ingress import start_store
+from godwitladder.standins.routed import start_store
 from soak.fleet import Host
 
 
