--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A small fleet on one machine, and calls that show what callers get."""
+"""Demonstration: a small fleet on one machine, and calls to it."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m demo``: start a fleet, send real calls, judge what came back."""
+"""``python -m demo``: start a fleet, send calls to it and check the answers."""
 
 import contextlib
 import signal
@@ -7,30 +7,35 @@
 import threading
 from pathlib import Path
 
-from demo.fleet import ADVISER_KEY, OPERATOR_TOKEN, RETURNS_KEY, DemoFailed, Fleet
-from demo.scenes import SCENES, Row
+from demo.fleet import ADVISER_KEY, OPERATOR_TOKEN, RETURNS_KEY, DemoError, Fleet
+from demo.scenes import SCENARIOS, ScenarioResult
 
 
-def run_scenes(fleet: Fleet) -> list[Row]:
-    """Return a row for each scene; an error in one is a fault of that one."""
-    rows = []
-    for scene in SCENES:
+def run_scenarios(fleet: Fleet) -> list[ScenarioResult]:
+    """Run every scenario and return the results.
+
+    An exception in a scenario is recorded as a fault of it.
+    """
+    results = []
+    for scenario in SCENARIOS:
         try:
-            rows.append(scene(fleet))
+            results.append(scenario(fleet))
         except Exception as error:
-            rows.append(Row(scene.__name__, "nothing", [repr(error)]))
-        print_row(rows[-1])
-    return rows
+            results.append(ScenarioResult(scenario.__name__, "nothing", [repr(error)]))
+        print_result(results[-1])
+    return results
 
 
-def print_row(row: Row) -> None:
-    """Print one line of the table."""
-    verdict = "as promised" if not row.faults else "; ".join(sorted(set(row.faults)))
-    print(f"| {row.scene:27} | {row.got} | {verdict} |", flush=True)
+def print_result(result: ScenarioResult) -> None:
+    """Print the result as a line of a table."""
+    verdict = (
+        "as promised" if not result.faults else "; ".join(sorted(set(result.faults)))
+    )
+    print(f"| {result.scenario:27} | {result.observed} | {verdict} |", flush=True)
 
 
 def keep_fleet(fleet: Fleet) -> None:
-    """Print how to use the fleet, and keep it until interrupted."""
+    """Print how to call the fleet, and keep it running until interrupted."""
     for host in fleet.hosts:
         print(f"{host.name}: callers {host.callers}, operators {host.operators}")
     print(f"platform {fleet.platform}, service {fleet.service}")
@@ -54,20 +59,23 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the demonstration and return the exit code."""
+    """Run the demonstration and return the exit code.
+
+    With ``--keep``, only start the fleet and keep it running.
+    """
     with contextlib.ExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         fleet = Fleet(Path(folder), stack)
         try:
             fleet.start()
-        except DemoFailed as error:
+        except DemoError as error:
             print(f"demo: {error}", file=sys.stderr)
             return 1
         if "--keep" in arguments:
             keep_fleet(fleet)
             return 0
-        rows = run_scenes(fleet)
-    return 1 if any(row.faults for row in rows) else 0
+        results = run_scenarios(fleet)
+    return 1 if any(result.faults for result in results) else 0
 
 
 if __name__ == "__main__":
--- a/demo/fleet.py
+++ b/demo/fleet.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins and entry hosts as processes of their own, and stops them."""
+"""Starts and stops the processes of the stand-ins and entry hosts."""
 
 import contextlib
 import hashlib
@@ -17,22 +17,35 @@
 OPERATOR_TOKEN = "demo-operator"
 ADVISER_KEY = "demo-adviser"
 RETURNS_KEY = "demo-returns"
-START_S = 30.0
-STOP_S = 10.0
-LOG_TAIL = 1000
+START_TIMEOUT_S = 30.0
+STOP_TIMEOUT_S = 10.0
+LOG_TAIL_CHARS = 1000
 
 ENGINES = ("engine-a1", "engine-a2")
 ENGINE_KNOBS = {"decode_tps": 200.0, "slots": 4}
 HOSTS = (("host-a1", "a"), ("host-a2", "a"), ("host-b1", "b"))
 
 
-class DemoFailed(Exception):
-    """The fleet did not come up."""
+class DemoError(Exception):
+    """The fleet did not reach an expected state."""
 
 
 @dataclass
 class Host:
-    """One entry host's process."""
+    """An entry host and its process.
+
+    Attributes
+    ----------
+    name : str
+        Name of the host.
+    zone : str
+        Availability zone of the host.
+    callers, operators, peers : str
+        Addresses on which it listens for callers, operators and other hosts, as
+        ``address:port``.
+    process : subprocess.Popen or None
+        The running process; None before its start.
+    """
 
     name: str
     zone: str
@@ -44,7 +57,23 @@
 
 @dataclass
 class Fleet:
-    """The processes of the demonstration, ended by ``stack``."""
+    """The processes of the demonstration.
+
+    Attributes
+    ----------
+    folder : Path
+        Directory for the settings and logs of the hosts.
+    stack : contextlib.ExitStack
+        Stops the processes when it is closed.
+    platform, service : str
+        Addresses of the stand-ins for the platform and a plain service.
+    engines : dict of str to str
+        Addresses of the stand-ins for engines, by target name.
+    hosts : list of Host
+        The entry hosts.
+    http : urllib3.PoolManager
+        Client for all requests, which doesn't retry.
+    """
 
     folder: Path
     stack: contextlib.ExitStack
@@ -57,7 +86,7 @@
     )
 
     def start(self) -> None:
-        """Start every process and put the first ticket in force."""
+        """Start every process, wait for the hosts, and submit the first ticket."""
         self.platform = self.start_standin("platform")
         self.service = self.start_standin("service")
         for name in ENGINES:
@@ -69,44 +98,51 @@
             self.hosts.append(Host(name, zone, *listen))
         for host in self.hosts:
             self.start_host(host)
-        rows = [
+        host_list = [
             {"address": host.peers, "zone": host.zone, "leaving": False}
             for host in self.hosts
         ]
-        self.send_request("POST", f"http://{self.platform}/hosts", json.dumps(rows))
+        self.send_request(
+            "POST", f"http://{self.platform}/hosts", json.dumps(host_list)
+        )
         for host in self.hosts:
             wait_for(lambda host=host: self.is_ready(host), f"{host.name} to be ready")
-        # Until hosts are linked, one can't answer for a key that another holds,
-        # and says so; that is no part of the demonstration.
+        # Before the hosts are linked, a host refuses calls whose idempotency key
+        # another host holds. The demonstration doesn't cover that.
         for host in self.hosts:
             wait_for(lambda host=host: self.is_linked(host), f"links of {host.name}")
         self.configure()
 
     def start_standin(self, kind: str) -> str:
-        """Start a stand-in and return the address it prints."""
+        """Start a stand-in process and return the address that it prints."""
         command = [sys.executable, "-m", "godwitladder", "standin", kind]
         process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
-        self.stack.callback(end, process)
+        self.stack.callback(stop_process, process)
         return process.stdout.readline().strip()
 
     def start_host(self, host: Host) -> None:
-        """Start the process of ``host``; its logs go into the folder."""
+        """Start the process of ``host``, with settings and log in ``folder``."""
         path = self.folder / f"{host.name}.toml"
         path.write_text(settings_text(host, self))
         command = [sys.executable, "-m", "godwitladder", "serve", "--settings", path]
         with open(self.folder / f"{host.name}.log", "ab") as output:
             host.process = subprocess.Popen(command, stderr=output)
-        self.stack.callback(end, host.process)
+        self.stack.callback(stop_process, host.process)
 
     def configure(self, extra: str = "", slots: int = 4) -> None:
-        """Submit the ticket and wait until every host serves by it.
+        """Submit the ticket and wait until it is in force on every host.
 
         Parameters
         ----------
         extra : str
             Tables to add to the ticket, in TOML.
         slots : int
-            Requests that each engine runs at once.
+            Maximum number of requests that each engine runs at once.
+
+        Raises
+        ------
+        DemoError
+            If the ticket is refused, or not in force in time.
         """
         answer = self.send_request(
             "POST",
@@ -115,7 +151,7 @@
             OPERATOR_TOKEN,
         )
         if answer.status != 202:
-            raise DemoFailed(f"the ticket was refused: {answer.data.decode()}")
+            raise DemoError(f"the ticket was refused: {answer.data.decode()}")
         offset = json.loads(answer.data)["offset"]
         for host in self.hosts:
             wait_for(
@@ -126,15 +162,21 @@
     def send_request(
         self, method: str, url: str, body: str | None = None, token: str = ""
     ) -> urllib3.BaseHTTPResponse:
-        """Return an answer had whole."""
+        """Send a request and return the answer, read to its end."""
         headers = {"Authorization": f"Bearer {token}"} if token else {}
         return self.http.request(method, url, body=body, headers=headers, timeout=30)
 
     def is_ready(self, host: Host) -> bool:
-        """Return whether ``host`` says that it is ready."""
+        """Return whether ``host`` reports that it is ready.
+
+        Raises
+        ------
+        DemoError
+            If its process has exited.
+        """
         if host.process.poll() is not None:
-            last = (self.folder / f"{host.name}.log").read_text()[-LOG_TAIL:]
-            raise DemoFailed(f"{host.name} ended at its start: {last}")
+            log_tail = (self.folder / f"{host.name}.log").read_text()[-LOG_TAIL_CHARS:]
+            raise DemoError(f"{host.name} exited during startup: {log_tail}")
         try:
             return (
                 self.send_request("GET", f"http://{host.operators}/readyz").status
@@ -151,7 +193,7 @@
         return f"godwitladder_peer_links {len(self.hosts) - 1}\n" in metrics
 
     def config_offset(self, host: Host) -> int:
-        """Return the configuration offset in force on ``host``."""
+        """Return the offset of the configuration in force on ``host``."""
         url = f"http://{host.operators}/v1/status"
         return json.loads(self.send_request("GET", url, token=OPERATOR_TOKEN).data)[
             "config_offset"
@@ -162,7 +204,7 @@
         self.send_request("POST", f"http://{address}/knobs", json.dumps(knobs))
 
     def engine_runs(self) -> dict[str, int]:
-        """Return how often each prompt ran, by its digest."""
+        """Return how often the engines ran each prompt, by its digest."""
         counts: dict[str, int] = {}
         for address in self.engines.values():
             for row in json.loads(
@@ -179,7 +221,7 @@
 
 
 def prompt_digest(messages: list) -> str:
-    """Return the digest under which an engine's stand-in records a prompt."""
+    """Return the digest by which an engine stand-in records a prompt."""
     return hashlib.sha256(json.dumps(messages).encode()).hexdigest()
 
 
@@ -231,20 +273,26 @@
 
 
 def wait_for(condition, what: str) -> None:
-    """Wait, within bounds, until ``condition`` holds."""
-    due = time.monotonic() + START_S
+    """Wait until ``condition`` returns true.
+
+    Raises
+    ------
+    DemoError
+        If it is still false after ``START_TIMEOUT_S``; the message names ``what``.
+    """
+    deadline = time.monotonic() + START_TIMEOUT_S
     while not condition():
-        if time.monotonic() > due:
-            raise DemoFailed(f"waited in vain for {what}")
+        if time.monotonic() > deadline:
+            raise DemoError(f"timed out waiting for {what}")
         time.sleep(0.05)
 
 
-def end(process: subprocess.Popen) -> None:
-    """Stop a process that the demonstration started."""
+def stop_process(process: subprocess.Popen) -> None:
+    """Terminate a process, and kill it after ``STOP_TIMEOUT_S``."""
     if process.poll() is None:
         process.terminate()
     try:
-        process.wait(STOP_S)
+        process.wait(STOP_TIMEOUT_S)
     except subprocess.TimeoutExpired:
         process.kill()
         process.wait()
--- a/godwitladder/standins/ports.py
+++ b/godwitladder/standins/ports.py
@@ -13,8 +13,8 @@
     """Return ``count`` ports that stay free until a host listens on them.
 
     The ports are below the ephemeral range. The kernel may assign a port of that
-    range to an outgoing connection while a host is starting, and the host then
-    fails to listen on it.
+    range to an outgoing connection while a host is starting, so that the host
+    cannot listen on it.
     """
     ports: list[int] = []
     while len(ports) < count:
--- a/godwitladder/standins/routed.py
+++ b/godwitladder/standins/routed.py
@@ -256,7 +256,7 @@
         Faults and pace of the engine.
     runs : list of Run
         Requests that ran, in order of arrival.
-    broken : int
+    broken_connections : int
         Number of connections that broke while an answer was sent.
     """
 
