--- a/tests/configuration/fakes.py
+++ b/tests/configuration/fakes.py
@@ -43,7 +43,7 @@
     def __init__(self, log):
         self.log = log
         self.disconnected = False
-        self.lose = 0
+        self.lost_answers = 0
         self.after_append = lambda: None
 
     def append(self, stream, records):
@@ -51,8 +51,8 @@
             raise LogNotReached("cut off")
         offset = self.log.append(stream, records)
         self.after_append()
-        if self.lose:
-            self.lose -= 1
+        if self.lost_answers:
+            self.lost_answers -= 1
             raise LogUnavailable("the answer was lost")
         return offset
 
--- a/tests/configuration/test_follower.py
+++ b/tests/configuration/test_follower.py
@@ -143,7 +143,7 @@
     hosts = FakeHosts(3)
     hosts.submit(ticket(1, tier("urgent", 3)))
     hosts.submit(ticket(1, tier("urgent", 4)))
-    hosts.clients["host-1"].lose = 3
+    hosts.clients["host-1"].lost_answers = 3
     for _ in range(7 * 24):
         hosts.clock.advance(3600)
         for name in hosts.followers:
--- a/tests/configuration/test_operators.py
+++ b/tests/configuration/test_operators.py
@@ -140,7 +140,7 @@
     Ticket 2 doesn't in time, and its operator reads that it may have been
     taken and that the same ticket can be sent again.
     """
-    desk.client.lose = 2
+    desk.client.lost_answers = 2
     status, _, answer = desk.submit(ticket(1, tier("urgent")))
     assert (status, answer["verdict"]) == (202, "accepted")
     desk.client.after_append = lambda: None
--- a/tests/orders/test_issuer.py
+++ b/tests/orders/test_issuer.py
@@ -156,7 +156,7 @@
 
 
 def test_lost_answer_to_a_lease_is_settled_by_reading(world):
-    world.issuers["one"].stream.client.lose = 1
+    world.issuers["one"].stream.client.lost_answers = 1
     world.issuers["one"].order("t")
     assert world.taken() == ["letters-2"]
 
