--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from demo.fleet import ADVISER_KEY, OPERATOR_TOKEN, RETURNS_KEY, DemoError, Fleet
-from demo.scenes import SCENARIOS, ScenarioResult
+from demo.scenarios import SCENARIOS, ScenarioResult
 
 
 def run_scenarios(fleet: Fleet) -> list[ScenarioResult]:
