--- a/bench/engines.py
+++ b/bench/engines.py
@@ -13,7 +13,7 @@
 SLOT_S = 0.0000165
 CONTEXT_S = 0.00677e-6
 CHUNK_TOKENS = 2048
-READ_TPS = 61_800.0
+PREFILL_TPS = 61_800.0
 FIRST_S = 0.0037
 """What the users' pages and site files say of their engines: a step, what each
 request and each token of context add to it, the chunk in which prompts are read, and
@@ -37,7 +37,7 @@
     step_s: float = STEP_S
     slot_s: float = SLOT_S
     context_s: float = CONTEXT_S
-    read_tps: float = READ_TPS
+    read_tps: float = PREFILL_TPS
     first_s: float = FIRST_S
 
 
--- a/bench/queues.py
+++ b/bench/queues.py
@@ -196,8 +196,8 @@
     in_time: int = 0
     tokens: int = 0
     shed: int = 0
-    cut: int = 0
-    gone: int = 0
+    timed_out: int = 0
+    hung_up: int = 0
     inversions: int = 0
     wasted: float = 0.0
     latencies: list[float] = field(default_factory=list)
@@ -401,9 +401,9 @@
             del self.open[request]
             self.policy.withdrawn(request, produced, now)
             if arrival.gone <= now:
-                self.outcome(arrival).gone += 1
+                self.outcome(arrival).hung_up += 1
             else:
-                self.outcome(arrival).cut += 1
+                self.outcome(arrival).timed_out += 1
 
     def refuse(self, refused: Refused, kept: list[int], now: float) -> None:
         """Count a refusal; its caller may come back."""
--- a/bench/region.py
+++ b/bench/region.py
@@ -205,14 +205,14 @@
     in_time: int = 0
     late: int = 0
     refused: int = 0
-    left: int = 0
-    owed: float = 0.0
-    earned: float = 0.0
+    abandoned: int = 0
+    max_credit: float = 0.0
+    credit: float = 0.0
 
     @property
     def share(self) -> float:
         """Credit earned of the credit owed."""
-        return self.earned / self.owed if self.owed else 1.0
+        return self.credit / self.max_credit if self.max_credit else 1.0
 
 
 def make_config(load: Load) -> ConfigState:
@@ -265,7 +265,7 @@
 
 
 @dataclass
-class Region:
+class RegionSimulation:
     """One host, the allocator and the engines, on a clock of events."""
 
     load: Load
@@ -464,14 +464,14 @@
         mean = kind.prompt + 10 * 3.75 * kind.output
         worth = SIZE_FLOOR + SIZE_PART * min(size / mean, SIZE_MOST)
         row.offered += 1
-        row.owed += kind.worth * worth
+        row.max_credit += kind.worth * worth
         in_time = call.in_time
         row.in_time += in_time
         row.late += bool(call.ended and not in_time)
         row.refused += call.refused
-        row.left += not call.ended and not call.refused
+        row.abandoned += not call.ended and not call.refused
         if call.ended:
-            row.earned += worth * (kind.worth if in_time else kind.late_worth)
+            row.credit += worth * (kind.worth if in_time else kind.late_worth)
     return tallies
 
 
@@ -504,12 +504,12 @@
         load = Load(
             seconds=seconds, factor=factor, burst=burst, seed=seed, mix=MIXES[mix]
         )
-        tallies = tally(Region(load).play())
+        tallies = tally(RegionSimulation(load).play())
         for name, row in tallies.items():
-            counts = (row.offered, row.in_time, row.late, row.refused, row.left)
+            counts = (row.offered, row.in_time, row.late, row.refused, row.abandoned)
             rows.append((seed, name, *counts, f"{row.share:.3f}"))
-        owed = sum(row.owed for row in tallies.values())
-        earned = sum(row.earned for row in tallies.values())
+        owed = sum(row.max_credit for row in tallies.values())
+        earned = sum(row.credit for row in tallies.values())
         rows.append((seed, "all", "", "", "", "", "", f"{earned / owed:.3f}"))
     print(table(head, rows))
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -59,8 +59,8 @@
                 ratio(ours.in_time, naive.in_time),
                 naive.shed,
                 ours.shed,
-                naive.cut,
-                ours.cut,
+                naive.timed_out,
+                ours.timed_out,
                 naive.inversions,
                 ours.inversions,
                 latencies(naive),
@@ -113,7 +113,7 @@
     return " ".join(str(count) for count in counts[: int(TO_S + FROM_S) // 4])
 
 
-def swing(run: Run) -> float:
+def load_variation(run: Run) -> float:
     """Return how much the load of a target differs from second to second.
 
     The mean, over targets, of the standard deviation of its requests.
@@ -124,7 +124,7 @@
     )
 
 
-def others_of(run: Run) -> tuple[float, float]:
+def flood_and_other_shares(run: Run) -> tuple[float, float]:
     """Return the shares in time of the flooding workspaces and of all others."""
     flood, rest = [0, 0], [0, 0]
     for name, (offered, in_time) in run.by_workspace.items():
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -15,7 +15,7 @@
 from godwitladder.standins.routed import StandinServer, start_engine, start_store
 from soak.proxy import Proxy
 
-SETTINGS = """
+SETTINGS_TEMPLATE = """
 host = "{name}"
 zone = "{zone}"
 region = "r"
@@ -103,7 +103,7 @@
 
     def write(self, seeds: list[str]) -> None:
         """Write its settings."""
-        text = SETTINGS.format(
+        text = SETTINGS_TEMPLATE.format(
             name=self.name,
             zone=self.zone,
             ports=self.ports,
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -133,7 +133,7 @@
         for row in rows:
             row.reset()
 
-    def silence(self) -> None:
+    def blackhole(self) -> None:
         """Lose track of all open connections: they stay open, and carry nothing."""
         with self.lock:
             for row in self.connections:
--- a/tests/decisions/test_engine_model.py
+++ b/tests/decisions/test_engine_model.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from bench.engines import CHUNK_TOKENS, READ_TPS, STEP_S, BatchEngine, Job
-from bench.region import KINDS, Load, Region, tally
+from bench.engines import CHUNK_TOKENS, PREFILL_TPS, STEP_S, BatchEngine, Job
+from bench.region import KINDS, Load, RegionSimulation, tally
 
 
 def run(engine, steps):
@@ -32,7 +32,7 @@
     baseline_s, _ = run(engine, 1)
     engine.queue.append(Job("long", 3 * CHUNK_TOKENS, 1))
     slowed_s, _ = run(engine, 1)
-    assert slowed_s - baseline_s >= CHUNK_TOKENS / READ_TPS
+    assert slowed_s - baseline_s >= CHUNK_TOKENS / PREFILL_TPS
     run(engine, 2)
     recovered_s, _ = run(engine, 1)
     assert recovered_s < baseline_s + STEP_S * 2
@@ -57,7 +57,7 @@
 @pytest.fixture(scope="module")
 def outcome():
     load = Load(seconds=6.0, engines=3, factor=1 / 3, burst=2.0, burst_at=2.0)
-    return [tally(Region(load).play()) for _ in range(2)]
+    return [tally(RegionSimulation(load).play()) for _ in range(2)]
 
 
 def test_the_same_seed_gives_the_same_results(outcome):
@@ -67,8 +67,8 @@
 def test_every_call_is_accounted_for(outcome):
     """In a burst, each call is answered, refused or abandoned exactly once."""
     for row in outcome[0].values():
-        assert row.offered == row.in_time + row.late + row.refused + row.left
-        assert 0 < row.earned <= row.owed
+        assert row.offered == row.in_time + row.late + row.refused + row.abandoned
+        assert 0 < row.credit <= row.max_credit
 
 
 def test_the_most_important_kind_is_served_best(outcome):
--- a/tests/membership/test_links.py
+++ b/tests/membership/test_links.py
@@ -54,7 +54,7 @@
     near, _ = start_mesh(stack, "h2", [relay.address])
     wait_until(lambda: near.current() and far.current(), "the first link")
     old = near.current()[0]
-    relay.silence()
+    relay.blackhole()
     near.send("h1", beat())
     near.drop_silent(0.0)
     assert near.current() == []
--- a/tests/platform/test_hosts.py
+++ b/tests/platform/test_hosts.py
@@ -13,7 +13,7 @@
 
 from godwitladder.standins.ports import free_ports
 from godwitladder.standins.routed import start_engine, start_store
-from soak.fleet import SETTINGS
+from soak.fleet import SETTINGS_TEMPLATE
 from tests.fleet import wait_until
 from tests.platform.test_adapter import ENTRY
 from tests.serving.test_passing import ROUTES
@@ -34,7 +34,7 @@
     def __init__(self, stack, folder, name, store, seeds):
         self.ports = free_ports(4)
         path = folder / f"{name}.toml"
-        text = SETTINGS.format(
+        text = SETTINGS_TEMPLATE.format(
             name=name,
             zone="a",
             ports=self.ports,
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -66,7 +66,7 @@
     client = connect()
     client.sendall(b"one")
     assert client.recv(100) == b"one"
-    proxy.silence()
+    proxy.blackhole()
     client.sendall(b"two")
     client.settimeout(0.2)
     with pytest.raises(TimeoutError):
