--- a/tests/configuration/test_machine.py
+++ b/tests/configuration/test_machine.py
@@ -1,6 +1,7 @@
 """Stateful test that compares replicas of three hosts with a naive replay."""
 
 import tomllib
+from types import SimpleNamespace
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -159,3 +160,39 @@
 
 Replicas.TestCase.settings = settings(max_examples=100, stateful_step_count=40)
 TestReplicas = Replicas.TestCase
+
+
+def test_host_that_recovers_from_a_snapshot_skips_no_record_before_it(subtests):
+    """A recovering host skips records between a snapshot's state and its offset."""
+    # Each draw of `lose_an_answer` was the first record.
+    first = SimpleNamespace(draw=lambda records: state.records[0])
+    # The sequence as hypothesis printed it, then with a new ticket for a repeated one.
+    for repeated in (True, False):
+        with subtests.test(repeated=repeated):
+            state = Replicas()
+            state.start(pages=1000)
+            state.agree_with_the_naive_replay()
+            state.submit(number=1, remove={"urgent"}, tiers={}, workspaces={})
+            state.agree_with_the_naive_replay()
+            state.submit(
+                number=1, remove=set(), tiers={}, workspaces={"letters": "urgent"}
+            )
+            state.agree_with_the_naive_replay()
+            state.read(name="host-2")
+            state.agree_with_the_naive_replay()
+            if repeated:
+                state.lose_an_answer(data=first)
+            else:
+                state.submit(number=2, remove=set(), tiers={"normal": 1}, workspaces={})
+            state.agree_with_the_naive_replay()
+            state.snapshot(name="host-2")
+            state.agree_with_the_naive_replay()
+            state.expire(count=1)
+            state.agree_with_the_naive_replay()
+            state.lose_an_answer(data=first)
+            state.agree_with_the_naive_replay()
+            if not repeated:
+                hosts = [state.hosts.follow(name) for name in state.hosts.followers]
+                in_force = [held(host.ledger).get(("tier", "normal")) for host in hosts]
+                assert in_force == [(2, 1)] * 3
+            state.teardown()
