--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -26,7 +26,7 @@
 
 def without_policy(**fields) -> contextlib.AbstractContextManager:
     """Return the policy of routed calls with other fields."""
-    return patch.object(role, "ASKED", replace(role.ROUTED, **fields))
+    return patch.object(role, "ROUTED", replace(role.ROUTED, **fields))
 
 
 def without_sizes() -> contextlib.AbstractContextManager:
@@ -43,7 +43,7 @@
         entry.late_precedence = entry.precedence
         return entry
 
-    return patch.object(backlog, "weigh", make_entry)
+    return patch.object(backlog, "make_entry", make_entry)
 
 
 def without_returns() -> contextlib.AbstractContextManager:
@@ -53,7 +53,7 @@
 
 def without_untimely() -> contextlib.AbstractContextManager:
     """Refuse by the time that callers wait, at the last place only."""
-    return patch.object(allocation, "refuse_untimely", refuse_early)
+    return patch.object(allocation, "refuse_late_starts", refuse_early)
 
 
 SWITCHES: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
@@ -64,7 +64,9 @@
     "callers known again": without_returns,
     "refusal by the aim": without_untimely,
     "keeping pace": lambda: without_policy(enforces_latency=False),
-    "bound on unread prompts": lambda: patch.object(role, "UNREAD_S", float("inf")),
+    "bound on unread prompts": lambda: patch.object(
+        role, "MAX_PENDING_PREFILL_S", float("inf")
+    ),
     "flow": lambda: without_policy(uses_measured_throughput=False),
     "no easing off": lambda: without_policy(throttles_slow_targets=True),
     "quick learning of speeds": lambda: patch.object(speeds, "PRIOR", 1e9),
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -39,7 +39,7 @@
 KEPT = 100_000
 
 
-def offer(actor, rate: float, reply: "queue.SimpleQueue[Settled]") -> dict:
+def offer(actor, rate: float, reply: "queue.SimpleQueue[ClaimResult]") -> dict:
     """Offer claims at random times; return when each was offered, by nonce."""
     offered = {}
     due = time.monotonic() + RUN_S
