--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,8 +1,9 @@
-"""What each mechanism of the routed decisions is worth, in the model of engines.
+"""Ablation study of the allocation policy for routed calls.
 
-``python -m bench.ablation`` plays the same bursts with each mechanism taken away
-in turn, and prints the credit of all calls and of each kind. The model knows no
-hosts, cuts or crashes: what a mechanism is worth under those it doesn't tell.
+``python -m bench.ablation`` simulates the same bursts with one mechanism disabled
+at a time, and prints the credit earned by all calls and by each kind of call. The
+simulation has no host failures, network partitions or crashes, so it doesn't show
+the value of a mechanism under those.
 """
 
 import contextlib
@@ -25,17 +26,17 @@
 
 
 def without_policy(**fields) -> contextlib.AbstractContextManager:
-    """Return the policy of routed calls with other fields."""
+    """Replace fields of the policy for routed calls."""
     return patch.object(role, "ROUTED", replace(role.ROUTED, **fields))
 
 
 def without_sizes() -> contextlib.AbstractContextManager:
-    """Take all calls of a rank for alike."""
+    """Treat all calls of a rank as calls of usual size."""
     return patch.object(CallSizes, "size", lambda *_: Size.USUAL)
 
 
 def without_late_last() -> contextlib.AbstractContextManager:
-    """Leave late calls where they stand."""
+    """Keep the precedence of calls that are past their latest start."""
     whole = backlog.make_entry
 
     def make_entry(*args):
@@ -47,12 +48,15 @@
 
 
 def without_returns() -> contextlib.AbstractContextManager:
-    """Take callers that come back for new ones."""
+    """Treat callers that return after a refusal as new ones."""
     return patch.object(RefusedCallers, "note", lambda *_: None)
 
 
 def without_untimely() -> contextlib.AbstractContextManager:
-    """Refuse by the time that callers wait, at the last place only."""
+    """Refuse late calls of the lowest precedence only, as the strict policy does.
+
+    They are refused by the time that callers wait, not by the time to first output.
+    """
     return patch.object(allocation, "refuse_late_starts", refuse_early)
 
 
@@ -79,7 +83,7 @@
 
 
 def credits(mix: str, factor: float, seeds: int) -> dict[str, float]:
-    """Return the mean credit of all calls and of each kind."""
+    """Return the share of the possible credit earned by all calls and by each kind."""
     owed: dict[str, float] = {}
     earned: dict[str, float] = {}
     for seed in range(1, seeds + 1):
@@ -92,7 +96,7 @@
 
 
 def rows(mix: str, factor: float, seeds: int) -> Iterator[tuple[str, ...]]:
-    """Yield one row for each mechanism that is taken away."""
+    """Yield one table row for each disabled mechanism."""
     kept: dict[str, float] = {}
     names = ("all", *(kind.name for kind in MIXES[mix].kinds))
     for name, switch in SWITCHES.items():
@@ -104,16 +108,16 @@
 
 
 def main(*, mix: str = "quotes", factor: float = 1.2, seeds: int = 5) -> None:
-    """Print the credit without each mechanism, and what that changes.
+    """Print the credit without each mechanism, and the difference to the baseline.
 
     Parameters
     ----------
     mix : str
-        letters or quotes.
+        Mix of calls: letters or quotes.
     factor : float
-        Of all rates.
+        Multiple of all arrival rates.
     seeds : int
-        Bursts that are played.
+        Number of seeds, with one burst each.
     """
     head = ("without", "all", *(kind.name for kind in MIXES[mix].kinds))
     print(table(head, list(rows(mix, factor, seeds))))
--- a/bench/engines.py
+++ b/bench/engines.py
@@ -1,9 +1,9 @@
-"""A model of an engine that batches: steps, chunks of prompts, arrival order.
+"""Model of an engine with continuous batching and chunked prefill.
 
-At each step every running request that has been read makes one token, and
-one chunk of the oldest unread prompts is read beside them, which makes the
-step longer for all. Requests are admitted in order of arrival, without any
-priority. Kept prompt parts, preemption and transfers of memory are left out.
+In each step, every running request whose prefill is complete decodes one token, and
+one chunk of the oldest pending prompts is prefilled, which makes the step longer for
+all. Requests are admitted in order of arrival, without any priority. Prefix caching,
+preemption and transfers of memory are left out.
 """
 
 from collections import deque
@@ -15,23 +15,28 @@
 CHUNK_TOKENS = 2048
 READ_TPS = 61_800.0
 FIRST_S = 0.0037
-"""What the users' pages and site files say of their engines: a step, what each
-request and each token of context add to it, the chunk in which prompts are read, and
-the speed of reading."""
+"""Defaults after the documents and site files of the users.
+
+A step takes ``STEP_S``; each running request adds ``SLOT_S``, each token of context
+``CONTEXT_S``, and the first token of a prompt ``FIRST_S``. Prompts are prefilled in
+chunks of ``CHUNK_TOKENS`` at ``READ_TPS`` tokens per second.
+"""
 
 
 @dataclass(frozen=True)
 class EngineMake:
-    """How fast an engine is.
+    """Timings of an engine.
 
     Attributes
     ----------
-    step_s, slot_s, context_s : float
-        Seconds of a step, and what each request and token of context add.
+    step_s : float
+        Seconds of a step without requests.
+    slot_s, context_s : float
+        Seconds that each running request and each token of context add.
     read_tps : float
-        Prompt tokens read in a second.
+        Prompt tokens prefilled per second.
     first_s : float
-        What a step takes longer in which a prompt has its first token.
+        Seconds that are added to a step in which a request has its first token.
     """
 
     step_s: float = STEP_S
@@ -48,7 +53,9 @@
     Attributes
     ----------
     unread : int
-        Tokens of its prompt still to be read.
+        Prompt tokens still to be prefilled.
+    made : int
+        Output tokens so far.
     """
 
     name: str
@@ -68,15 +75,19 @@
     Parameters
     ----------
     slots : int
-        Requests that it runs at once.
+        Maximum number of running requests.
     memory : int
-        Tokens that these may hold together.
+        Maximum number of tokens that running requests hold together.
     slowness : float
-        Time that it takes, as a multiple of the usual engine's.
+        Step time as a multiple of the usual engine's.
     make : EngineMake
-        How fast the usual engine is.
+        Timings of the usual engine.
     wrote : list of Job
-        Those that made a token in the last step.
+        Requests that decoded a token in the last step.
+    queue : deque of Job
+        Requests that wait, in order of arrival.
+    running : list of Job
+        Requests that hold a slot, in order of admission.
     """
 
     slots: int
@@ -88,7 +99,7 @@
     running: list[Job] = field(default_factory=list)
 
     def admit(self) -> None:
-        """Let in what waits, in order, while slots and memory last."""
+        """Start queued requests in order, while slots and memory last."""
         while self.queue and len(self.running) < self.slots:
             job = self.queue[0]
             if self.running and self.held() + job.prompt + job.output > self.memory:
@@ -105,9 +116,9 @@
         Returns
         -------
         seconds : float
-            How long it took.
+            Duration of the step.
         first, done : list of Job
-            Requests that made their first token, and those that ended.
+            Requests that had their first token, and requests that ended.
         """
         self.admit()
         writing = self.wrote = [job for job in self.running if not job.unread]
@@ -124,7 +135,7 @@
         return seconds * self.slowness, first, done
 
     def read(self) -> int:
-        """Read one chunk of the oldest prompts; return its tokens."""
+        """Prefill one chunk of the oldest prompts; return its tokens."""
         left = CHUNK_TOKENS
         for job in self.running:
             tokens = min(left, job.unread)
@@ -133,10 +144,10 @@
         return CHUNK_TOKENS - left
 
     def cancel(self, name: str) -> None:
-        """Drop a request whose caller has left."""
+        """Remove a request from the queue or the running batch."""
         self.queue = deque(job for job in self.queue if job.name != name)
         self.running = [job for job in self.running if job.name != name]
 
     def is_idle(self) -> bool:
-        """Return whether nothing runs or waits."""
+        """Return whether no request runs or waits."""
         return not self.queue and not self.running
--- a/bench/region.py
+++ b/bench/region.py
@@ -1,9 +1,10 @@
-"""Routed calls at the worst load, through the real decisions on a paused clock.
+"""Simulation of routed calls under peak load, with the real decisions.
 
-``python -m bench.region`` plays a mix of streamed calls, with a burst in it,
-through one host's tables and the allocator's role, against engines that batch
-(`bench.engines`). It shows for each kind what callers get, and what that is
-worth to them: a figure for comparing policies in seconds, not a forecast.
+``python -m bench.region`` simulates a mix of streamed calls with a burst, on a
+simulated clock. The calls pass through the tables of one host and the pool role of
+the allocator to models of batching engines (`bench.engines`). The output shows, for
+each kind of call, how the calls ended and what credit they earned. It compares
+policies within seconds and isn't a forecast.
 """
 
 import heapq
@@ -52,35 +53,43 @@
 HOST = HostId("h0")
 ZONE = Zone("r")
 RETURN_PART = 1 / 3
-"""Callers come back when told if that is within this part of the time they have."""
+"""A refused caller retries if Retry-After is at most this fraction of its time left."""
 IMPATIENCE = 0.15
-"""Callers of a kind wait for up to this part less than the most patient."""
+"""Patience of callers of a kind varies downwards by up to this fraction."""
 TICK_S = 0.25
 SIZE_FLOOR, SIZE_PART, SIZE_MOST = 0.3, 0.7, 4.0
-"""A call is worth a fixed part and one that grows with its size."""
+"""The value of a call has a fixed part and a part proportional to its relative size.
+
+The relative size is capped at the third of these values.
+"""
 
 
 @dataclass(frozen=True)
 class Kind:
-    """One kind of streamed call.
+    """Parameters of one kind of streamed call.
 
     Attributes
     ----------
     rank : int
-        Of its route; 0 matters most.
+        Rank of the route; 0 is the most important.
     prompt, output : float
-        Mean tokens; lengths are spread log-normally with ``spread``.
-    longest : float
-        Prompt of the longest call, as a multiple of the mean.
+        Mean tokens; lengths are log-normally distributed.
     rate : float
-        Calls a second.
-    aim_s, patience_s, silence_s : float
-        For the first event to be in time, for the whole answer, and longest
-        time without any event.
+        Arrivals per second.
+    aim_s : float
+        Time to the first event within which an answer is in time.
+    patience_s : float
+        Longest time that a caller waits for the whole answer.
+    silence_s : float
+        Longest time that a caller waits for the first event.
     worth, late_worth : float
-        Of an answer in time and of a late one.
+        Value of an answer in time and of a late answer.
+    longest : float
+        Upper bound of the prompt, as a multiple of the mean.
+    spread : float
+        Standard deviation of the logarithm of prompt and output.
     gap_s : float
-        Longest pause of an answer that is in time.
+        Longest pause between events of an answer that is in time.
     """
 
     name: str
@@ -109,8 +118,10 @@
     Kind("short", 2, 1800, 23, 19.7, 0.4, 3.0, 2.4, 0.31, 0.031, 4.0, 1.0, 0.3),
 )
 SPEEDS = (0.55, 1.0, 2.8)
-"""Time that engines take, as multiples of the usual one's: 2.2, 3.7 and 10.6 ms a
-token were seen on a day of the users'."""
+"""Times of the engines, as multiples of the usual engine's.
+
+They correspond to engines that take 2.2, 3.7 and 10.6 ms per token.
+"""
 LONGEST_OUTPUT = 10.0
 SLOTS = 8
 MEMORY = 430_000
@@ -122,8 +133,16 @@
 
     Attributes
     ----------
+    kinds : tuple of Kind
+        Kinds of calls.
+    engines : int
+        Number of engines.
+    slots : int
+        Slots of each engine.
+    make : EngineMake
+        Timings of the usual engine.
     event_tokens : int
-        Tokens that come to a caller at once.
+        Tokens in one event of a stream.
     """
 
     kinds: tuple[Kind, ...] = KINDS
@@ -139,20 +158,27 @@
         QUOTES, 6, 11, EngineMake(0.00374, 0.0000807, 1.28e-9, 81_900.0, 0.041), 5
     ),
 }
-"""What the users' pages and site files say of two of them: at the first a late
-answer is worth a third, at the second a tenth, and a prompt stops its engine longer."""
+"""Mixes by name, after the documents and site files of two users.
+
+A late answer has about a third of its value in the first mix and a tenth in the second,
+where prompts also block their engine longer.
+"""
 
 
 @dataclass(frozen=True)
 class Load:
-    """What is played.
+    """Parameters of one simulation.
 
     Attributes
     ----------
+    seconds : float
+        Time over which calls arrive.
     engines : int
-        0 for those of the mix.
+        Number of engines; 0 takes the number of the mix.
+    factor : float
+        Multiple of all arrival rates.
     burst : float
-        Factor of the rates from ``burst_at`` on, for ``burst_s``.
+        Further multiple of the rates from ``burst_at`` on, for ``burst_s``.
     """
 
     seconds: float = 30.0
@@ -167,7 +193,21 @@
 
 @dataclass
 class Call:
-    """One caller's call, over all its tries."""
+    """One call, over all its attempts.
+
+    Attributes
+    ----------
+    asked, until : float
+        When it arrived first and when its caller gives up, in seconds.
+    tries : int
+        Attempts so far.
+    first, ended : float
+        When its first token and its last came, or 0.
+    heard : float
+        When its last event came, or 0.
+    pause_s : float
+        Longest pause between events.
+    """
 
     kind: Kind
     prompt: int
@@ -184,14 +224,14 @@
     pause_s: float = 0.0
 
     def hear(self, now: float) -> None:
-        """Take in an event."""
+        """Record the arrival of an event."""
         if self.heard:
             self.pause_s = max(self.pause_s, now - self.heard)
         self.heard = now
 
     @property
     def in_time(self) -> bool:
-        """Whether it was answered whole, in time and without a long pause."""
+        """Whether the whole answer came, began in time and had no long pause."""
         kind = self.kind
         first = bool(self.ended) and self.first <= self.asked + kind.aim_s
         return first and self.pause_s <= kind.gap_s
@@ -199,7 +239,15 @@
 
 @dataclass
 class Tally:
-    """What callers of one kind got."""
+    """Outcomes of the calls of one kind.
+
+    Attributes
+    ----------
+    left : int
+        Calls whose callers gave up.
+    owed, earned : float
+        Credit that all calls would earn in time, and the credit earned.
+    """
 
     offered: int = 0
     in_time: int = 0
@@ -211,12 +259,12 @@
 
     @property
     def share(self) -> float:
-        """Credit earned of the credit owed."""
+        """Share of the possible credit that was earned."""
         return self.earned / self.owed if self.owed else 1.0
 
 
 def make_config(load: Load) -> ConfigState:
-    """Return a pool of unlike engines, whose speeds nobody has told."""
+    """Return a pool of engines of different speeds, all configured with the default."""
     targets = {
         f"e{n:02}": Target(
             address=f"10.0.0.{n}:1",
@@ -238,7 +286,7 @@
 
 
 def draw_calls(load: Load) -> list[Call]:
-    """Return all calls in order of time."""
+    """Return all calls in order of arrival."""
     dice = random.Random(load.seed)
     calls = []
     for kind in load.mix.kinds:
@@ -252,7 +300,7 @@
 
 
 def draw_call(kind: Kind, now: float, dice: random.Random) -> Call:
-    """Return one call; callers declare far more output than they use."""
+    """Return a random call, which declares far more output than it uses."""
     mean = -(kind.spread**2) / 2
     size = min(dice.lognormvariate(mean, kind.spread), kind.longest)
     prompt = max(20, int(kind.prompt * size))
@@ -266,7 +314,23 @@
 
 @dataclass
 class Region:
-    """One host, the allocator and the engines, on a clock of events."""
+    """Event-driven simulation of one host, the allocator and the engines.
+
+    Attributes
+    ----------
+    events : list
+        Heap of time, sequence number and action.
+    order : itertools.count
+        Sequence numbers, which order the events of one time.
+    live : dict of str to Call
+        Calls that wait or run, by name.
+    rows : dict of str to RequestRow
+        Rows of all calls, by name.
+    stepping : set of str
+        Engines that have a step scheduled.
+    due : bool
+        Whether an exchange between host and allocator is scheduled.
+    """
 
     load: Load
     now: float = 0.0
@@ -296,11 +360,11 @@
         }
 
     def at(self, when: float, what: Callable[[], None]) -> None:
-        """Do ``what`` at a time."""
+        """Schedule an action."""
         heapq.heappush(self.events, (when, next(self.order), what))
 
     def play(self) -> list[Call]:
-        """Return all calls as they ended."""
+        """Run the simulation and return all calls with their outcomes."""
         calls = draw_calls(self.load)
         for call in calls:
             self.at(call.asked, lambda call=call: self.submit(call))
@@ -314,7 +378,7 @@
         return calls
 
     def submit(self, call: Call) -> None:
-        """Let a call wait at its host."""
+        """Add a call to the requests that wait at the host."""
         name = f"r{next(self.order)}"
         kind, patience_s = call.kind, call.until - self.now
         row = RequestRow(
@@ -345,13 +409,13 @@
         self.wake()
 
     def wake(self) -> None:
-        """Let host and allocator talk, once for all that happens at a time."""
+        """Schedule one exchange for all events of the present time."""
         if not self.due:
             self.due = True
             self.at(self.now, self.exchange)
 
     def exchange(self) -> None:
-        """Run the host's systems and the allocator, and start what was granted."""
+        """Run the host's systems and the allocator, and apply their decisions."""
         self.due = False
         run_systems(self.tables, self.now)
         for _, report in due_reports(self.tables, self.now):
@@ -366,7 +430,7 @@
             self.take_decision(name)
 
     def take_decision(self, name: str) -> None:
-        """Send a call to its engine, or its caller away, as was decided."""
+        """Dispatch or refuse a call if its decision has come."""
         row = self.rows[name]
         if row.decisions.empty():
             return
@@ -380,7 +444,7 @@
         self.start(decision.target)
 
     def send_away(self, name: str, refusal: Refusal) -> None:
-        """Let a refused caller come back as told, once."""
+        """Schedule the retry of a refused call, at most once."""
         call = self.live.pop(name)
         wait_s = refusal.retry_after_s or 0.0
         left_s = call.until - self.now
@@ -390,13 +454,13 @@
         call.refused = True
 
     def start(self, name: str) -> None:
-        """Let an engine work if it stands still."""
+        """Schedule a step of an engine that is idle."""
         if name not in self.stepping:
             self.stepping.add(name)
             self.at(self.now, lambda: self.step(name))
 
     def step(self, name: str) -> None:
-        """Run one step of an engine; what it made is there at its end."""
+        """Run one step of an engine; its output comes at the end of the step."""
         engine = self.engines[name]
         if engine.is_idle():
             self.stepping.discard(name)
@@ -408,7 +472,7 @@
     def end_step(
         self, name: str, wrote: list[Job], first: list[Job], done: list[Job]
     ) -> None:
-        """Tell host and caller what a step has made."""
+        """Report the output of a step to host and callers, and start the next step."""
         for job in wrote:
             whole = job.made == 1 or job.made % self.load.mix.event_tokens == 0
             if job.name in self.live and (whole or job in done):
@@ -420,7 +484,7 @@
         self.step(name)
 
     def note_first(self, name: str) -> None:
-        """Take in a first token."""
+        """Record the first token of a call."""
         call, row = self.live.get(name), self.rows[name]
         if call is None or row.state is not RequestState.DISPATCHED:
             return
@@ -431,7 +495,7 @@
         self.wake()
 
     def finish(self, name: str) -> None:
-        """Take in the end of a call."""
+        """Record the completion of a call."""
         call, row = self.live.pop(name, None), self.rows[name]
         if call is None:
             return
@@ -441,7 +505,7 @@
         self.wake()
 
     def leave(self, name: str) -> None:
-        """Let a caller go that has heard nothing for too long."""
+        """Withdraw a call whose caller gave up waiting for the first event."""
         call, row = self.live.get(name), self.rows[name]
         if call is None or call.first:
             return
@@ -455,7 +519,7 @@
 
 
 def tally(calls: list[Call]) -> dict[str, Tally]:
-    """Return what each kind got."""
+    """Return the outcomes of the calls by kind."""
     tallies: dict[str, Tally] = {}
     for call in calls:
         kind = call.kind
@@ -483,20 +547,20 @@
     seeds: int = 3,
     mix: str = "letters",
 ) -> None:
-    """Play the mix with some seeds and print what callers got.
+    """Simulate a mix with several seeds and print the outcomes of its calls.
 
     Parameters
     ----------
     seconds : float
-        Length of each.
+        Time over which calls arrive in each simulation.
     factor : float
-        Of all rates.
+        Multiple of all arrival rates.
     burst : float
-        Of the rates for five seconds from the eighth on.
+        Further multiple of the rates for five seconds from the eighth on.
     seeds : int
-        How many.
+        Number of simulations.
     mix : str
-        letters or quotes.
+        Mix of calls: letters or quotes.
     """
     head = ("seed", "kind", "offered", "in time", "late", "refused", "left", "credit")
     rows = []
