--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: never part of the tests, and never judged by time in CI."""
+"""Benchmarks: they aren't part of the tests, and CI sets no limits on their times."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,7 +1,7 @@
-"""Measures the decisions under load: ``python -m bench``.
+"""Benchmarks the scheduling decisions under load: ``python -m bench``.
 
-Plays the same seeded traces through the scheduler's decisions and through
-naive dispatch, prints Markdown tables, and draws docs/goodput.png.
+Simulates the same seeded traces under the scheduler's decisions and under naive
+dispatch, prints Markdown tables, and draws docs/goodput.png.
 """
 
 import sys
@@ -38,7 +38,7 @@
 
 
 def print_user(user: User) -> None:
-    """Print all patterns of one user."""
+    """Print the results of all load patterns of one user."""
     compared = [compare(pattern) for pattern in make_patterns(user)]
     print(f"\n## {user.name}: by tier\n")
     print(table(TIER_HEAD, [row for one in compared for row in tier_rows(one)]))
@@ -50,7 +50,7 @@
 
 
 def print_shares(one: Compared) -> None:
-    """Print what the tables don't show of some patterns."""
+    """Print results of some patterns that the tables don't show."""
     name = one.pattern.name
     if name == "few callers":
         for who, run in (("naive", one.naive), ("ours", one.ours)):
@@ -68,7 +68,7 @@
 
 
 def print_goals() -> None:
-    """Print the figures that have a goal, each over several traces."""
+    """Print the figures for which goals are set, each over several traces."""
     print("\n# Goals: twice the capacity, five traces of each mix\n")
     head = ("mix", "top tier in time", "wasted prefill, naive", "wasted", "ratio")
     rows = []
@@ -85,7 +85,7 @@
 
 
 def run_loads(user: User) -> dict[float, tuple[Run, Run]]:
-    """Return the runs of naive and ours at each load."""
+    """Return the runs of the baseline and of the scheduler at each load."""
     runs = {}
     for load in LOADS:
         scenario = user.at_load(load, SECONDS)
@@ -97,7 +97,7 @@
 
 
 def main() -> int:
-    """Run everything and return the exit code."""
+    """Run all benchmarks of the decisions and return the exit code."""
     start = time.perf_counter()
     print("# One run of the allocator: ms at the median / at the worst\n")
     head = ("case", *(f"{size} waiting" for size in SIZES), "10,000 / 1,000")
--- a/bench/patterns.py
+++ b/bench/patterns.py
@@ -1,4 +1,4 @@
-"""The patterns of load that the bench plays, for both users' mixes."""
+"""Load patterns of the benchmark, for the mixes of both users."""
 
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass
@@ -33,21 +33,21 @@
 
 @dataclass(frozen=True)
 class User:
-    """One user's mix and targets."""
+    """The mix of requests and the targets of one user."""
 
     name: str
     mix: Sequence[Kind]
     engines: Sequence[Engine]
 
     def at_load(self, load: float, seconds: float = SECONDS) -> Scenario:
-        """Return the plain mix at ``load`` times the capacity."""
+        """Return the mix at ``load`` times the capacity, without disturbances."""
         trace = make_trace(self.mix, self.engines, load, seconds)
         return Scenario(trace, self.engines)
 
 
 @dataclass(frozen=True)
 class Pattern:
-    """One scenario, with the baseline that it is compared with."""
+    """One scenario and the two policies that are compared on it."""
 
     name: str
     user: User
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class Compared:
-    """A pattern played through the baseline and through the scheduler."""
+    """Runs of a pattern under the baseline and under the scheduler."""
 
     pattern: Pattern
     naive: Run
@@ -72,7 +72,7 @@
 
 
 def make_patterns(user: User) -> Iterator[Pattern]:
-    """Yield every pattern for one user."""
+    """Yield all patterns of one user."""
     mix, engines = user.mix, user.engines
     for load in (1.0, 2.0, 4.0):
         yield Pattern(f"saturation {load:g}x", user, user.at_load(load))
@@ -95,15 +95,15 @@
 
 
 def slow_scenario(user: User) -> Scenario:
-    """Return a load of 0.9 with a target six times slower for a while."""
+    """Return a load of 0.9 with one target six times slower for some time."""
     trace = make_trace(user.mix, user.engines, 0.9, SECONDS)
     return Scenario(trace, user.engines, slow=Slowdown(WATCHED, FROM_S, TO_S, 6.0))
 
 
 def stale_pattern(user: User, lag_s: float) -> Pattern:
-    """Return a load of 0.9, with somebody else on a target for a while.
+    """Return a load of 0.9 with external streams on one target for some time.
 
-    The baseline is the common way to use load reports: to the least loaded.
+    The baseline dispatches to the least loaded target by reports, as is common.
     """
     trace = make_trace(user.mix, user.engines, 0.9, SECONDS)
     count = user.engines[0].slots // 2
@@ -120,7 +120,7 @@
 
 
 def compare_seeds(user: User, load: float) -> list[tuple[Run, Run]]:
-    """Return the runs of naive and ours over several traces of one load."""
+    """Return the runs of the baseline and the scheduler on several traces of a load."""
     runs = []
     for seed in SEEDS:
         trace = make_trace(user.mix, user.engines, load, SECONDS, seed)
@@ -131,7 +131,7 @@
 
 
 def compare(pattern: Pattern) -> Compared:
-    """Play one pattern through both policies."""
+    """Simulate one pattern under both policies."""
     engines = pattern.scenario.engines
     naive = Player(pattern.scenario, pattern.baseline(engines)).play()
     ours = Player(pattern.scenario, pattern.ours(engines)).play()
--- a/bench/plot.py
+++ b/bench/plot.py
@@ -1,4 +1,4 @@
-"""Draws goodput against load for each tier."""
+"""Plots goodput against offered load for each tier."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -14,7 +14,17 @@
 
 
 def draw_goodput(users: tuple[User, ...], runs: Runs, path: Path) -> None:
-    """Draw ``runs`` (by user, then load: naive and ours) into ``path``."""
+    """Plot the share of requests answered in time, and save the figure.
+
+    Parameters
+    ----------
+    users : tuple of User
+        One plot is drawn for each.
+    runs : mapping
+        By name of the user and load: the runs of the baseline and the scheduler.
+    path : Path
+        File of the figure.
+    """
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(1, len(users), figsize=(12, 4.5), sharey=True)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,4 +1,4 @@
-"""The policies that the bench compares: the scheduler's own and baselines."""
+"""Dispatch policies under comparison: the scheduler's own and the baselines."""
 
 from collections import OrderedDict, deque
 from collections.abc import Mapping, Sequence
@@ -34,10 +34,10 @@
 
 
 class Naive:
-    """First come, first served; round robin; declared lengths; no tiers.
+    """First come, first served, to targets in turn, by declared length, without tiers.
 
-    A fair baseline: it never overruns a target, and drops what is past its
-    deadline before it is dispatched.
+    The baseline is a fair one: it never overcommits a target, and it drops requests
+    that are past their deadline before dispatch.
     """
 
     def __init__(self, engines: Sequence[Engine]) -> None:
@@ -54,7 +54,7 @@
         return None
 
     def decide(self, now: float) -> Decided:
-        """Dispatch from the head of the queue to the next target with room."""
+        """Dispatch from the head of the queue while a target has capacity."""
         late = [row.request for row in self.waiting.values() if row.deadline <= now]
         for request in late:
             del self.waiting[request]
@@ -73,7 +73,7 @@
         return dispatches, [Refused(request, 1.0) for request in late]
 
     def choose(self, arrival: Arrival) -> TargetName | None:
-        """Return the next target in turn that has room."""
+        """Return the next target in turn that has capacity for the request."""
         names = list(self.engines)
         tokens = arrival.prompt + arrival.declared
         for offset in range(len(names)):
@@ -86,23 +86,23 @@
         return None
 
     def finished(self, stream: Stream, target: TargetName, now: float) -> None:
-        """Free the slot."""
+        """Release the slot."""
         self.leave(stream.arrival.request)
 
     def withdrawn(self, request: RequestId, produced: int, now: float) -> None:
-        """Free the slot or the place in the queue."""
+        """Remove the request from the queue, or release its slot."""
         self.waiting.pop(request, None)
         self.leave(request)
 
     def leave(self, request: RequestId) -> None:
-        """Free what the request holds at a target."""
+        """Release the slot and the tokens that the request holds at a target."""
         held = self.placed.pop(request, None)
         if held:
             self.used[held[0]] -= 1
             self.tokens[held[0]] -= held[1]
 
     def watch(self, queues: Mapping[TargetName, Queue], now: float) -> None:
-        """Look at nothing."""
+        """Ignore the progress of the streams."""
 
     def waiting_ranks(self) -> list[int]:
         """Return the rank of each waiting request."""
@@ -110,12 +110,15 @@
 
 
 class LeastReported(Naive):
-    """Sends to the target whose last load report is lowest, as is common.
+    """Sends each request to the target with the lowest reported load.
+
+    This is the common use of load reports.
+
 
     Parameters
     ----------
     lag_s : float
-        Age of the reports.
+        Age of the reports in use, in seconds.
     """
 
     def __init__(self, engines: Sequence[Engine], lag_s: float) -> None:
@@ -124,12 +127,12 @@
         self.reports: list[tuple[float, dict[TargetName, int]]] = []
 
     def watch(self, queues: Mapping[TargetName, Queue], now: float) -> None:
-        """Take the reports that are due."""
+        """Record the load of each target as a report."""
         counts = {name: len(q.running) + len(q.queued) for name, q in queues.items()}
         self.reports.append((now, counts))
 
     def choose(self, arrival: Arrival) -> TargetName | None:
-        """Return the target with the lowest reported load for its slots."""
+        """Return the target with the lowest reported load per slot."""
         reported = self.reports[0][1] if self.reports else {}
         return min(
             self.engines,
@@ -137,14 +140,20 @@
         )
 
     def decide(self, now: float) -> Decided:
-        """Forget reports older than the lag, then dispatch all."""
+        """Use the newest report that is ``lag_s`` old, and dispatch all requests."""
         while len(self.reports) > 1 and self.reports[1][0] <= now - self.lag_s:
             del self.reports[0]
         return super().decide(now)
 
 
 class Scheduled:
-    """The scheduler's own decisions, wired as an allocator wires them."""
+    """The scheduler's own decisions, connected as in an allocator.
+
+    Parameters
+    ----------
+    lag_s : float
+        Age of the load reports in use, in seconds.
+    """
 
     def __init__(self, engines: Sequence[Engine], lag_s: float = 0.5) -> None:
         self.lag_s = lag_s
@@ -164,7 +173,7 @@
             self.add_target(engine)
 
     def add_target(self, engine: Engine) -> None:
-        """Add a target with the speeds that an operator would configure."""
+        """Add a target with the speeds that an operator would configure for all."""
         name = TargetName(engine.name)
         self.speeds.set_configured(name, 6000.0, 40.0)
         self.pool.targets[name] = TargetView(
@@ -178,7 +187,7 @@
         )
 
     def arrive(self, arrival: Arrival, now: float) -> Refused | None:
-        """Queue the request, unless it comes back too early."""
+        """Queue the request, or refuse it if it is retried too early."""
         body = body_of(arrival)
         early_s = self.refused.retry_wait_s(arrival.workspace, body, now)
         if early_s:
@@ -208,7 +217,7 @@
         return None
 
     def decide(self, now: float) -> Decided:
-        """Run the allocator and account for what it decided."""
+        """Run the allocator and apply its decisions."""
         if not self.pool.waiting:
             return [], []
         self.update_targets(now)
@@ -217,7 +226,7 @@
         return dispatches, self.give_up(allocation, now)
 
     def update_targets(self, now: float) -> None:
-        """Bring what was learned into the view."""
+        """Copy learned speeds, limits, load and prefixes into the target views."""
         for name, view in self.pool.targets.items():
             speed = self.speeds.learned[name]
             view.prefill_tps, view.decode_tps = speed.prefill_tps, speed.decode_tps
@@ -226,7 +235,7 @@
             view.prefixes = self.hints.prefixes(name, now)
 
     def place(self, placement: Placement, now: float) -> tuple[RequestId, TargetName]:
-        """Account for a request that is dispatched."""
+        """Account for a dispatched request."""
         row = self.pool.waiting.pop(placement.request)
         view = self.pool.targets[placement.target]
         self.ours[placement.target] = self.ours.get(placement.target, 0) + 1
@@ -237,7 +246,7 @@
         return placement.request, placement.target
 
     def give_up(self, allocation: Allocation, now: float) -> list[Refused]:
-        """Account for what is refused."""
+        """Account for the refused requests."""
         refusals = []
         for given_up in allocation.sheds:
             row = self.pool.waiting.pop(given_up.request)
@@ -250,7 +259,7 @@
         return refusals
 
     def finished(self, stream: Stream, target: TargetName, now: float) -> None:
-        """Free the slot and learn."""
+        """Release the slot, and learn output length and speed from the stream."""
         arrival = stream.arrival
         self.leave(arrival.request)
         self.predictor.observe(
@@ -270,7 +279,7 @@
         )
 
     def withdrawn(self, request: RequestId, produced: int, now: float) -> None:
-        """Free the slot or the place in the queue, and learn."""
+        """Remove the request, and learn from the output that it had produced."""
         self.pool.waiting.pop(request, None)
         if produced:
             line = self.running[request][0].demand
@@ -280,7 +289,7 @@
         self.leave(request)
 
     def leave(self, request: RequestId) -> None:
-        """Free what the request holds at a target."""
+        """Release the slot and the tokens that the request holds at a target."""
         self.progress.pop(request, None)
         held = self.running.pop(request, None)
         if held is None:
@@ -292,7 +301,7 @@
         self.pool.workspaces[row.demand.workspace].running -= 1
 
     def watch(self, queues: Mapping[TargetName, Queue], now: float) -> None:
-        """Let reservations grow, take reports, and compare each second."""
+        """Process load reports, and observe streams that run for at least a second."""
         self.take_reports(queues, now)
         for name, queue in queues.items():
             for stream in queue.running:
@@ -301,7 +310,7 @@
                     self.watch_stream(stream, name, now)
 
     def take_reports(self, queues: Mapping[TargetName, Queue], now: float) -> None:
-        """Take in the load report of each target that is ``lag_s`` old."""
+        """Record the load of each target; process the reports ``lag_s`` old."""
         counts = {name: len(q.running) + len(q.queued) for name, q in queues.items()}
         self.reports.append((now, counts))
         while len(self.reports) > 1 and self.reports[1][0] <= now - self.lag_s:
@@ -311,7 +320,7 @@
             self.loads.observe(name, count)
 
     def watch_stream(self, stream: Stream, target: TargetName, now: float) -> None:
-        """Look at one stream that decodes."""
+        """Observe the speed of one stream, and grow its reservation if needed."""
         request = stream.arrival.request
         before = self.progress.get(request, 0.0)
         self.progress[request] = stream.produced
@@ -345,5 +354,5 @@
 
 
 def body_of(arrival: Arrival) -> BodyDigest:
-    """Return what stands for the digest of a body that is sent again."""
+    """Return a stand-in for the body digest, which is the same for all retries."""
     return BodyDigest(arrival.request.rstrip("+"))
--- a/bench/queues.py
+++ b/bench/queues.py
@@ -1,10 +1,11 @@
-"""Plays a trace through a policy and a few queues that stand for targets.
-
-Each target batches continuously: it starts what it was sent in order, while
-slots and memory last; prefill shares one speed, each stream decodes at its
-own. When running streams outgrow the memory, the newest is put back and its
-prefill, with what it had produced, is paid again. No network, no hosts, and
-a paused clock: this measures decisions only.
+"""Simulates a trace of requests under a policy, on a few model targets.
+
+Each target batches continuously: it starts requests in the order of dispatch, while
+slots and memory last. Streams in prefill share the prefill speed of the target; each
+stream decodes at full decode speed. When the running streams exceed the memory, the
+newest is preempted: it returns to the queue, and its prompt and output so far are
+prefilled again. There are no network and no hosts, and the clock is simulated, so
+only the decisions are measured.
 """
 
 import heapq
@@ -40,10 +41,16 @@
 
     Attributes
     ----------
+    dispatched : float
+        Time of dispatch.
     to_prefill : float
-        Tokens still to be processed before its next output token.
+        Tokens still to be prefilled before its next output token.
     paid : float
-        Prefill tokens spent on it so far.
+        Tokens prefilled for it since its dispatch or its last preemption.
+    produced : float
+        Output tokens so far.
+    first_token : float
+        Time of its first output token, or 0.
     """
 
     arrival: Arrival
@@ -56,7 +63,19 @@
 
 @dataclass
 class Queue:
-    """One target: its queue, its running streams, its prefix cache."""
+    """Model of one target: its queue, running streams and prefix cache.
+
+    Attributes
+    ----------
+    cache : dict
+        Cached prefixes, the least recently used first.
+    slowness : float
+        Factor by which prefill and decode are slower.
+    wasted, prefilled : float
+        Tokens prefilled in vain, and all tokens prefilled.
+    evictions : int
+        How often a running stream was preempted.
+    """
 
     engine: Engine
     queued: deque[Stream] = field(default_factory=deque)
@@ -68,7 +87,7 @@
     prefilled: float = 0.0
 
     def step(self, now: float) -> list[Stream]:
-        """Advance by one step and return the streams that ended."""
+        """Advance by one step and return the completed streams."""
         self.admit()
         prefilling = [row for row in self.running if row.to_prefill > 0]
         done = []
@@ -87,7 +106,7 @@
         return done
 
     def prefill(self, row: Stream, sharers: int) -> None:
-        """Process prompt tokens of one stream for one step."""
+        """Prefill tokens of one stream for one step."""
         speed = self.engine.prefill_tps / self.slowness / sharers
         tokens = min(row.to_prefill, speed * STEP_S)
         row.to_prefill -= tokens
@@ -107,7 +126,7 @@
             self.use_cache(row)
 
     def use_cache(self, row: Stream) -> None:
-        """Skip the prefill of a cached prefix, and cache this one."""
+        """Skip the prefill of a cached prefix, and update the cache."""
         prefix = row.arrival.prefix
         if not prefix:
             return
@@ -119,7 +138,7 @@
             del self.cache[next(iter(self.cache))]
 
     def evict(self) -> None:
-        """Put the newest stream back while the running ones don't fit."""
+        """Preempt the newest stream while the running ones exceed the memory."""
         while len(self.running) > 1 and self.memory() > self.engine.memory:
             newest = max(self.running, key=lambda row: row.dispatched)
             self.running.remove(newest)
@@ -130,7 +149,7 @@
             self.queued.appendleft(newest)
 
     def memory(self) -> float:
-        """Return the tokens that running streams hold."""
+        """Return the memory tokens that running streams hold."""
         return sum(
             row.arrival.prompt + row.produced
             for row in self.running
@@ -138,7 +157,7 @@
         )
 
     def cancel(self, row: Stream) -> None:
-        """Drop a stream; what was paid for its prefill is wasted."""
+        """Remove a stream and count its prefill as wasted."""
         self.wasted += row.paid
         if row in self.running:
             self.running.remove(row)
@@ -148,7 +167,13 @@
 
 @dataclass(frozen=True)
 class Refused:
-    """A policy's refusal; ``shed`` is False when no order could help it."""
+    """A policy's refusal of a request.
+
+    Attributes
+    ----------
+    shed : bool
+        False when no order of dispatch could have avoided the refusal.
+    """
 
     request: RequestId
     retry_after_s: float
@@ -156,27 +181,27 @@
 
 
 class Policy(Protocol):
-    """What decides: the scheduler's own code, or a baseline."""
+    """Dispatch policy: the scheduler's own code or a baseline."""
 
     def arrive(self, arrival: Arrival, now: float) -> Refused | None:
-        """Take in a new request, or refuse it at once."""
+        """Queue a new request, or refuse it at once."""
 
     def decide(
         self, now: float
     ) -> tuple[list[tuple[RequestId, TargetName]], list[Refused]]:
-        """Return what to dispatch and what to refuse."""
+        """Return the dispatches and the refusals of this step."""
 
     def finished(self, stream: Stream, target: TargetName, now: float) -> None:
-        """Tell that a stream ended; its arrival has the output tokens."""
+        """Handle a completed stream; its arrival has the output tokens."""
 
     def withdrawn(self, request: RequestId, produced: int, now: float) -> None:
-        """Tell that a request's caller is gone, or its deadline has passed.
+        """Handle a request whose caller hung up or whose deadline has passed.
 
-        It had ``produced`` output tokens by then.
+        It has ``produced`` output tokens by then.
         """
 
     def watch(self, queues: Mapping[TargetName, Queue], now: float) -> None:
-        """See the streams' progress, once a second."""
+        """Observe the progress of all streams, once a second."""
 
     def waiting_ranks(self) -> list[int]:
         """Return the rank of each waiting request."""
@@ -184,12 +209,24 @@
 
 @dataclass
 class Outcome:
-    """What callers of one tier got.
+    """Outcomes of the requests of one tier.
 
     Attributes
     ----------
+    offered : int
+        Requests, without their retries.
+    in_time, shed : int
+        Requests answered in time, and requests refused for good.
+    cut, gone : int
+        Requests that ended at their deadline, and at a hang-up of their caller.
+    tokens : int
+        Output tokens of the answers in time.
     inversions : int
-        Requests shed while one of a lower tier was still kept.
+        Requests shed while one of a lower tier still waited.
+    wasted : float
+        Tokens prefilled for requests that were withdrawn.
+    latencies : list of float
+        Latency of each answer in time, in seconds.
     """
 
     offered: int = 0
@@ -203,7 +240,7 @@
     latencies: list[float] = field(default_factory=list)
 
     def latency(self, share: float) -> float:
-        """Return a quantile of the latency of what ended in time, in seconds."""
+        """Return a quantile of the latency of answers in time, in seconds."""
         if not self.latencies:
             return float("nan")
         ordered = sorted(self.latencies)
@@ -212,7 +249,19 @@
 
 @dataclass
 class Run:
-    """One trace played through one policy."""
+    """Results of one scenario under one policy.
+
+    Attributes
+    ----------
+    outcomes : dict of int to Outcome
+        Outcomes by rank of the tier.
+    by_workspace : dict of str to list
+        Requests offered and answered in time, by workspace.
+    shares : list of dict
+        Requests at each target, once a second.
+    first_tries : int
+        Requests answered in time at the first attempt.
+    """
 
     outcomes: dict[int, Outcome] = field(default_factory=dict)
     wasted: float = 0.0
@@ -235,7 +284,7 @@
 
 @dataclass(frozen=True)
 class Outsiders:
-    """Streams of somebody else, which only load reports show."""
+    """Streams of other clients of a target, which only its load reports show."""
 
     target: TargetName
     start: float
@@ -245,14 +294,14 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A trace, the targets, and what happens besides.
+    """A trace, the targets and the disturbances.
 
     Attributes
     ----------
     repeats : int
-        How often a refused caller comes back.
+        Maximum number of retries after refusals.
     heeds : float
-        Share of callers that heed Retry-After; others are back in 0.3 s.
+        Share of callers that honour Retry-After; the others retry after 0.3 s.
     """
 
     trace: Sequence[Arrival]
@@ -264,7 +313,19 @@
 
 
 class Player:
-    """Plays one scenario through one policy."""
+    """Simulates one scenario under one policy.
+
+    Attributes
+    ----------
+    arrivals : list
+        Heap of the requests to come, by time.
+    open : dict of RequestId to Arrival
+        Requests that wait or run.
+    placed : dict of RequestId to tuple
+        Stream and target of each request dispatched so far.
+    ends : list
+        Heap of the times at which callers hang up or deadlines pass.
+    """
 
     def __init__(self, scenario: Scenario, policy: Policy) -> None:
         self.scenario = scenario
@@ -281,7 +342,7 @@
         self.run_ = Run()
 
     def play(self) -> Run:
-        """Play to the end and return what callers got."""
+        """Run the simulation and return its results."""
         start = now = self.clock.monotonic()
         while self.arrivals or self.open:
             self.clock.advance(STEP_S)
@@ -320,7 +381,7 @@
             self.refuse(refused, kept, now)
 
     def set_slowness(self, now: float) -> None:
-        """Slow a target down, if the scenario says so."""
+        """Apply the disturbances of the scenario: a slowdown and external streams."""
         slow = self.scenario.slow
         if slow:
             active = slow.start <= now < slow.end
@@ -330,7 +391,7 @@
             self.keep_outsiders(outside, outside.start <= now < outside.end, now)
 
     def keep_outsiders(self, outside: Outsiders, active: bool, now: float) -> None:
-        """Keep the streams of somebody else running, or take them off."""
+        """Add the external streams to their target, or remove them."""
         running = self.queues[outside.target].running
         if active == bool(self.outsiders):
             return
@@ -345,7 +406,7 @@
             self.outsiders = []
 
     def outcome(self, arrival: Arrival) -> Outcome:
-        """Return the outcome row of the request's tier."""
+        """Return the outcomes of the request's tier."""
         return self.run_.outcomes.setdefault(arrival.rank, Outcome())
 
     def arrive(self, arrival: Arrival, now: float) -> None:
@@ -361,7 +422,13 @@
             self.refuse(refused, [], now)
 
     def dispatch(self, request: RequestId, target: TargetName, now: float) -> None:
-        """Send a request to a target, once."""
+        """Send a request to a target.
+
+        Raises
+        ------
+        AssertionError
+            The request was dispatched before.
+        """
         arrival = self.open[request]
         if request in self.placed:
             raise AssertionError(f"{request} was dispatched twice")
@@ -370,7 +437,7 @@
         self.placed[request] = stream, self.queues[target]
 
     def finish(self, stream: Stream, target: TargetName, now: float) -> None:
-        """Count an answer that came in time; late ones were cut before."""
+        """Count a completed answer; it is in time, as late requests were withdrawn."""
         arrival = stream.arrival
         self.open.pop(arrival.request)
         outcome = self.outcome(arrival)
@@ -383,7 +450,7 @@
         self.policy.finished(stream, target, now)
 
     def withdraw(self, now: float) -> None:
-        """End what its caller no longer waits for."""
+        """Withdraw the requests whose caller hung up or whose deadline has passed."""
         while self.ends and self.ends[0][0] <= now:
             _, request = heapq.heappop(self.ends)
             arrival = self.open.get(request)
@@ -396,7 +463,7 @@
                 self.outcome(arrival).wasted += stream.paid
                 queue.cancel(stream)
             elif arrival.gone > now:
-                # The policy refuses it in this step, and that is counted.
+                # It waits past its deadline: the policy refuses it in this step.
                 continue
             del self.open[request]
             self.policy.withdrawn(request, produced, now)
@@ -406,7 +473,7 @@
                 self.outcome(arrival).cut += 1
 
     def refuse(self, refused: Refused, kept: list[int], now: float) -> None:
-        """Count a refusal; its caller may come back."""
+        """Count a refusal, and schedule a retry if the caller has any left."""
         arrival = self.open.pop(refused.request)
         outcome = self.outcome(arrival)
         if refused.shed and any(rank > arrival.rank for rank in kept):
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Prints what the bench measured, as Markdown tables."""
+"""Formats the results of the benchmark as Markdown tables."""
 
 import statistics
 from collections.abc import Iterable, Sequence
@@ -44,7 +44,7 @@
 
 
 def tier_rows(compared: Compared) -> list[list[object]]:
-    """Return one row for each tier of a pattern."""
+    """Return one table row for each tier of a pattern."""
     rows = []
     for rank in sorted(compared.naive.outcomes):
         naive = compared.naive.outcomes[rank]
@@ -71,7 +71,7 @@
 
 
 def waste_row(compared: Compared) -> list[object]:
-    """Return the wasted prefill of a pattern, in tokens."""
+    """Return the table row of prefill, evictions and output of a pattern, in tokens."""
     naive, ours = compared.naive, compared.ours
     return [
         compared.pattern.name,
@@ -88,35 +88,36 @@
 
 
 def share(outcome: Outcome) -> str:
-    """Return the share of requests that ended in time."""
+    """Return the share of requests answered in time, as a percentage."""
     return f"{outcome.in_time / max(1, outcome.offered):.1%}"
 
 
 def ratio(ours: float, naive: float) -> str:
-    """Return ``ours`` over ``naive``."""
+    """Return ``ours`` divided by ``naive``, or a dash if ``naive`` is 0."""
     return f"{ours / naive:.2f}" if naive else "-"
 
 
 def latencies(outcome: Outcome) -> str:
-    """Return the latency at 50 and 99 in 100 of what ended in time."""
+    """Return the median and the 99th percentile of latency of answers in time."""
     return f"{outcome.latency(0.5):.1f} / {outcome.latency(0.99):.1f}"
 
 
 def total_tokens(run: Run) -> int:
-    """Return the output tokens of all answers in time."""
+    """Return the number of output tokens of all answers in time."""
     return sum(outcome.tokens for outcome in run.outcomes.values())
 
 
 def shares_over_time(run: Run, target: TargetName = WATCHED) -> str:
-    """Return the requests on one target, every fourth second."""
+    """Return the number of requests at one target, every fourth second."""
     counts = [row[target] for row in run.shares[::4]]
     return " ".join(str(count) for count in counts[: int(TO_S + FROM_S) // 4])
 
 
 def swing(run: Run) -> float:
-    """Return how much the load of a target differs from second to second.
+    """Return how much the load of targets varies over time.
 
-    The mean, over targets, of the standard deviation of its requests.
+    This is the mean, over the targets, of the standard deviation of the number of
+    requests at the target, sampled once a second.
     """
     names = run.shares[0]
     return statistics.mean(
@@ -125,7 +126,7 @@
 
 
 def others_of(run: Run) -> tuple[float, float]:
-    """Return the shares in time of the flooding workspaces and of all others."""
+    """Return the shares in time of the flooding workspaces and of the others."""
     flood, rest = [0, 0], [0, 0]
     for name, (offered, in_time) in run.by_workspace.items():
         counts = flood if name.startswith("flood") else rest
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,4 +1,4 @@
-"""Seeded traces of requests: both users' mixes and the patterns of load."""
+"""Seeded random traces of requests, for the mixes and load patterns of both users."""
 
 import random
 from collections.abc import Sequence
@@ -12,18 +12,20 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """One kind of request.
+    """Parameters of one kind of request.
 
     Attributes
     ----------
     prompt, output : int
-        Median tokens; lengths are spread log-normally.
+        Median tokens; lengths are log-normally distributed.
     declared : int
-        Output tokens that callers reserve.
+        Output tokens that callers declare.
     timeout_s : float
-        Deadline after arrival.
+        Time from arrival to the deadline.
     work : float
-        Share of the trace's slot seconds.
+        Share of the slot seconds that the trace uses.
+    keys : int
+        Number of workspaces that send such requests.
     """
 
     name: str
@@ -38,14 +40,14 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """One request of a trace; times in seconds from the trace's start.
+    """One request of a trace; times are in seconds from the start of the trace.
 
     Attributes
     ----------
     gone : float
-        When its caller hangs up, if it has no answer by then.
+        Time at which its caller hangs up if it has no answer by then.
     tries : int
-        How often it was sent before.
+        Number of earlier attempts.
     """
 
     time: float
@@ -78,7 +80,7 @@
 
 @dataclass(frozen=True)
 class Engine:
-    """One target of the bench; speeds in tokens a second."""
+    """Parameters of one model target; speeds are in tokens per second."""
 
     name: str
     slots: int
@@ -88,7 +90,7 @@
 
 
 def make_engines(count: int, slots: int, memory: int) -> tuple[Engine, ...]:
-    """Return ``count`` targets of three generations."""
+    """Return ``count`` targets with three different speeds."""
     return tuple(
         Engine(f"engine-{n:02}", slots, memory, 6000.0 * g, 40.0 * g)
         for n in range(count)
@@ -101,7 +103,7 @@
 
 
 def slot_seconds(kind: Kind, engines: Sequence[Engine]) -> float:
-    """Return how long a request of ``kind`` holds a slot, on average."""
+    """Return the mean time for which a request of ``kind`` holds a slot, in seconds."""
     prefill = sum(engine.prefill_tps for engine in engines) / len(engines)
     decode = sum(engine.decode_tps for engine in engines) / len(engines)
     mean = 2.718281828 ** (SIGMA**2 / 2)
@@ -115,7 +117,7 @@
     seconds: float,
     seed: int = 1,
 ) -> list[Arrival]:
-    """Return a trace of ``load`` times what ``engines`` can run."""
+    """Return a trace with a load of ``load`` times the capacity of ``engines``."""
     draw = random.Random(seed)
     slots = sum(engine.slots for engine in engines)
     trace = []
@@ -129,7 +131,7 @@
 
 
 def make_arrival(kind: Kind, now: float, draw: random.Random) -> Arrival:
-    """Return one request of ``kind`` at ``now``."""
+    """Return one random request of ``kind`` that arrives at ``now``."""
     output = max(1, int(kind.output * draw.lognormvariate(0.0, SIGMA)))
     return Arrival(
         time=now,
@@ -144,7 +146,7 @@
 
 
 def number(trace: list[Arrival]) -> list[Arrival]:
-    """Return ``trace`` in order of time, with request ids."""
+    """Return ``trace`` in order of arrival, with request ids."""
     trace = sorted(trace, key=lambda row: row.time)
     return [
         replace(row, request=RequestId(f"r{index:06}"))
@@ -164,14 +166,14 @@
 
 
 def shift(row: Arrival, seconds: float) -> Arrival:
-    """Return ``row`` later by ``seconds``."""
+    """Return ``row`` with arrival and deadline ``seconds`` later."""
     return replace(row, time=row.time + seconds, deadline=row.deadline + seconds)
 
 
 def add_flood(
     mix: Sequence[Kind], engines: Sequence[Engine], seconds: float
 ) -> list[Arrival]:
-    """Return a load of 1.5 of which one workspace a tier sends nine tenths."""
+    """Return a load of 1.5, nine tenths of it from one workspace in each tier."""
     draw = random.Random(2)
     trace = make_trace(mix, engines, 1.5, seconds)
     return [
@@ -185,7 +187,7 @@
 def add_long(
     mix: Sequence[Kind], engines: Sequence[Engine], seconds: float
 ) -> list[Arrival]:
-    """Return a load of 0.6 with a wave of long requests of the same tiers."""
+    """Return a load of 0.6 with a burst of long requests in the first two tiers."""
     trace = make_trace(mix, engines, 0.6, seconds)
     slots = sum(engine.slots for engine in engines)
     ranks = sorted({kind.rank for kind in mix})
@@ -197,7 +199,7 @@
 
 
 def add_hangups(trace: list[Arrival], share: float) -> list[Arrival]:
-    """Return ``trace`` with callers that hang up half way to their deadline."""
+    """Return ``trace`` with a share of callers that hang up halfway to the deadline."""
     draw = random.Random(3)
     return [
         replace(row, gone=(row.time + row.deadline) / 2)
@@ -208,7 +210,7 @@
 
 
 def add_prefixes(trace: list[Arrival], count: int) -> list[Arrival]:
-    """Return ``trace`` with ``count`` prefixes, the first of them popular."""
+    """Return ``trace`` with ``count`` prefixes, the first of them the most frequent."""
     draw = random.Random(4)
     return [
         replace(row, prefix=f"prefix-{min(int(draw.expovariate(0.3)), count - 1)}")
