--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,9 @@
-"""Measures the slopes behind ``docs/CAPACITY.md`` on this machine.
+"""Measures how resource use grows, for ``docs/CAPACITY.md``.
 
-``python -m bench.capacity [PART ...]`` runs all parts, or those named: hosts,
-load, workspaces, claims. Each prints readings at several sizes, the line
-through them, and what the line gives at the size to design for.
+``python -m bench.capacity [PART ...]`` runs all measurements, or those named: hosts,
+load, workspaces, claims. Each prints its values at several sizes and the slope of
+the line fitted through them; hosts also prints the extrapolation to a zone of the
+designed size.
 """
 
 import contextlib
@@ -42,7 +43,17 @@
 
 @dataclass(frozen=True)
 class Use:
-    """What one host uses: cores, bytes, control bytes (or these a second)."""
+    """Resource use of one host, as totals or as averages of an interval.
+
+    Attributes
+    ----------
+    cores : float
+        Processor time in seconds, or the average number of cores in use.
+    resident : float
+        Resident memory in bytes.
+    control : float
+        Bytes of control traffic, or bytes per second.
+    """
 
     cores: float
     resident: float
@@ -51,14 +62,14 @@
 
 @dataclass(frozen=True)
 class FleetUse:
-    """The average over all hosts, and the most that any of them uses."""
+    """Mean use over all hosts, and the maximum of each resource over the hosts."""
 
     mean: Use
     most: Use
 
 
 def measure_hosts() -> None:
-    """Measure idle hosts of one zone."""
+    """Measure the resource use of idle hosts of one availability zone."""
     points = [(size, measure_fleet(size)) for size in HOST_SIZES]
     print("\nIdle hosts of one zone; the most is that of the allocator's host:\n")
     head = ("hosts", "% of a core", "most", "MB resident", "most", "KB/s", "most")
@@ -78,7 +89,7 @@
 
 
 def use_cells(use: FleetUse) -> list[str]:
-    """Return the cells of a row on one fleet's use."""
+    """Return the table cells for the use of one fleet."""
     return [
         f"{getattr(row, name) * scale:.2f}"
         for name, _, scale in UNITS
@@ -87,7 +98,7 @@
 
 
 def measure_fleet(size: int) -> FleetUse:
-    """Return the use of each of ``size`` idle hosts."""
+    """Return the use of a fleet of ``size`` idle hosts."""
     with contextlib.ExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         fleet = make_fleet(Path(folder), stack)
@@ -102,7 +113,7 @@
 
 
 def measure_use(fleet: Fleet) -> FleetUse:
-    """Return what the hosts of ``fleet`` use from now on for some seconds."""
+    """Measure the use of the hosts of ``fleet`` for ``MEASURE_S`` from now on."""
     before = [reading(fleet, host) for host in fleet.hosts]
     start = time.monotonic()
     time.sleep(MEASURE_S)
@@ -123,7 +134,7 @@
 
 
 def reading(fleet: Fleet, host) -> Use:
-    """Return the totals that one host has used so far."""
+    """Return the totals of one host so far."""
     text = fleet.http.request("GET", f"http://{host.operators}/metrics").data.decode()
     control = sum(
         float(line.rsplit(" ", 1)[1])
@@ -135,12 +146,12 @@
 
 
 def mean(values: list[float]) -> float:
-    """Return the average."""
+    """Return the arithmetic mean."""
     return sum(values) / len(values)
 
 
 def measure_workspaces() -> None:
-    """Measure memory and replay time of a configuration with many workspaces."""
+    """Measure memory and replay time of a configuration by number of workspaces."""
     rows, memory, seconds = [], [], []
     for size in WORKSPACE_SIZES:
         ticket = workspace_ticket(size)
@@ -181,7 +192,7 @@
 
 
 def measure_load() -> None:
-    """Measure what requests add to the control traffic of one zone."""
+    """Measure the control traffic of one availability zone by request rate."""
     with contextlib.ExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         fleet = make_fleet(Path(folder), stack)
@@ -206,7 +217,7 @@
 
 
 class Callers:
-    """Sends short questions to each host at a steady rate while entered."""
+    """Context manager that sends short chat requests to each host at a fixed rate."""
 
     def __init__(self, fleet: Fleet, rate: float) -> None:
         self.fleet = fleet
@@ -227,7 +238,7 @@
             thread.join()
 
     def call(self, host) -> None:
-        """Call one host until told to stop."""
+        """Send requests to one host until stopped."""
         due = time.monotonic()
         while not self.stopping.is_set():
             self.fleet.chat(host, "Is 40 right?", max_tokens=16)
@@ -236,7 +247,7 @@
 
 
 def measure_claims() -> None:
-    """Measure the memory and the replay time of the claims of a window."""
+    """Measure memory and replay time of the claims of one retention window."""
     rows, memory, seconds = [], [], []
     for size in CLAIM_SIZES:
         records = [
@@ -266,7 +277,7 @@
 
 
 def make_claim() -> Claim:
-    """Return a claim of a key of its own."""
+    """Return a claim of a random key."""
     key, nonce = secrets.token_bytes(16), secrets.token_bytes(12)
     return Claim(key, nonce, "host-a1", 1, b"the body", 0.0)
 
@@ -280,7 +291,7 @@
 
 
 def main(names: list[str]) -> None:
-    """Run the parts named, or all."""
+    """Run the named measurements, or all."""
     for name in names or PARTS:
         PARTS[name]()
 
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,8 +1,8 @@
-"""Measure claims: appends a second and added latency against the batch window.
+"""Benchmarks claims: log appends per second and latency by batch window.
 
-``python -m bench.claims`` runs the stand-in of the platform and the claims of
-some hosts, each as a process, offers claims at a fixed rate, and prints a row
-for each batch window; then the memory of a claim.
+``python -m bench.claims`` starts the platform stand-in and the claim components of
+several hosts, each as a process of its own, submits claims at a fixed mean rate, and
+prints a row for each batch window, followed by the memory that a claim takes.
 """
 
 import contextlib
@@ -40,7 +40,7 @@
 
 
 def offer(actor, rate: float, reply: "queue.SimpleQueue[ClaimResult]") -> dict:
-    """Offer claims at random times; return when each was offered, by nonce."""
+    """Submit claims at random times; return the submission time of each nonce."""
     offered = {}
     due = time.monotonic() + RUN_S
     while (now := time.monotonic()) < due:
@@ -55,7 +55,7 @@
 
 
 def run_host(address: str, batch_s: float, name: str) -> list[float]:
-    """Claim as one host does; return the waits in seconds."""
+    """Run the claims of one host; return the latency of each claim in seconds."""
     clock, work = Clock(), threading.Event()
     settings = ClaimSettings(batch_s=batch_s)
     actor = Claims.start(HostId(name), Incarnation(1), settings, clock, Metrics(), work)
@@ -84,7 +84,7 @@
 
 
 def measure(address: str, batch_s: float) -> tuple[float, list[float]]:
-    """Return appends a second of all hosts, and the waits in seconds."""
+    """Return the appends per second and the latencies in seconds of all hosts."""
     before = count_appends(address)
     command = [sys.executable, "-m", "bench.claims", address, str(batch_s)]
     hosts = [
@@ -96,13 +96,13 @@
 
 
 def count_appends(address: str) -> int:
-    """Return how many appends the log's claims stream took."""
+    """Return the number of appends to the claims stream of the log."""
     answer = urllib3.request("GET", f"http://{address}/appends")
     return json.loads(answer.data).get("claims", 0)
 
 
 def measure_memory() -> tuple[float, float]:
-    """Return the bytes that a held claim and a released nonce take."""
+    """Return the bytes taken by a held claim and by the nonce of a released one."""
     gc.collect()
     tracemalloc.start()
     table = ClaimTable(86_400.0)
@@ -124,7 +124,7 @@
 
 
 def start_platform(stack: contextlib.ExitStack) -> str:
-    """Start the stand-in of the platform; return its address."""
+    """Start the platform stand-in; return its address."""
     command = [sys.executable, "-m", "godwitladder", "standin", "platform"]
     process = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
     stack.callback(process.wait)
@@ -133,7 +133,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Run the benchmark and print its table."""
     rows = []
     with contextlib.ExitStack() as stack:
         address = start_platform(stack)
--- a/bench/endtoend.py
+++ b/bench/endtoend.py
@@ -1,7 +1,7 @@
-"""The path of a request through one entry host, with real processes.
+"""Benchmarks the path of a request through one entry host, with real processes.
 
-``python -m bench.endtoend [latency|relay|memory ...]`` starts its own
-stand-ins and host and prints what it measured, with the load beside it.
+``python -m bench.endtoend [latency|relay|memory ...]`` starts stand-ins and a host of
+its own, and prints each result with the load under which it was measured.
 """
 
 import contextlib
@@ -48,7 +48,7 @@
 
 
 def body_of(tokens: int, stream: bool) -> bytes:
-    """Return a request that makes the stand-in produce ``tokens``."""
+    """Return a request body that makes the stand-in produce ``tokens`` tokens."""
     raw = {
         "model": "adviser-letters",
         "messages": [{"role": "user", "content": "measure"}],
@@ -60,7 +60,13 @@
 
 
 def ask(connection: http.client.HTTPConnection, body: bytes, stream: str) -> float:
-    """Send one call on an open connection; return seconds to its last byte."""
+    """Send one call on an open connection; return the seconds to its last byte.
+
+    Raises
+    ------
+    SystemExit
+        The status isn't 200.
+    """
     headers = {"Authorization": f"Bearer {ADVISER_KEY}", "X-Stream-Id": stream}
     start = time.perf_counter()
     connection.request("POST", "/v1/chat/completions", body, headers)
@@ -80,8 +86,8 @@
 def measure_latency(stack: contextlib.ExitStack) -> None:
     """Compare a call through the host with a direct one, one at a time.
 
-    Both go over a connection of their own that stays open, in turns, so that
-    whatever else the machine does falls on both.
+    Each uses a persistent connection of its own. The calls alternate, so that other
+    load on the machine affects both alike.
     """
     fleet = start_one(stack, decode_tps=1e6)
     direct = connect(next(iter(fleet.engines.values())))
@@ -107,7 +113,7 @@
 
 
 class Reader(threading.Thread):
-    """Reads one stream and counts its events until told to stop."""
+    """Reads one stream and counts its events until stopped."""
 
     def __init__(self, address: str, tokens: int) -> None:
         super().__init__(daemon=True)
@@ -118,12 +124,12 @@
         self.stopping = False
 
     def run(self) -> None:
-        """Read; the host may be gone before the reader is."""
+        """Read the stream; the host may stop before the reader does."""
         with contextlib.suppress(OSError, http.client.HTTPException):
             self.read()
 
     def read(self) -> None:
-        """Read until the end or until told to stop."""
+        """Read until the end of the stream or until stopped."""
         connection = connect(self.address)
         headers = {"Authorization": f"Bearer {ADVISER_KEY}", "Request-Timeout": "600"}
         connection.request("POST", "/v1/chat/completions", self.body, headers)
@@ -146,15 +152,15 @@
         reader.start()
     for reader in readers:
         if not reader.begun.wait(60):
-            raise SystemExit("a stream did not begin")
+            raise SystemExit("a stream had no first event within 60 s")
     return readers
 
 
 def measure_relay(stack: contextlib.ExitStack) -> None:
     """Relay events at two paces and divide by the host's processor time.
 
-    At 20 tokens a second for each stream, the pace of a real engine; and at
-    a pace that keeps the host busy all the time.
+    One rate is 20 tokens per second for each stream, as of a real engine; the other
+    is high enough to keep the host busy all the time.
     """
     rows = []
     for pace in (20.0, 100.0):
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -1,8 +1,8 @@
-"""Break each safeguard in turn and see that its test turns red.
+"""Mutation testing: removes each safeguard in turn and checks that its test fails.
 
-``python -m bench.mutants [WORD ...]`` reads ``mutants/*.toml``, applies each
-mutation to a copy of the tree, runs the named tests there, and fails if any
-of them stays green. WORDs keep only the mutations whose safeguard has one.
+``python -m bench.mutants [WORD ...]`` reads ``mutants/*.toml``, applies each mutation
+to a copy of the tree, runs the named tests there, and fails if the tests of any
+mutation pass. With WORDs, only mutations whose safeguard contains one of them are run.
 """
 
 import shutil
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """One safeguard, the edit that takes it away, and the test that sees it."""
+    """One safeguard, the edit that removes it, and the test that detects this."""
 
     safeguard: str
     file: str
@@ -47,13 +47,22 @@
 
 
 def is_seen(mutant: Mutant) -> bool:
-    """Return whether the test fails with the safeguard taken away."""
+    """Return whether the test fails without the safeguard.
+
+    Raises
+    ------
+    SystemExit
+        The text to replace isn't in the file exactly once, or pytest ended with
+        neither success nor test failures.
+    """
     with tempfile.TemporaryDirectory() as folder:
         copy_tree(Path(folder))
         path = Path(folder) / mutant.file
         text = path.read_text()
         if text.count(mutant.old) != 1:
-            raise SystemExit(f"{mutant.safeguard}: not once in {mutant.file}")
+            raise SystemExit(
+                f"{mutant.safeguard}: text to replace not exactly once in {mutant.file}"
+            )
         path.write_text(text.replace(mutant.old, mutant.new))
         command = [sys.executable, "-m", "pytest", "-x", "-q", *mutant.test.split()]
         done = subprocess.run(
@@ -65,7 +74,7 @@
 
 
 def copy_tree(folder: Path) -> None:
-    """Copy what the tests need into ``folder``."""
+    """Copy the files that the tests need into ``folder``."""
     for name in COPIED:
         source = ROOT / name
         if source.is_dir():
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Reads what a process has used, and fits lines through such readings."""
+"""Reads the resource use of processes, fits lines and prints tables."""
 
 import os
 from collections.abc import Sequence
@@ -17,23 +17,26 @@
     slope: float
 
     def at(self, size: float) -> float:
-        """Return the value that the line gives at ``size``."""
+        """Return the value of the line at ``size``."""
         return self.base + self.slope * size
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that ``pid`` has used, in seconds."""
+    """Return the processor time used by the process ``pid``, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
 def resident_bytes(pid: int) -> int:
-    """Return the resident memory of ``pid``, in bytes."""
+    """Return the resident memory of the process ``pid``, in bytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> Line:
-    """Return the least-squares line through ``points``."""
+    """Return the least-squares line through ``points``, pairs of size and value.
+
+    The line is flat when all sizes are equal.
+    """
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -45,7 +48,7 @@
 
 
 def print_table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print rows under a head, in Markdown."""
+    """Print a Markdown table."""
     print("| " + " | ".join(head) + " |")
     print("|" + "---|" * len(head))
     for row in rows:
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -1,4 +1,4 @@
-"""Measures what one run of the allocator costs."""
+"""Measures the duration of one run of the allocator."""
 
 import random
 import time
@@ -28,7 +28,7 @@
 
 
 def make_pool(waiting: int, time_to_deadline_s: float) -> PoolView:
-    """Return a pool with one free slot on half of its targets."""
+    """Return a pool in which half of the targets have one free slot."""
     draw = random.Random(1)
     pool = PoolView()
     for index in range(TARGETS):
@@ -51,7 +51,7 @@
 def add_waiting(
     pool: PoolView, index: int, time_to_deadline_s: float, draw: random.Random
 ) -> None:
-    """Add one waiting request."""
+    """Add one random waiting request."""
     workspace = WorkspaceName(f"workspace-{draw.randrange(WORKSPACES)}")
     pool.workspaces.setdefault(workspace, WorkspaceView())
     line = RequestDemand(
@@ -69,7 +69,7 @@
 
 
 def fresh_rows(pool: PoolView) -> None:
-    """Replace each row by one that was never weighed, as new reports do."""
+    """Replace each waiting request by one without a queue entry, as new reports do."""
     for request, row in list(pool.waiting.items()):
         pool.waiting[request] = WaitingRequest(
             row.host, row.demand, row.deadline, row.arrived
@@ -79,7 +79,7 @@
 def time_runs(
     waiting: int, time_to_deadline_s: float, fresh: bool, refuse: bool
 ) -> list[float]:
-    """Return the milliseconds of several runs over the same pool."""
+    """Return the sorted durations of several runs on one pool, in milliseconds."""
     pool = make_pool(waiting, time_to_deadline_s)
     times = []
     for _ in range(RUNS):
@@ -93,13 +93,17 @@
 
 
 def slack_for(waiting: int, share: float) -> float:
-    """Return a slack within which about ``share`` of the requests can start."""
+    """Return a time to the deadline in which about ``share`` of requests can start."""
     seconds_each = 1000 / 5600 + 250 / 55
     return share * waiting * seconds_each / (TARGETS * SLOTS)
 
 
 def tick_rows() -> list[list[str]]:
-    """Return milliseconds of a run, at 50 and 99 in 100, by size and case."""
+    """Return the median and the longest duration of a run, by case and size.
+
+    Durations are in milliseconds. The last column is the ratio of the medians of the
+    two largest sizes.
+    """
     cases = (
         ("rows known from the last run", 1e3, False, False),
         ("all rows new", 1e3, True, False),
--- a/bench/tickets.py
+++ b/bench/tickets.py
@@ -1,8 +1,8 @@
-"""Measures how soon a ticket is in force: ``python -m bench.tickets``.
+"""Measures how soon tickets take effect on hosts: ``python -m bench.tickets``.
 
-Fifteen hosts' followers read the platform's stand-in over HTTP, all in this
-process, and tickets are appended one after the other. Prints the time from
-before an append until the last host, and any host, had the ticket in force.
+The configuration followers of fifteen hosts run in this process and read the platform
+stand-in over HTTP, while tickets are appended one after another. Prints the time from
+the start of an append until the ticket is in force on any one host and on the last.
 """
 
 import contextlib
@@ -24,7 +24,7 @@
 
 
 class Timed:
-    """A host's follower and when each offset came in force on it."""
+    """The configuration follower of one host, with the time of each offset on it."""
 
     def __init__(self, stack: contextlib.ExitStack, address: str, index: int) -> None:
         client = LogClient(f"http://{address}", Zone("a"))
@@ -39,7 +39,7 @@
         self.follower.start()
 
     def publish(self, ledger: Ledger) -> None:
-        """Note the time once a host's parts could read the new state."""
+        """Record the time at which components of the host could read the new state."""
         make_state(ledger)
         with self.moved:
             for offset in range(self.offset, ledger.next):
@@ -48,21 +48,29 @@
             self.moved.notify_all()
 
     def await_offset(self, offset: int) -> float:
-        """Return when ``offset`` came in force."""
+        """Wait until ``offset`` is in force; return the time at which it was.
+
+        Raises
+        ------
+        SystemExit
+            It isn't in force within ``WAIT_S``.
+        """
         with self.moved:
             if not self.moved.wait_for(lambda: offset in self.times, WAIT_S):
-                raise SystemExit(f"offset {offset} did not come in force")
+                raise SystemExit(
+                    f"offset {offset} was not in force within {WAIT_S:g} s"
+                )
             return self.times[offset]
 
 
 def make_ticket(number: int, body: str) -> bytes:
-    """Return a ticket."""
+    """Return a ticket with the changes in ``body``."""
     head = f'number = {number}\noperator = "bench"\nreason = "a change"\n'
     return (head + body).encode()
 
 
 def first_ticket() -> bytes:
-    """Return the ticket with all workspaces."""
+    """Return the ticket that creates all workspaces."""
     rows = [
         f'[workspaces.w{index}]\ntier = "normal"\nkey_digests = ["{index:064x}"]\n'
         for index in range(WORKSPACES)
--- a/bench/ticks.py
+++ b/bench/ticks.py
@@ -1,8 +1,8 @@
-"""Time one tick of the scheduler and one run of an allocator.
+"""Measures one tick of a host's scheduler and one run of an allocator.
 
-``python -m bench.ticks`` prints the median and the longest of many, in
-milliseconds, with 16 targets and so many requests waiting at one host: on a
-full pool, where nothing can be dispatched, and on one with a free slot.
+``python -m bench.ticks`` prints median and longest durations in milliseconds, with 16
+targets and several numbers of requests waiting at one host. Ticks are measured on a
+full pool, where no request can be dispatched, and on a pool with a free slot.
 """
 
 import statistics
@@ -46,7 +46,7 @@
 
 
 def make_tables(waiting: int) -> Tables:
-    """Return a host with so many waiting requests."""
+    """Return the tables of a host with ``waiting`` waiting requests."""
     tables = Tables(
         HostId("h0"), Zone("a"), Incarnation(1), make_config(), hosts=("h0",)
     )
@@ -71,7 +71,7 @@
 
 
 def time_ticks(waiting: int, free: bool) -> list[float]:
-    """Return the seconds of each of many ticks, with a report in each."""
+    """Return the durations of ticks in seconds; each tick sends a report."""
     tables = make_tables(waiting)
     (access,) = tables.pools.values()
     now = 1.0
@@ -94,7 +94,7 @@
 
 
 def time_allocator(lines: int) -> list[float]:
-    """Return the seconds of many runs with so many lines from each host."""
+    """Return the durations of runs in seconds, with ``lines`` demands per host."""
     config = make_config()
     (pool,) = make_pools(config.targets).values()
     role = PoolRole(pool, HostId("h0"), 1, 0.0)
@@ -124,20 +124,20 @@
 
 
 def timed(call: Callable[[], object]) -> float:
-    """Return the seconds that ``call`` takes."""
+    """Return the duration of ``call`` in seconds."""
     started = time.perf_counter()
     call()
     return time.perf_counter() - started
 
 
 def show(name: str, times: list[float]) -> None:
-    """Print the median and the longest, in milliseconds."""
+    """Print the median and the longest duration, in milliseconds."""
     middle, most = statistics.median(times) * 1e3, max(times) * 1e3
     print(f"{name:44} median {middle:7.2f} ms  longest {most:7.2f} ms")
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run all measurements and print their results."""
     for waiting in WAITING:
         show(f"tick, full pool, {waiting} waiting", time_ticks(waiting, False))
         show(f"tick, a free slot, {waiting} waiting", time_ticks(waiting, True))
