--- a/bench/engines.py
+++ b/bench/engines.py
@@ -13,13 +13,13 @@
 SLOT_S = 0.0000165
 CONTEXT_S = 0.00677e-6
 CHUNK_TOKENS = 2048
-READ_TPS = 61_800.0
+PREFILL_TPS = 61_800.0
 FIRST_S = 0.0037
 """Defaults after the documents and site files of the users.
 
 A step takes ``STEP_S``; each running request adds ``SLOT_S``, each token of context
 ``CONTEXT_S``, and the first token of a prompt ``FIRST_S``. Prompts are prefilled in
-chunks of ``CHUNK_TOKENS`` at ``READ_TPS`` tokens per second.
+chunks of ``CHUNK_TOKENS`` at ``PREFILL_TPS`` tokens per second.
 """
 
 
@@ -42,7 +42,7 @@
     step_s: float = STEP_S
     slot_s: float = SLOT_S
     context_s: float = CONTEXT_S
-    read_tps: float = READ_TPS
+    read_tps: float = PREFILL_TPS
     first_s: float = FIRST_S
 
 
--- a/tests/decisions/test_engine_model.py
+++ b/tests/decisions/test_engine_model.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from bench.engines import CHUNK_TOKENS, READ_TPS, STEP_S, BatchEngine, Job
+from bench.engines import CHUNK_TOKENS, PREFILL_TPS, STEP_S, BatchEngine, Job
 from bench.region import KINDS, Load, Region, tally
 
 
@@ -32,7 +32,7 @@
     baseline_s, _ = run(engine, 1)
     engine.queue.append(Job("long", 3 * CHUNK_TOKENS, 1))
     slowed_s, _ = run(engine, 1)
-    assert slowed_s - baseline_s >= CHUNK_TOKENS / READ_TPS
+    assert slowed_s - baseline_s >= CHUNK_TOKENS / PREFILL_TPS
     run(engine, 2)
     recovered_s, _ = run(engine, 1)
     assert recovered_s < baseline_s + STEP_S * 2
