--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -13,7 +13,7 @@
 
 import defopt
 
-from bench.region import MIXES, Load, Region, tally
+from bench.region import MIXES, Load, RegionSimulation, tally
 from bench.report import table
 from godwitladder.decisions import allocation, backlog, capacity, speeds
 from godwitladder.decisions.precedence import Size
@@ -88,7 +88,7 @@
     earned: dict[str, float] = {}
     for seed in range(1, seeds + 1):
         load = Load(factor=factor, seed=seed, mix=MIXES[mix])
-        for name, row in tally(Region(load).play()).items():
+        for name, row in tally(RegionSimulation(load).play()).items():
             for key in ("all", name):
                 owed[key] = owed.get(key, 0.0) + row.owed
                 earned[key] = earned.get(key, 0.0) + row.earned
--- a/bench/region.py
+++ b/bench/region.py
@@ -313,7 +313,7 @@
 
 
 @dataclass
-class Region:
+class RegionSimulation:
     """Event-driven simulation of one host, the allocator and the engines.
 
     Attributes
@@ -568,7 +568,7 @@
         load = Load(
             seconds=seconds, factor=factor, burst=burst, seed=seed, mix=MIXES[mix]
         )
-        tallies = tally(Region(load).play())
+        tallies = tally(RegionSimulation(load).play())
         for name, row in tallies.items():
             counts = (row.offered, row.in_time, row.late, row.refused, row.left)
             rows.append((seed, name, *counts, f"{row.share:.3f}"))
--- a/tests/decisions/test_engine_model.py
+++ b/tests/decisions/test_engine_model.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bench.engines import CHUNK_TOKENS, PREFILL_TPS, STEP_S, BatchEngine, Job
-from bench.region import KINDS, Load, Region, tally
+from bench.region import KINDS, Load, RegionSimulation, tally
 
 
 def run(engine, steps):
@@ -57,7 +57,7 @@
 @pytest.fixture(scope="module")
 def outcome():
     load = Load(seconds=6.0, engines=3, factor=1 / 3, burst=2.0, burst_at=2.0)
-    return [tally(Region(load).play()) for _ in range(2)]
+    return [tally(RegionSimulation(load).play()) for _ in range(2)]
 
 
 def test_the_same_seed_gives_the_same_results(outcome):
