--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -24,7 +24,7 @@
 from bench.report import (
     TIER_HEAD,
     WASTE_HEAD,
-    others_of,
+    flood_and_other_shares,
     ratio,
     shares_over_time,
     swing,
@@ -54,7 +54,7 @@
     name = one.pattern.name
     if name == "few callers":
         for who, run in (("naive", one.naive), ("ours", one.ours)):
-            flood, rest = others_of(run)
+            flood, rest = flood_and_other_shares(run)
             print(f"- {name}, {who}: in time {flood:.1%} of the flood, {rest:.1%} else")
     if name == "retry storm":
         for who, run in (("naive", one.naive), ("ours", one.ours)):
--- a/bench/report.py
+++ b/bench/report.py
@@ -125,7 +125,7 @@
     )
 
 
-def others_of(run: Run) -> tuple[float, float]:
+def flood_and_other_shares(run: Run) -> tuple[float, float]:
     """Return the shares in time of the flooding workspaces and of the others."""
     flood, rest = [0, 0], [0, 0]
     for name, (offered, in_time) in run.by_workspace.items():
--- a/tests/decisions/test_patterns.py
+++ b/tests/decisions/test_patterns.py
@@ -13,7 +13,7 @@
 from bench.patterns import USERS, Pattern, compare, make_patterns, slow_scenario
 from bench.policies import Naive, Scheduled
 from bench.queues import Player, Scenario
-from bench.report import others_of, swing
+from bench.report import flood_and_other_shares, swing
 from bench.traces import make_trace
 
 SHORT_S = 45.0
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("user", USERS, ids=lambda user: user.name)
 def test_a_flood_of_one_workspace_does_not_reach_the_others(user):
     ours = run_pattern(user, "few callers").ours
-    flood, rest = others_of(ours)
+    flood, rest = flood_and_other_shares(ours)
     assert rest >= flood
 
 
