--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -25,9 +25,9 @@
     TIER_HEAD,
     WASTE_HEAD,
     flood_and_other_shares,
+    load_variation,
     ratio,
     shares_over_time,
-    swing,
     table,
     tier_rows,
     waste_row,
@@ -63,7 +63,7 @@
         for who, run in (("naive", one.naive), ("ours", one.ours)):
             print(
                 f"- {name}, {who}: on the watched target every 4 s"
-                f" {shares_over_time(run)}; swing {swing(run):.1f}"
+                f" {shares_over_time(run)}; swing {load_variation(run):.1f}"
             )
 
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -113,7 +113,7 @@
     return " ".join(str(count) for count in counts[: int(TO_S + FROM_S) // 4])
 
 
-def swing(run: Run) -> float:
+def load_variation(run: Run) -> float:
     """Return how much the load of targets varies over time.
 
     This is the mean, over the targets, of the standard deviation of the number of
--- a/tests/decisions/test_patterns.py
+++ b/tests/decisions/test_patterns.py
@@ -13,7 +13,7 @@
 from bench.patterns import USERS, Pattern, compare, make_patterns, slow_scenario
 from bench.policies import Naive, Scheduled
 from bench.queues import Player, Scenario
-from bench.report import flood_and_other_shares, swing
+from bench.report import flood_and_other_shares, load_variation
 from bench.traces import make_trace
 
 SHORT_S = 45.0
@@ -84,9 +84,9 @@
 def test_load_does_not_oscillate_on_stale_reports(user):
     """Guards against load oscillating between targets on reports 5 s old."""
     compared = run_pattern(user, "reports 5 s old")
-    assert swing(compared.ours) < swing(compared.naive) / 4
+    assert load_variation(compared.ours) < load_variation(compared.naive) / 4
     fresh = run_pattern(user, "reports 0 s old").ours
-    assert swing(compared.ours) < 2 * swing(fresh)
+    assert load_variation(compared.ours) < 2 * load_variation(fresh)
 
 
 @pytest.mark.parametrize("user", USERS, ids=lambda user: user.name)
