--- a/bench/region.py
+++ b/bench/region.py
@@ -254,13 +254,13 @@
     late: int = 0
     refused: int = 0
     left: int = 0
-    owed: float = 0.0
+    max_credit: float = 0.0
     earned: float = 0.0
 
     @property
     def share(self) -> float:
         """Share of the possible credit that was earned."""
-        return self.earned / self.owed if self.owed else 1.0
+        return self.earned / self.max_credit if self.max_credit else 1.0
 
 
 def make_config(load: Load) -> ConfigState:
@@ -528,7 +528,7 @@
         mean = kind.prompt + 10 * 3.75 * kind.output
         worth = SIZE_FLOOR + SIZE_PART * min(size / mean, SIZE_MOST)
         row.offered += 1
-        row.owed += kind.worth * worth
+        row.max_credit += kind.worth * worth
         in_time = call.in_time
         row.in_time += in_time
         row.late += bool(call.ended and not in_time)
@@ -572,7 +572,7 @@
         for name, row in tallies.items():
             counts = (row.offered, row.in_time, row.late, row.refused, row.left)
             rows.append((seed, name, *counts, f"{row.share:.3f}"))
-        owed = sum(row.owed for row in tallies.values())
+        owed = sum(row.max_credit for row in tallies.values())
         earned = sum(row.earned for row in tallies.values())
         rows.append((seed, "all", "", "", "", "", "", f"{earned / owed:.3f}"))
     print(table(head, rows))
