--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -91,7 +91,7 @@
         for name, row in tally(RegionSimulation(load).play()).items():
             for key in ("all", name):
                 owed[key] = owed.get(key, 0.0) + row.max_credit
-                earned[key] = earned.get(key, 0.0) + row.earned
+                earned[key] = earned.get(key, 0.0) + row.credit
     return {key: earned[key] / owed[key] for key in owed}
 
 
--- a/bench/region.py
+++ b/bench/region.py
@@ -255,12 +255,12 @@
     refused: int = 0
     left: int = 0
     max_credit: float = 0.0
-    earned: float = 0.0
+    credit: float = 0.0
 
     @property
     def share(self) -> float:
         """Share of the possible credit that was earned."""
-        return self.earned / self.max_credit if self.max_credit else 1.0
+        return self.credit / self.max_credit if self.max_credit else 1.0
 
 
 def make_config(load: Load) -> ConfigState:
@@ -535,7 +535,7 @@
         row.refused += call.refused
         row.left += not call.ended and not call.refused
         if call.ended:
-            row.earned += worth * (kind.worth if in_time else kind.late_worth)
+            row.credit += worth * (kind.worth if in_time else kind.late_worth)
     return tallies
 
 
@@ -573,7 +573,7 @@
             counts = (row.offered, row.in_time, row.late, row.refused, row.left)
             rows.append((seed, name, *counts, f"{row.share:.3f}"))
         owed = sum(row.max_credit for row in tallies.values())
-        earned = sum(row.earned for row in tallies.values())
+        earned = sum(row.credit for row in tallies.values())
         rows.append((seed, "all", "", "", "", "", "", f"{earned / owed:.3f}"))
     print(table(head, rows))
 
--- a/tests/decisions/test_engine_model.py
+++ b/tests/decisions/test_engine_model.py
@@ -68,7 +68,7 @@
     """In a burst, each call is answered, refused or abandoned exactly once."""
     for row in outcome[0].values():
         assert row.offered == row.in_time + row.late + row.refused + row.left
-        assert 0 < row.earned <= row.max_credit
+        assert 0 < row.credit <= row.max_credit
 
 
 def test_the_most_important_kind_is_served_best(outcome):
