--- a/bench/region.py
+++ b/bench/region.py
@@ -253,7 +253,7 @@
     in_time: int = 0
     late: int = 0
     refused: int = 0
-    left: int = 0
+    abandoned: int = 0
     max_credit: float = 0.0
     credit: float = 0.0
 
@@ -533,7 +533,7 @@
         row.in_time += in_time
         row.late += bool(call.ended and not in_time)
         row.refused += call.refused
-        row.left += not call.ended and not call.refused
+        row.abandoned += not call.ended and not call.refused
         if call.ended:
             row.credit += worth * (kind.worth if in_time else kind.late_worth)
     return tallies
@@ -570,7 +570,7 @@
         )
         tallies = tally(RegionSimulation(load).play())
         for name, row in tallies.items():
-            counts = (row.offered, row.in_time, row.late, row.refused, row.left)
+            counts = (row.offered, row.in_time, row.late, row.refused, row.abandoned)
             rows.append((seed, name, *counts, f"{row.share:.3f}"))
         owed = sum(row.max_credit for row in tallies.values())
         earned = sum(row.credit for row in tallies.values())
--- a/tests/decisions/test_engine_model.py
+++ b/tests/decisions/test_engine_model.py
@@ -67,7 +67,7 @@
 def test_every_call_is_accounted_for(outcome):
     """In a burst, each call is answered, refused or abandoned exactly once."""
     for row in outcome[0].values():
-        assert row.offered == row.in_time + row.late + row.refused + row.left
+        assert row.offered == row.in_time + row.late + row.refused + row.abandoned
         assert 0 < row.credit <= row.max_credit
 
 
