--- a/bench/queues.py
+++ b/bench/queues.py
@@ -233,7 +233,7 @@
     in_time: int = 0
     tokens: int = 0
     shed: int = 0
-    cut: int = 0
+    timed_out: int = 0
     gone: int = 0
     inversions: int = 0
     wasted: float = 0.0
@@ -470,7 +470,7 @@
             if arrival.gone <= now:
                 self.outcome(arrival).gone += 1
             else:
-                self.outcome(arrival).cut += 1
+                self.outcome(arrival).timed_out += 1
 
     def refuse(self, refused: Refused, kept: list[int], now: float) -> None:
         """Count a refusal, and schedule a retry if the caller has any left."""
