--- a/bench/queues.py
+++ b/bench/queues.py
@@ -234,7 +234,7 @@
     tokens: int = 0
     shed: int = 0
     timed_out: int = 0
-    gone: int = 0
+    hung_up: int = 0
     inversions: int = 0
     wasted: float = 0.0
     latencies: list[float] = field(default_factory=list)
@@ -468,7 +468,7 @@
             del self.open[request]
             self.policy.withdrawn(request, produced, now)
             if arrival.gone <= now:
-                self.outcome(arrival).gone += 1
+                self.outcome(arrival).hung_up += 1
             else:
                 self.outcome(arrival).timed_out += 1
 
--- a/tests/decisions/test_patterns.py
+++ b/tests/decisions/test_patterns.py
@@ -131,7 +131,7 @@
     naive = Player(scenario, Naive(user.engines)).play()
     for row in ours.outcomes.values():
         assert row.inversions == 0
-        assert row.in_time + row.shed + row.timed_out + row.gone == row.offered
+        assert row.in_time + row.shed + row.timed_out + row.hung_up == row.offered
     assert in_time(ours, 0) >= in_time(naive, 0) - 0.02
 
 
