--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -22,10 +22,10 @@
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.scheduler import role
 
-KEPT = "nothing"
+BASELINE = "nothing"
 
 
-def without_policy(**fields) -> contextlib.AbstractContextManager:
+def with_policy_fields(**fields) -> contextlib.AbstractContextManager:
     """Replace fields of the policy for routed calls."""
     return patch.object(role, "ROUTED", replace(role.ROUTED, **fields))
 
@@ -35,24 +35,24 @@
     return patch.object(CallSizes, "size", lambda *_: Size.USUAL)
 
 
-def without_late_last() -> contextlib.AbstractContextManager:
+def without_late_precedence() -> contextlib.AbstractContextManager:
     """Keep the precedence of calls that are past their latest start."""
-    whole = backlog.make_entry
+    original = backlog.make_entry
 
     def make_entry(*args):
-        entry = whole(*args)
+        entry = original(*args)
         entry.late_precedence = entry.precedence
         return entry
 
     return patch.object(backlog, "make_entry", make_entry)
 
 
-def without_returns() -> contextlib.AbstractContextManager:
+def without_returning_callers() -> contextlib.AbstractContextManager:
     """Treat callers that return after a refusal as new ones."""
     return patch.object(RefusedCallers, "note", lambda *_: None)
 
 
-def without_untimely() -> contextlib.AbstractContextManager:
+def without_late_refusal() -> contextlib.AbstractContextManager:
     """Refuse late calls of the lowest precedence only, as the strict policy does.
 
     They are refused by the time that callers wait, not by the time to first output.
@@ -60,19 +60,19 @@
     return patch.object(allocation, "refuse_late_starts", refuse_early)
 
 
-SWITCHES: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
-    KEPT: contextlib.nullcontext,
-    "parts for ranks and sizes": lambda: without_policy(min_share=1e-9),
+ABLATIONS: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
+    BASELINE: contextlib.nullcontext,
+    "parts for ranks and sizes": lambda: with_policy_fields(min_share=1e-9),
     "sizes": without_sizes,
-    "late calls last": without_late_last,
-    "callers known again": without_returns,
-    "refusal by the aim": without_untimely,
-    "keeping pace": lambda: without_policy(enforces_latency=False),
+    "late calls last": without_late_precedence,
+    "callers known again": without_returning_callers,
+    "refusal by the aim": without_late_refusal,
+    "keeping pace": lambda: with_policy_fields(enforces_latency=False),
     "bound on unread prompts": lambda: patch.object(
         role, "MAX_PENDING_PREFILL_S", float("inf")
     ),
-    "flow": lambda: without_policy(uses_measured_throughput=False),
-    "no easing off": lambda: without_policy(throttles_slow_targets=True),
+    "flow": lambda: with_policy_fields(uses_measured_throughput=False),
+    "no easing off": lambda: with_policy_fields(throttles_slow_targets=True),
     "quick learning of speeds": lambda: patch.object(speeds, "PRIOR", 1e9),
     "preference of the own zone": lambda: patch.object(capacity, "FAR_FACTOR", 1.0),
     "bound on long calls": lambda: patch.object(capacity, "LONG_SHARE", 1.0),
@@ -82,28 +82,31 @@
 }
 
 
-def credits(mix: str, factor: float, seeds: int) -> dict[str, float]:
+def credit_shares(mix: str, factor: float, seeds: int) -> dict[str, float]:
     """Return the share of the possible credit earned by all calls and by each kind."""
-    owed: dict[str, float] = {}
-    earned: dict[str, float] = {}
+    max_credit: dict[str, float] = {}
+    credit: dict[str, float] = {}
     for seed in range(1, seeds + 1):
         load = Load(factor=factor, seed=seed, mix=MIXES[mix])
         for name, row in tally(RegionSimulation(load).play()).items():
             for key in ("all", name):
-                owed[key] = owed.get(key, 0.0) + row.max_credit
-                earned[key] = earned.get(key, 0.0) + row.credit
-    return {key: earned[key] / owed[key] for key in owed}
+                max_credit[key] = max_credit.get(key, 0.0) + row.max_credit
+                credit[key] = credit.get(key, 0.0) + row.credit
+    return {key: credit[key] / max_credit[key] for key in max_credit}
 
 
-def rows(mix: str, factor: float, seeds: int) -> Iterator[tuple[str, ...]]:
+def table_rows(mix: str, factor: float, seeds: int) -> Iterator[tuple[str, ...]]:
     """Yield one table row for each disabled mechanism."""
-    kept: dict[str, float] = {}
+    baseline: dict[str, float] = {}
     names = ("all", *(kind.name for kind in MIXES[mix].kinds))
-    for name, switch in SWITCHES.items():
-        with switch():
-            got = credits(mix, factor, seeds)
-        kept = kept or got
-        cells = (f"{got[key]:.3f} ({got[key] - kept[key]:+.3f})" for key in names)
+    for name, ablation in ABLATIONS.items():
+        with ablation():
+            measured = credit_shares(mix, factor, seeds)
+        baseline = baseline or measured
+        cells = (
+            f"{measured[key]:.3f} ({measured[key] - baseline[key]:+.3f})"
+            for key in names
+        )
         yield (name, *cells)
 
 
@@ -120,7 +123,7 @@
         Number of seeds, with one burst each.
     """
     head = ("without", "all", *(kind.name for kind in MIXES[mix].kinds))
-    print(table(head, list(rows(mix, factor, seeds))))
+    print(table(head, list(table_rows(mix, factor, seeds))))
 
 
 if __name__ == "__main__":
--- a/bench/engines.py
+++ b/bench/engines.py
@@ -10,40 +10,41 @@
 from dataclasses import dataclass, field
 
 STEP_S = 0.00309
-SLOT_S = 0.0000165
-CONTEXT_S = 0.00677e-6
+STEP_PER_REQUEST_S = 0.0000165
+STEP_PER_TOKEN_S = 0.00677e-6
 CHUNK_TOKENS = 2048
 PREFILL_TPS = 61_800.0
-FIRST_S = 0.0037
+FIRST_TOKEN_S = 0.0037
 """Defaults after the documents and site files of the users.
 
-A step takes ``STEP_S``; each running request adds ``SLOT_S``, each token of context
-``CONTEXT_S``, and the first token of a prompt ``FIRST_S``. Prompts are prefilled in
-chunks of ``CHUNK_TOKENS`` at ``PREFILL_TPS`` tokens per second.
+A step takes ``STEP_S``. Each running request adds ``STEP_PER_REQUEST_S`` to it, each
+token of context ``STEP_PER_TOKEN_S``, and first tokens of requests add
+``FIRST_TOKEN_S``. Prompts are prefilled in chunks of ``CHUNK_TOKENS`` at
+``PREFILL_TPS`` tokens per second.
 """
 
 
 @dataclass(frozen=True)
-class EngineMake:
+class EngineTimings:
     """Timings of an engine.
 
     Attributes
     ----------
     step_s : float
         Seconds of a step without requests.
-    slot_s, context_s : float
+    per_request_s, per_token_s : float
         Seconds that each running request and each token of context add.
-    read_tps : float
+    prefill_tps : float
         Prompt tokens prefilled per second.
     first_s : float
         Seconds that are added to a step in which a request has its first token.
     """
 
     step_s: float = STEP_S
-    slot_s: float = SLOT_S
-    context_s: float = CONTEXT_S
-    read_tps: float = PREFILL_TPS
-    first_s: float = FIRST_S
+    per_request_s: float = STEP_PER_REQUEST_S
+    per_token_s: float = STEP_PER_TOKEN_S
+    prefill_tps: float = PREFILL_TPS
+    first_s: float = FIRST_TOKEN_S
 
 
 @dataclass
@@ -52,20 +53,20 @@
 
     Attributes
     ----------
-    unread : int
+    pending_prefill_tokens : int
         Prompt tokens still to be prefilled.
-    made : int
+    produced : int
         Output tokens so far.
     """
 
     name: str
     prompt: int
     output: int
-    unread: int = 0
-    made: int = 0
+    pending_prefill_tokens: int = 0
+    produced: int = 0
 
     def __post_init__(self) -> None:
-        self.unread = self.prompt
+        self.pending_prefill_tokens = self.prompt
 
 
 @dataclass
@@ -80,9 +81,9 @@
         Maximum number of tokens that running requests hold together.
     slowness : float
         Step time as a multiple of the usual engine's.
-    make : EngineMake
+    timings : EngineTimings
         Timings of the usual engine.
-    wrote : list of Job
+    decoded : list of Job
         Requests that decoded a token in the last step.
     queue : deque of Job
         Requests that wait, in order of arrival.
@@ -93,8 +94,8 @@
     slots: int
     memory: int
     slowness: float = 1.0
-    make: EngineMake = EngineMake()
-    wrote: list[Job] = field(default_factory=list)
+    timings: EngineTimings = EngineTimings()
+    decoded: list[Job] = field(default_factory=list)
     queue: deque[Job] = field(default_factory=deque)
     running: list[Job] = field(default_factory=list)
 
@@ -102,13 +103,16 @@
         """Start queued requests in order, while slots and memory last."""
         while self.queue and len(self.running) < self.slots:
             job = self.queue[0]
-            if self.running and self.held() + job.prompt + job.output > self.memory:
+            if (
+                self.running
+                and self.held_tokens() + job.prompt + job.output > self.memory
+            ):
                 return
             self.running.append(self.queue.popleft())
 
-    def held(self) -> int:
+    def held_tokens(self) -> int:
         """Return the tokens that running requests hold."""
-        return sum(job.prompt + job.made for job in self.running)
+        return sum(job.prompt + job.produced for job in self.running)
 
     def step(self) -> tuple[float, list[Job], list[Job]]:
         """Run one step.
@@ -121,27 +125,31 @@
             Requests that had their first token, and requests that ended.
         """
         self.admit()
-        writing = self.wrote = [job for job in self.running if not job.unread]
-        reads = self.read()
-        make = self.make
-        seconds = make.step_s + make.slot_s * len(self.running)
-        seconds += make.context_s * self.held() + reads / make.read_tps
-        for job in writing:
-            job.made += 1
-        first = [job for job in writing if job.made == 1]
-        done = [job for job in writing if job.made >= job.output]
+        decoding = self.decoded = [
+            job for job in self.running if not job.pending_prefill_tokens
+        ]
+        prefilled = self.prefill()
+        timings = self.timings
+        seconds = timings.step_s + timings.per_request_s * len(self.running)
+        seconds += (
+            timings.per_token_s * self.held_tokens() + prefilled / timings.prefill_tps
+        )
+        for job in decoding:
+            job.produced += 1
+        first = [job for job in decoding if job.produced == 1]
+        done = [job for job in decoding if job.produced >= job.output]
         self.running = [job for job in self.running if job not in done]
-        seconds += make.first_s if first else 0.0
+        seconds += timings.first_s if first else 0.0
         return seconds * self.slowness, first, done
 
-    def read(self) -> int:
+    def prefill(self) -> int:
         """Prefill one chunk of the oldest prompts; return its tokens."""
-        left = CHUNK_TOKENS
+        budget = CHUNK_TOKENS
         for job in self.running:
-            tokens = min(left, job.unread)
-            job.unread -= tokens
-            left -= tokens
-        return CHUNK_TOKENS - left
+            tokens = min(budget, job.pending_prefill_tokens)
+            job.pending_prefill_tokens -= tokens
+            budget -= tokens
+        return CHUNK_TOKENS - budget
 
     def cancel(self, name: str) -> None:
         """Remove a request from the queue or the running batch."""
--- a/bench/region.py
+++ b/bench/region.py
@@ -15,7 +15,7 @@
 
 import defopt
 
-from bench.engines import BatchEngine, EngineMake, Job
+from bench.engines import BatchEngine, EngineTimings, Job
 from bench.report import table
 from godwitladder.configuration.model import (
     Service,
@@ -52,15 +52,15 @@
 SERVICE = "letters"
 HOST = HostId("h0")
 ZONE = Zone("r")
-RETURN_PART = 1 / 3
+MAX_RETRY_WAIT_FRACTION = 1 / 3
 """A refused caller retries if Retry-After is at most this fraction of its time left."""
-IMPATIENCE = 0.15
+PATIENCE_SPREAD = 0.15
 """Patience of callers of a kind varies downwards by up to this fraction."""
 TICK_S = 0.25
-SIZE_FLOOR, SIZE_PART, SIZE_MOST = 0.3, 0.7, 4.0
-"""The value of a call has a fixed part and a part proportional to its relative size.
+BASE_VALUE, SIZE_VALUE, MAX_RELATIVE_SIZE = 0.3, 0.7, 4.0
+"""Factors of the value of a call, by its relative size.
 
-The relative size is capped at the third of these values.
+The value grows by ``SIZE_VALUE`` times the size from ``BASE_VALUE``. The size is capped at ``MAX_RELATIVE_SIZE``.
 """
 
 
@@ -76,17 +76,17 @@
         Mean tokens; lengths are log-normally distributed.
     rate : float
         Arrivals per second.
-    aim_s : float
+    ttft_budget_s : float
         Time to the first event within which an answer is in time.
     patience_s : float
         Longest time that a caller waits for the whole answer.
-    silence_s : float
+    first_event_timeout_s : float
         Longest time that a caller waits for the first event.
-    worth, late_worth : float
+    value, late_value : float
         Value of an answer in time and of a late answer.
-    longest : float
+    max_relative_prompt : float
         Upper bound of the prompt, as a multiple of the mean.
-    spread : float
+    sigma : float
         Standard deviation of the logarithm of prompt and output.
     gap_s : float
         Longest pause between events of an answer that is in time.
@@ -97,13 +97,13 @@
     prompt: float
     output: float
     rate: float
-    aim_s: float
+    ttft_budget_s: float
     patience_s: float
-    silence_s: float
-    worth: float
-    late_worth: float
-    longest: float
-    spread: float = 1.0
+    first_event_timeout_s: float
+    value: float
+    late_value: float
+    max_relative_prompt: float
+    sigma: float = 1.0
     gap_s: float = 0.4
 
 
@@ -112,17 +112,17 @@
     Kind("medium", 1, 628, 294, 25.0, 0.4, 12.0, 3.2, 1.4, 0.42, 5.0),
     Kind("short", 2, 1800, 24, 22.0, 0.5, 3.0, 3.2, 0.42, 0.13, 4.0),
 )
-QUOTES = (
+QUOTE_KINDS = (
     Kind("long", 0, 6610, 380, 13.8, 0.8, 15.0, 3.2, 6.6, 0.66, 8.0, 1.2, 0.3),
     Kind("medium", 1, 628, 290, 11.5, 0.4, 15.0, 2.4, 1.8, 0.18, 5.0, 1.0, 0.3),
     Kind("short", 2, 1800, 23, 19.7, 0.4, 3.0, 2.4, 0.31, 0.031, 4.0, 1.0, 0.3),
 )
-SPEEDS = (0.55, 1.0, 2.8)
+RELATIVE_STEP_TIMES = (0.55, 1.0, 2.8)
 """Times of the engines, as multiples of the usual engine's.
 
 They correspond to engines that take 2.2, 3.7 and 10.6 ms per token.
 """
-LONGEST_OUTPUT = 10.0
+MAX_RELATIVE_OUTPUT = 10.0
 SLOTS = 8
 MEMORY = 430_000
 
@@ -139,7 +139,7 @@
         Number of engines.
     slots : int
         Slots of each engine.
-    make : EngineMake
+    timings : EngineTimings
         Timings of the usual engine.
     event_tokens : int
         Tokens in one event of a stream.
@@ -148,14 +148,18 @@
     kinds: tuple[Kind, ...] = KINDS
     engines: int = 9
     slots: int = SLOTS
-    make: EngineMake = EngineMake()
+    timings: EngineTimings = EngineTimings()
     event_tokens: int = 6
 
 
 MIXES = {
     "letters": Mix(),
     "quotes": Mix(
-        QUOTES, 6, 11, EngineMake(0.00374, 0.0000807, 1.28e-9, 81_900.0, 0.041), 5
+        QUOTE_KINDS,
+        6,
+        11,
+        EngineTimings(0.00374, 0.0000807, 1.28e-9, 81_900.0, 0.041),
+        5,
     ),
 }
 """Mixes by name, after the documents and site files of two users.
@@ -197,13 +201,13 @@
 
     Attributes
     ----------
-    asked, until : float
+    arrived, deadline : float
         When it arrived first and when its caller gives up, in seconds.
-    tries : int
+    attempts : int
         Attempts so far.
-    first, ended : float
+    first_token_at, ended_at : float
         When its first token and its last came, or 0.
-    heard : float
+    last_event_at : float
         When its last event came, or 0.
     pause_s : float
         Longest pause between events.
@@ -213,28 +217,31 @@
     prompt: int
     output: int
     declared: int
-    asked: float
-    until: float
-    tries: int = 0
-    first: float = 0.0
-    ended: float = 0.0
+    arrived: float
+    deadline: float
+    attempts: int = 0
+    first_token_at: float = 0.0
+    ended_at: float = 0.0
     refused: bool = False
     body: str = ""
-    heard: float = 0.0
+    last_event_at: float = 0.0
     pause_s: float = 0.0
 
-    def hear(self, now: float) -> None:
+    def record_event(self, now: float) -> None:
         """Record the arrival of an event."""
-        if self.heard:
-            self.pause_s = max(self.pause_s, now - self.heard)
-        self.heard = now
+        if self.last_event_at:
+            self.pause_s = max(self.pause_s, now - self.last_event_at)
+        self.last_event_at = now
 
     @property
     def in_time(self) -> bool:
         """Whether the whole answer came, began in time and had no long pause."""
         kind = self.kind
-        first = bool(self.ended) and self.first <= self.asked + kind.aim_s
-        return first and self.pause_s <= kind.gap_s
+        began_in_time = (
+            bool(self.ended_at)
+            and self.first_token_at <= self.arrived + kind.ttft_budget_s
+        )
+        return began_in_time and self.pause_s <= kind.gap_s
 
 
 @dataclass
@@ -243,9 +250,9 @@
 
     Attributes
     ----------
-    left : int
+    abandoned : int
         Calls whose callers gave up.
-    owed, earned : float
+    max_credit, credit : float
         Credit that all calls would earn in time, and the credit earned.
     """
 
@@ -287,28 +294,28 @@
 
 def draw_calls(load: Load) -> list[Call]:
     """Return all calls in order of arrival."""
-    dice = random.Random(load.seed)
+    rng = random.Random(load.seed)
     calls = []
     for kind in load.mix.kinds:
         now = 0.0
         while now < load.seconds:
-            bursts = load.burst_at <= now < load.burst_at + load.burst_s
-            rate = kind.rate * load.factor * (load.burst if bursts else 1.0)
-            now += dice.expovariate(rate)
-            calls.append(draw_call(kind, now, dice))
-    return sorted(calls, key=lambda call: call.asked)
+            in_burst = load.burst_at <= now < load.burst_at + load.burst_s
+            rate = kind.rate * load.factor * (load.burst if in_burst else 1.0)
+            now += rng.expovariate(rate)
+            calls.append(draw_call(kind, now, rng))
+    return sorted(calls, key=lambda call: call.arrived)
 
 
-def draw_call(kind: Kind, now: float, dice: random.Random) -> Call:
+def draw_call(kind: Kind, now: float, rng: random.Random) -> Call:
     """Return a random call, which declares far more output than it uses."""
-    mean = -(kind.spread**2) / 2
-    size = min(dice.lognormvariate(mean, kind.spread), kind.longest)
+    mean = -(kind.sigma**2) / 2
+    size = min(rng.lognormvariate(mean, kind.sigma), kind.max_relative_prompt)
     prompt = max(20, int(kind.prompt * size))
-    length = min(dice.lognormvariate(mean, kind.spread), LONGEST_OUTPUT)
+    length = min(rng.lognormvariate(mean, kind.sigma), MAX_RELATIVE_OUTPUT)
     output = max(6, int(kind.output * length))
-    declared = int(output * dice.uniform(1.5, 6.0))
-    patience_s = kind.patience_s * dice.uniform(1.0 - IMPATIENCE, 1.0)
-    body = f"{dice.getrandbits(48):012x}"
+    declared = int(output * rng.uniform(1.5, 6.0))
+    patience_s = kind.patience_s * rng.uniform(1.0 - PATIENCE_SPREAD, 1.0)
+    body = f"{rng.getrandbits(48):012x}"
     return Call(kind, prompt, output, declared, now, now + patience_s, body=body)
 
 
@@ -320,26 +327,26 @@
     ----------
     events : list
         Heap of time, sequence number and action.
-    order : itertools.count
+    sequence : itertools.count
         Sequence numbers, which order the events of one time.
-    live : dict of str to Call
+    active_calls : dict of str to Call
         Calls that wait or run, by name.
     rows : dict of str to RequestRow
         Rows of all calls, by name.
-    stepping : set of str
+    busy_engines : set of str
         Engines that have a step scheduled.
-    due : bool
+    exchange_scheduled : bool
         Whether an exchange between host and allocator is scheduled.
     """
 
     load: Load
     now: float = 0.0
     events: list = field(default_factory=list)
-    order: itertools.count = field(default_factory=itertools.count)
-    live: dict[str, Call] = field(default_factory=dict)
+    sequence: itertools.count = field(default_factory=itertools.count)
+    active_calls: dict[str, Call] = field(default_factory=dict)
     rows: dict[str, RequestRow] = field(default_factory=dict)
-    stepping: set[str] = field(default_factory=set)
-    due: bool = False
+    busy_engines: set[str] = field(default_factory=set)
+    exchange_scheduled: bool = False
 
     def __post_init__(self) -> None:
         config = make_config(self.load)
@@ -353,34 +360,34 @@
             name: BatchEngine(
                 self.load.mix.slots,
                 MEMORY,
-                SPEEDS[n % len(SPEEDS)],
-                self.load.mix.make,
+                RELATIVE_STEP_TIMES[n % len(RELATIVE_STEP_TIMES)],
+                self.load.mix.timings,
             )
             for n, name in enumerate(sorted(config.targets))
         }
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
+    def schedule(self, when: float, action: Callable[[], None]) -> None:
         """Schedule an action."""
-        heapq.heappush(self.events, (when, next(self.order), what))
+        heapq.heappush(self.events, (when, next(self.sequence), action))
 
     def play(self) -> list[Call]:
         """Run the simulation and return all calls with their outcomes."""
         calls = draw_calls(self.load)
         for call in calls:
-            self.at(call.asked, lambda call=call: self.submit(call))
+            self.schedule(call.arrived, lambda call=call: self.submit(call))
         last = self.load.seconds + max(kind.patience_s for kind in self.load.mix.kinds)
         ticks = int(last / TICK_S)
         for tick in range(ticks):
-            self.at(tick * TICK_S, self.exchange)
+            self.schedule(tick * TICK_S, self.exchange)
         while self.events:
-            self.now, _, what = heapq.heappop(self.events)
-            what()
+            self.now, _, action = heapq.heappop(self.events)
+            action()
         return calls
 
     def submit(self, call: Call) -> None:
         """Add a call to the requests that wait at the host."""
-        name = f"r{next(self.order)}"
-        kind, patience_s = call.kind, call.until - self.now
+        name = f"r{next(self.sequence)}"
+        kind, patience_s = call.kind, call.deadline - self.now
         row = RequestRow(
             RequestId(name),
             StreamId(name),
@@ -390,33 +397,38 @@
             call.prompt,
             call.declared,
             self.now,
-            call.until,
+            call.deadline,
             False,
         )
-        row.ttft_deadline = self.now + kind.aim_s
+        row.ttft_deadline = self.now + kind.ttft_budget_s
         row.gap_s, row.event_tokens = kind.gap_s, self.load.mix.event_tokens
-        row.start_by = self.now + min(patience_s, kind.silence_s) * MAX_START_FRACTION
+        row.start_by = (
+            self.now + min(patience_s, kind.first_event_timeout_s) * MAX_START_FRACTION
+        )
         row.body = call.body
         predictor = self.tables.predictor
         row.predicted_tokens = predictor.predict(row.workspace, SERVICE, call.declared)
         row.likely_tokens = predictor.predict_median(
             row.workspace, SERVICE, call.declared
         )
-        call.tries += 1
-        self.live[name], self.rows[name] = call, row
+        call.attempts += 1
+        self.active_calls[name], self.rows[name] = call, row
         add_request(self.tables, row)
-        self.at(self.now + min(patience_s, kind.silence_s), lambda: self.leave(name))
-        self.wake()
+        self.schedule(
+            self.now + min(patience_s, kind.first_event_timeout_s),
+            lambda: self.abandon(name),
+        )
+        self.schedule_exchange()
 
-    def wake(self) -> None:
+    def schedule_exchange(self) -> None:
         """Schedule one exchange for all events of the present time."""
-        if not self.due:
-            self.due = True
-            self.at(self.now, self.exchange)
+        if not self.exchange_scheduled:
+            self.exchange_scheduled = True
+            self.schedule(self.now, self.exchange)
 
     def exchange(self) -> None:
         """Run the host's systems and the allocator, and apply their decisions."""
-        self.due = False
+        self.exchange_scheduled = False
         run_systems(self.tables, self.now)
         for _, report in due_reports(self.tables, self.now):
             self.role.take_report(report, self.now)
@@ -425,97 +437,101 @@
         run_systems(self.tables, self.now)
         wait_s = next_due_s(self.tables, self.now)
         if wait_s is not None:
-            self.at(self.now + wait_s, self.wake)
-        for name in list(self.live):
-            self.take_decision(name)
+            self.schedule(self.now + wait_s, self.schedule_exchange)
+        for name in list(self.active_calls):
+            self.apply_decision(name)
 
-    def take_decision(self, name: str) -> None:
+    def apply_decision(self, name: str) -> None:
         """Dispatch or refuse a call if its decision has come."""
         row = self.rows[name]
         if row.decisions.empty():
             return
         decision = row.decisions.get()
         if isinstance(decision, Refusal):
-            self.send_away(name, decision)
+            self.handle_refusal(name, decision)
             return
-        call = self.live[name]
+        call = self.active_calls[name]
         engine = self.engines[decision.target]
         engine.queue.append(Job(name, call.prompt, call.output))
-        self.start(decision.target)
+        self.start_engine(decision.target)
 
-    def send_away(self, name: str, refusal: Refusal) -> None:
+    def handle_refusal(self, name: str, refusal: Refusal) -> None:
         """Schedule the retry of a refused call, at most once."""
-        call = self.live.pop(name)
+        call = self.active_calls.pop(name)
         wait_s = refusal.retry_after_s or 0.0
-        left_s = call.until - self.now
-        if call.tries == 1 and wait_s <= left_s * RETURN_PART:
-            self.at(self.now + wait_s, lambda: self.submit(call))
+        left_s = call.deadline - self.now
+        if call.attempts == 1 and wait_s <= left_s * MAX_RETRY_WAIT_FRACTION:
+            self.schedule(self.now + wait_s, lambda: self.submit(call))
             return
         call.refused = True
 
-    def start(self, name: str) -> None:
+    def start_engine(self, name: str) -> None:
         """Schedule a step of an engine that is idle."""
-        if name not in self.stepping:
-            self.stepping.add(name)
-            self.at(self.now, lambda: self.step(name))
+        if name not in self.busy_engines:
+            self.busy_engines.add(name)
+            self.schedule(self.now, lambda: self.step(name))
 
     def step(self, name: str) -> None:
         """Run one step of an engine; its output comes at the end of the step."""
         engine = self.engines[name]
         if engine.is_idle():
-            self.stepping.discard(name)
+            self.busy_engines.discard(name)
             return
         seconds, first, done = engine.step()
-        wrote = list(engine.wrote)
-        self.at(self.now + seconds, lambda: self.end_step(name, wrote, first, done))
+        decoded = list(engine.decoded)
+        self.schedule(
+            self.now + seconds, lambda: self.end_step(name, decoded, first, done)
+        )
 
     def end_step(
-        self, name: str, wrote: list[Job], first: list[Job], done: list[Job]
+        self, name: str, decoded: list[Job], first: list[Job], done: list[Job]
     ) -> None:
         """Report the output of a step to host and callers, and start the next step."""
-        for job in wrote:
-            whole = job.made == 1 or job.made % self.load.mix.event_tokens == 0
-            if job.name in self.live and (whole or job in done):
-                self.live[job.name].hear(self.now)
+        for job in decoded:
+            event_complete = (
+                job.produced == 1 or job.produced % self.load.mix.event_tokens == 0
+            )
+            if job.name in self.active_calls and (event_complete or job in done):
+                self.active_calls[job.name].record_event(self.now)
         for job in first:
-            self.note_first(job.name)
+            self.record_first_token(job.name)
         for job in done:
             self.finish(job.name)
         self.step(name)
 
-    def note_first(self, name: str) -> None:
+    def record_first_token(self, name: str) -> None:
         """Record the first token of a call."""
-        call, row = self.live.get(name), self.rows[name]
+        call, row = self.active_calls.get(name), self.rows[name]
         if call is None or row.state is not RequestState.DISPATCHED:
             return
-        call.first = self.now
+        call.first_token_at = self.now
         record_first_output(self.tables, row)
         record_progress(self.tables, row, 1, self.now)
         grow_request(self.tables, row, 1)
-        self.wake()
+        self.schedule_exchange()
 
     def finish(self, name: str) -> None:
         """Record the completion of a call."""
-        call, row = self.live.pop(name, None), self.rows[name]
+        call, row = self.active_calls.pop(name, None), self.rows[name]
         if call is None:
             return
-        call.ended = self.now
+        call.ended_at = self.now
         row.produced_tokens = call.output
         finish_request(self.tables, row, RequestState.COMPLETED, self.now)
-        self.wake()
+        self.schedule_exchange()
 
-    def leave(self, name: str) -> None:
+    def abandon(self, name: str) -> None:
         """Withdraw a call whose caller gave up waiting for the first event."""
-        call, row = self.live.get(name), self.rows[name]
-        if call is None or call.first:
+        call, row = self.active_calls.get(name), self.rows[name]
+        if call is None or call.first_token_at:
             return
-        del self.live[name]
+        del self.active_calls[name]
         if row.state is RequestState.DISPATCHED:
             self.engines[row.target].cancel(name)
             finish_request(self.tables, row, RequestState.FAILED, self.now)
         elif row.state is RequestState.WAITING:
             refuse_request(self.tables, row, Refusal(RequestState.NOT_RUN, None, ""))
-        self.wake()
+        self.schedule_exchange()
 
 
 def tally(calls: list[Call]) -> dict[str, Tally]:
@@ -526,16 +542,16 @@
         row = tallies.setdefault(kind.name, Tally())
         size = call.prompt + 10 * call.declared
         mean = kind.prompt + 10 * 3.75 * kind.output
-        worth = SIZE_FLOOR + SIZE_PART * min(size / mean, SIZE_MOST)
+        size_factor = BASE_VALUE + SIZE_VALUE * min(size / mean, MAX_RELATIVE_SIZE)
         row.offered += 1
-        row.max_credit += kind.worth * worth
+        row.max_credit += kind.value * size_factor
         in_time = call.in_time
         row.in_time += in_time
-        row.late += bool(call.ended and not in_time)
+        row.late += bool(call.ended_at and not in_time)
         row.refused += call.refused
-        row.abandoned += not call.ended and not call.refused
-        if call.ended:
-            row.credit += worth * (kind.worth if in_time else kind.late_worth)
+        row.abandoned += not call.ended_at and not call.refused
+        if call.ended_at:
+            row.credit += size_factor * (kind.value if in_time else kind.late_value)
     return tallies
 
 
@@ -572,9 +588,9 @@
         for name, row in tallies.items():
             counts = (row.offered, row.in_time, row.late, row.refused, row.abandoned)
             rows.append((seed, name, *counts, f"{row.share:.3f}"))
-        owed = sum(row.max_credit for row in tallies.values())
-        earned = sum(row.credit for row in tallies.values())
-        rows.append((seed, "all", "", "", "", "", "", f"{earned / owed:.3f}"))
+        max_credit = sum(row.max_credit for row in tallies.values())
+        credit = sum(row.credit for row in tallies.values())
+        rows.append((seed, "all", "", "", "", "", "", f"{credit / max_credit:.3f}"))
     print(table(head, rows))
 
 
