--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -12,7 +12,7 @@
     LOADS,
     SECONDS,
     USERS,
-    Compared,
+    Comparison,
     User,
     compare,
     compare_seeds,
@@ -27,7 +27,7 @@
     flood_and_other_shares,
     load_variation,
     ratio,
-    shares_over_time,
+    requests_over_time,
     table,
     tier_rows,
     waste_row,
@@ -41,29 +41,35 @@
     """Print the results of all load patterns of one user."""
     compared = [compare(pattern) for pattern in make_patterns(user)]
     print(f"\n## {user.name}: by tier\n")
-    print(table(TIER_HEAD, [row for one in compared for row in tier_rows(one)]))
+    print(
+        table(
+            TIER_HEAD, [row for comparison in compared for row in tier_rows(comparison)]
+        )
+    )
     print(f"\n## {user.name}: prefill, in tokens\n")
-    print(table(WASTE_HEAD, [waste_row(one) for one in compared]))
+    print(table(WASTE_HEAD, [waste_row(comparison) for comparison in compared]))
     print(f"\n## {user.name}: shares\n")
-    for one in compared:
-        print_shares(one)
+    for comparison in compared:
+        print_details(comparison)
 
 
-def print_shares(one: Compared) -> None:
+def print_details(comparison: Comparison) -> None:
     """Print results of some patterns that the tables don't show."""
-    name = one.pattern.name
+    name = comparison.pattern.name
     if name == "few callers":
-        for who, run in (("naive", one.naive), ("ours", one.ours)):
+        for policy, run in (("naive", comparison.naive), ("ours", comparison.ours)):
             flood, rest = flood_and_other_shares(run)
-            print(f"- {name}, {who}: in time {flood:.1%} of the flood, {rest:.1%} else")
+            print(
+                f"- {name}, {policy}: in time {flood:.1%} of the flood, {rest:.1%} else"
+            )
     if name == "retry storm":
-        for who, run in (("naive", one.naive), ("ours", one.ours)):
-            print(f"- {name}, {who}: {run.first_tries} first tries in time")
+        for policy, run in (("naive", comparison.naive), ("ours", comparison.ours)):
+            print(f"- {name}, {policy}: {run.first_tries} first tries in time")
     if name == "slow target" or name.startswith("reports"):
-        for who, run in (("naive", one.naive), ("ours", one.ours)):
+        for policy, run in (("naive", comparison.naive), ("ours", comparison.ours)):
             print(
-                f"- {name}, {who}: on the watched target every 4 s"
-                f" {shares_over_time(run)}; swing {load_variation(run):.1f}"
+                f"- {name}, {policy}: on the watched target every 4 s"
+                f" {requests_over_time(run)}; swing {load_variation(run):.1f}"
             )
 
 
@@ -76,8 +82,8 @@
         runs = compare_seeds(user, 2.0)
         tops = [ours.outcomes[0] for _, ours in runs]
         kept = sum(o.in_time for o in tops) / sum(o.offered for o in tops)
-        naive = sum(one.wasted for one, _ in runs)
-        ours = sum(one.wasted for _, one in runs)
+        naive = sum(run.wasted for run, _ in runs)
+        ours = sum(run.wasted for _, run in runs)
         inversions = sum(o.inversions for _, r in runs for o in r.outcomes.values())
         cells = (f"{kept:.2%}", f"{naive:.0f}", f"{ours:.0f}", ratio(ours, naive))
         rows.append((user.name, *cells, inversions))
--- a/bench/patterns.py
+++ b/bench/patterns.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from bench.policies import LeastReported, Naive, Scheduled
-from bench.queues import Outsiders, Player, Policy, Run, Scenario, Slowdown
+from bench.queues import ExternalStreams, Player, Policy, Run, Scenario, Slowdown
 from bench.traces import (
     KORGUSOPE,
     KORGUSOPE_ENGINES,
@@ -24,11 +24,11 @@
 SECONDS = 100.0
 LOADS = (0.5, 0.7, 1.0, 1.5, 2.0, 3.0, 4.0)
 SEEDS = (1, 2, 3, 4, 5)
-LAGS_S = (0.0, 1.0, 2.0, 5.0)
-WATCHED = TargetName("engine-02")
-FROM_S, TO_S = 30.0, 70.0
+REPORT_LAGS_S = (0.0, 1.0, 2.0, 5.0)
+DISTURBED_TARGET = TargetName("engine-02")
+DISTURBANCE_START_S, DISTURBANCE_END_S = 30.0, 70.0
 
-MakePolicy = Callable[[Sequence[Engine]], Policy]
+PolicyFactory = Callable[[Sequence[Engine]], Policy]
 
 
 @dataclass(frozen=True)
@@ -52,12 +52,12 @@
     name: str
     user: User
     scenario: Scenario
-    baseline: MakePolicy = Naive
-    ours: MakePolicy = Scheduled
+    baseline: PolicyFactory = Naive
+    ours: PolicyFactory = Scheduled
 
 
 @dataclass(frozen=True)
-class Compared:
+class Comparison:
     """Runs of a pattern under the baseline and under the scheduler."""
 
     pattern: Pattern
@@ -84,23 +84,27 @@
     trace = add_long(mix, engines, SECONDS)
     yield Pattern("long among short", user, Scenario(trace, engines))
     trace = make_trace(mix, engines, 2.0, SECONDS)
-    storm = Scenario(trace, engines, repeats=4, heeds=0.3)
+    storm = Scenario(trace, engines, max_retries=4, retry_after_compliance=0.3)
     yield Pattern("retry storm", user, storm)
     trace = add_hangups(make_trace(mix, engines, 1.5, SECONDS), 0.3)
     yield Pattern("callers hang up", user, Scenario(trace, engines))
     trace = add_prefixes(make_trace(mix, engines, 0.9, SECONDS), 40)
     yield Pattern("shared prefixes", user, Scenario(trace, engines))
-    for lag_s in LAGS_S:
-        yield stale_pattern(user, lag_s)
+    for lag_s in REPORT_LAGS_S:
+        yield stale_report_pattern(user, lag_s)
 
 
 def slow_scenario(user: User) -> Scenario:
     """Return a load of 0.9 with one target six times slower for some time."""
     trace = make_trace(user.mix, user.engines, 0.9, SECONDS)
-    return Scenario(trace, user.engines, slow=Slowdown(WATCHED, FROM_S, TO_S, 6.0))
+    return Scenario(
+        trace,
+        user.engines,
+        slow=Slowdown(DISTURBED_TARGET, DISTURBANCE_START_S, DISTURBANCE_END_S, 6.0),
+    )
 
 
-def stale_pattern(user: User, lag_s: float) -> Pattern:
+def stale_report_pattern(user: User, lag_s: float) -> Pattern:
     """Return a load of 0.9 with external streams on one target for some time.
 
     The baseline dispatches to the least loaded target by reports, as is common.
@@ -108,7 +112,11 @@
     trace = make_trace(user.mix, user.engines, 0.9, SECONDS)
     count = user.engines[0].slots // 2
     scenario = Scenario(
-        trace, user.engines, outsiders=Outsiders(WATCHED, FROM_S, TO_S, count)
+        trace,
+        user.engines,
+        external_streams=ExternalStreams(
+            DISTURBED_TARGET, DISTURBANCE_START_S, DISTURBANCE_END_S, count
+        ),
     )
     return Pattern(
         f"reports {lag_s:g} s old",
@@ -130,9 +138,9 @@
     return runs
 
 
-def compare(pattern: Pattern) -> Compared:
+def compare(pattern: Pattern) -> Comparison:
     """Simulate one pattern under both policies."""
     engines = pattern.scenario.engines
     naive = Player(pattern.scenario, pattern.baseline(engines)).play()
     ours = Player(pattern.scenario, pattern.ours(engines)).play()
-    return Compared(pattern, naive, ours)
+    return Comparison(pattern, naive, ours)
--- a/bench/plot.py
+++ b/bench/plot.py
@@ -32,13 +32,13 @@
         loads = sorted(runs[user.name])
         for rank in sorted({kind.rank for kind in user.mix}):
             color = f"C{rank}"
-            for place, style in ((0, ":"), (1, "-")):
+            for index, style in ((0, ":"), (1, "-")):
                 shares = [
-                    shown.in_time / max(1, shown.offered)
+                    outcome.in_time / max(1, outcome.offered)
                     for load in loads
-                    for shown in [runs[user.name][load][place].outcomes[rank]]
+                    for outcome in [runs[user.name][load][index].outcomes[rank]]
                 ]
-                label = f"tier {rank}, {('naive', 'godwitladder')[place]}"
+                label = f"tier {rank}, {('naive', 'godwitladder')[index]}"
                 axis.plot(loads, shares, style, color=color, marker=".", label=label)
         axis.set_title(user.name)
         axis.set_xlabel("offered load / capacity")
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict, deque
 from collections.abc import Mapping, Sequence
 
-from bench.queues import Queue, Refused, Stream
+from bench.queues import PolicyRefusal, Stream, TargetModel
 from bench.traces import SERVICE, Arrival, Engine
 from godwitladder.decisions.affinity import PrefixHints
 from godwitladder.decisions.allocation import allocate
@@ -29,7 +29,7 @@
     TargetName,
 )
 
-Decided = tuple[list[tuple[RequestId, TargetName]], list[Refused]]
+Decisions = tuple[list[tuple[RequestId, TargetName]], list[PolicyRefusal]]
 HOST = HostId("host")
 
 
@@ -43,17 +43,17 @@
     def __init__(self, engines: Sequence[Engine]) -> None:
         self.engines = {TargetName(engine.name): engine for engine in engines}
         self.waiting: OrderedDict[RequestId, Arrival] = OrderedDict()
-        self.placed: dict[RequestId, tuple[TargetName, int]] = {}
-        self.used = dict.fromkeys(self.engines, 0)
+        self.dispatched: dict[RequestId, tuple[TargetName, int]] = {}
+        self.running_counts = dict.fromkeys(self.engines, 0)
         self.tokens = dict.fromkeys(self.engines, 0)
-        self.turn = 0
+        self.next_index = 0
 
-    def arrive(self, arrival: Arrival, now: float) -> Refused | None:
+    def arrive(self, arrival: Arrival, now: float) -> PolicyRefusal | None:
         """Queue the request."""
         self.waiting[arrival.request] = arrival
         return None
 
-    def decide(self, now: float) -> Decided:
+    def decide(self, now: float) -> Decisions:
         """Dispatch from the head of the queue while a target has capacity."""
         late = [row.request for row in self.waiting.values() if row.deadline <= now]
         for request in late:
@@ -66,42 +66,45 @@
                 break
             del self.waiting[arrival.request]
             tokens = arrival.prompt + arrival.declared
-            self.used[target] += 1
+            self.running_counts[target] += 1
             self.tokens[target] += tokens
-            self.placed[arrival.request] = target, tokens
+            self.dispatched[arrival.request] = target, tokens
             dispatches.append((arrival.request, target))
-        return dispatches, [Refused(request, 1.0) for request in late]
+        return dispatches, [PolicyRefusal(request, 1.0) for request in late]
 
     def choose(self, arrival: Arrival) -> TargetName | None:
         """Return the next target in turn that has capacity for the request."""
         names = list(self.engines)
         tokens = arrival.prompt + arrival.declared
         for offset in range(len(names)):
-            name = names[(self.turn + offset) % len(names)]
+            name = names[(self.next_index + offset) % len(names)]
             engine = self.engines[name]
-            fits = self.tokens[name] + tokens <= engine.memory or not self.used[name]
-            if self.used[name] < engine.slots and fits:
-                self.turn += offset + 1
+            fits = (
+                self.tokens[name] + tokens <= engine.memory
+                or not self.running_counts[name]
+            )
+            if self.running_counts[name] < engine.slots and fits:
+                self.next_index += offset + 1
                 return name
         return None
 
-    def finished(self, stream: Stream, target: TargetName, now: float) -> None:
+    def record_completion(self, stream: Stream, target: TargetName, now: float) -> None:
         """Release the slot."""
-        self.leave(stream.arrival.request)
+        self.release(stream.arrival.request)
 
-    def withdrawn(self, request: RequestId, produced: int, now: float) -> None:
+    def record_withdrawal(self, request: RequestId, produced: int, now: float) -> None:
         """Remove the request from the queue, or release its slot."""
         self.waiting.pop(request, None)
-        self.leave(request)
+        self.release(request)
 
-    def leave(self, request: RequestId) -> None:
+    def release(self, request: RequestId) -> None:
         """Release the slot and the tokens that the request holds at a target."""
-        held = self.placed.pop(request, None)
+        held = self.dispatched.pop(request, None)
         if held:
-            self.used[held[0]] -= 1
+            self.running_counts[held[0]] -= 1
             self.tokens[held[0]] -= held[1]
 
-    def watch(self, queues: Mapping[TargetName, Queue], now: float) -> None:
+    def observe(self, targets: Mapping[TargetName, TargetModel], now: float) -> None:
         """Ignore the progress of the streams."""
 
     def waiting_ranks(self) -> list[int]:
@@ -126,9 +129,12 @@
         self.lag_s = lag_s
         self.reports: list[tuple[float, dict[TargetName, int]]] = []
 
-    def watch(self, queues: Mapping[TargetName, Queue], now: float) -> None:
+    def observe(self, targets: Mapping[TargetName, TargetModel], now: float) -> None:
         """Record the load of each target as a report."""
-        counts = {name: len(q.running) + len(q.queued) for name, q in queues.items()}
+        counts = {
+            name: len(model.running) + len(model.queued)
+            for name, model in targets.items()
+        }
         self.reports.append((now, counts))
 
     def choose(self, arrival: Arrival) -> TargetName | None:
@@ -139,7 +145,7 @@
             key=lambda name: reported.get(name, 0) / self.engines[name].slots,
         )
 
-    def decide(self, now: float) -> Decided:
+    def decide(self, now: float) -> Decisions:
         """Use the newest report that is ``lag_s`` old, and dispatch all requests."""
         while len(self.reports) > 1 and self.reports[1][0] <= now - self.lag_s:
             del self.reports[0]
@@ -158,11 +164,11 @@
     def __init__(self, engines: Sequence[Engine], lag_s: float = 0.5) -> None:
         self.lag_s = lag_s
         self.reports: deque[tuple[float, dict[TargetName, int]]] = deque()
-        self.ours: dict[TargetName, int] = {}
+        self.own_running: dict[TargetName, int] = {}
         self.loads = LoadReports()
         self.predictor = OutputPredictor()
         self.speeds = TargetSpeeds()
-        self.easing = TargetThrottles()
+        self.throttles = TargetThrottles()
         self.hints = PrefixHints()
         self.refused = RefusedRequests()
         self.pool = PoolView()
@@ -186,13 +192,13 @@
             limit=engine.slots,
         )
 
-    def arrive(self, arrival: Arrival, now: float) -> Refused | None:
+    def arrive(self, arrival: Arrival, now: float) -> PolicyRefusal | None:
         """Queue the request, or refuse it if it is retried too early."""
-        body = body_of(arrival)
+        body = make_body_digest(arrival)
         early_s = self.refused.retry_wait_s(arrival.workspace, body, now)
         if early_s:
-            return Refused(arrival.request, early_s, shed=False)
-        line = RequestDemand(
+            return PolicyRefusal(arrival.request, early_s, shed=False)
+        demand = RequestDemand(
             request=arrival.request,
             workspace=arrival.workspace,
             service=SERVICE,
@@ -210,58 +216,60 @@
             prior_refusals=self.refused.count(arrival.workspace, body, now),
         )
         self.pool.waiting[arrival.request] = WaitingRequest(
-            HOST, line, arrival.deadline, now
+            HOST, demand, arrival.deadline, now
         )
         self.pool.workspaces.setdefault(arrival.workspace, WorkspaceView())
         self.declared[arrival.request] = arrival.declared
         return None
 
-    def decide(self, now: float) -> Decided:
+    def decide(self, now: float) -> Decisions:
         """Run the allocator and apply its decisions."""
         if not self.pool.waiting:
             return [], []
         self.update_targets(now)
         allocation = allocate(self.pool, now)
         dispatches = [self.place(row, now) for row in allocation.placements]
-        return dispatches, self.give_up(allocation, now)
+        return dispatches, self.record_sheds(allocation, now)
 
     def update_targets(self, now: float) -> None:
         """Copy learned speeds, limits, load and prefixes into the target views."""
         for name, view in self.pool.targets.items():
             speed = self.speeds.learned[name]
             view.prefill_tps, view.decode_tps = speed.prefill_tps, speed.decode_tps
-            view.limit = self.easing.limit(name, view.slots, now)
-            view.used = self.ours.get(name, 0) + self.loads.external(name)
+            view.limit = self.throttles.limit(name, view.slots, now)
+            view.used = self.own_running.get(name, 0) + self.loads.external(name)
             view.prefixes = self.hints.prefixes(name, now)
 
     def place(self, placement: Placement, now: float) -> tuple[RequestId, TargetName]:
         """Account for a dispatched request."""
         row = self.pool.waiting.pop(placement.request)
         view = self.pool.targets[placement.target]
-        self.ours[placement.target] = self.ours.get(placement.target, 0) + 1
+        self.own_running[placement.target] = (
+            self.own_running.get(placement.target, 0) + 1
+        )
         view.reserved_tokens += placement.reserved_tokens
         self.pool.workspaces[row.demand.workspace].running += 1
         self.hints.record_dispatch(placement.target, row.demand.prefix, now)
         self.running[placement.request] = row, placement
         return placement.request, placement.target
 
-    def give_up(self, allocation: Allocation, now: float) -> list[Refused]:
+    def record_sheds(self, allocation: Allocation, now: float) -> list[PolicyRefusal]:
         """Account for the refused requests."""
         refusals = []
-        for given_up in allocation.sheds:
-            row = self.pool.waiting.pop(given_up.request)
-            body = BodyDigest(given_up.request.rstrip("+"))
-            wait = given_up.retry_after_s
+        for decision in allocation.sheds:
+            row = self.pool.waiting.pop(decision.request)
+            body = BodyDigest(decision.request.rstrip("+"))
+            wait = decision.retry_after_s
             self.refused.note(row.demand.workspace, body, wait, now)
-            possible = row.deadline - now > 0 or row.deadline - row.arrived > 0
-            shed = given_up.reason is not ShedReason.QUOTA and possible
-            refusals.append(Refused(given_up.request, wait, shed))
+            feasible = row.deadline - now > 0 or row.deadline - row.arrived > 0
+            shed = decision.reason is not ShedReason.QUOTA and feasible
+            refusals.append(PolicyRefusal(decision.request, wait, shed))
         return refusals
 
-    def finished(self, stream: Stream, target: TargetName, now: float) -> None:
+    def record_completion(self, stream: Stream, target: TargetName, now: float) -> None:
         """Release the slot, and learn output length and speed from the stream."""
         arrival = stream.arrival
-        self.leave(arrival.request)
+        self.release(arrival.request)
         self.predictor.observe(
             arrival.workspace, SERVICE, arrival.declared, arrival.output
         )
@@ -269,7 +277,7 @@
         expected_s = arrival.output / self.speeds.learned[target].decode_tps
         if self.speeds.is_calibrated(target):
             taken_s = max(decode_s, expected_s / 10)
-            self.easing.observe(target, expected_s, taken_s, now)
+            self.throttles.observe(target, expected_s, taken_s, now)
         self.speeds.observe(
             target,
             arrival.prompt,
@@ -278,17 +286,17 @@
             now - stream.dispatched,
         )
 
-    def withdrawn(self, request: RequestId, produced: int, now: float) -> None:
+    def record_withdrawal(self, request: RequestId, produced: int, now: float) -> None:
         """Remove the request, and learn from the output that it had produced."""
         self.pool.waiting.pop(request, None)
         if produced:
-            line = self.running[request][0].demand
+            demand = self.running[request][0].demand
             self.predictor.observe(
-                line.workspace, SERVICE, self.declared[request], produced, cut=True
+                demand.workspace, SERVICE, self.declared[request], produced, cut=True
             )
-        self.leave(request)
+        self.release(request)
 
-    def leave(self, request: RequestId) -> None:
+    def release(self, request: RequestId) -> None:
         """Release the slot and the tokens that the request holds at a target."""
         self.progress.pop(request, None)
         held = self.running.pop(request, None)
@@ -296,30 +304,35 @@
             return
         row, placement = held
         view = self.pool.targets[placement.target]
-        self.ours[placement.target] -= 1
+        self.own_running[placement.target] -= 1
         view.reserved_tokens -= placement.reserved_tokens
         self.pool.workspaces[row.demand.workspace].running -= 1
 
-    def watch(self, queues: Mapping[TargetName, Queue], now: float) -> None:
+    def observe(self, targets: Mapping[TargetName, TargetModel], now: float) -> None:
         """Process load reports, and observe streams that run for at least a second."""
-        self.take_reports(queues, now)
-        for name, queue in queues.items():
-            for stream in queue.running:
+        self.take_reports(targets, now)
+        for name, model in targets.items():
+            for stream in model.running:
                 known = stream.arrival.request in self.running
                 if known and now - stream.dispatched >= 1.0:
-                    self.watch_stream(stream, name, now)
+                    self.observe_stream(stream, name, now)
 
-    def take_reports(self, queues: Mapping[TargetName, Queue], now: float) -> None:
+    def take_reports(
+        self, targets: Mapping[TargetName, TargetModel], now: float
+    ) -> None:
         """Record the load of each target; process the reports ``lag_s`` old."""
-        counts = {name: len(q.running) + len(q.queued) for name, q in queues.items()}
+        counts = {
+            name: len(model.running) + len(model.queued)
+            for name, model in targets.items()
+        }
         self.reports.append((now, counts))
         while len(self.reports) > 1 and self.reports[1][0] <= now - self.lag_s:
             self.reports.popleft()
         for name, count in self.reports[0][1].items():
-            self.loads.record_own(name, self.ours.get(name, 0), now)
+            self.loads.record_own(name, self.own_running.get(name, 0), now)
             self.loads.observe(name, count)
 
-    def watch_stream(self, stream: Stream, target: TargetName, now: float) -> None:
+    def observe_stream(self, stream: Stream, target: TargetName, now: float) -> None:
         """Observe the speed of one stream, and grow its reservation if needed."""
         request = stream.arrival.request
         before = self.progress.get(request, 0.0)
@@ -327,7 +340,7 @@
         if before and self.speeds.is_calibrated(target):
             tokens = max(stream.produced - before, 1.0)
             expected_s = tokens / self.speeds.learned[target].decode_tps
-            self.easing.observe(target, expected_s, 1.0, now)
+            self.throttles.observe(target, expected_s, 1.0, now)
         row, placement = self.running[request]
         reserved = placement.reserved_tokens - row.demand.prompt_tokens
         grown = grow_reservation(
@@ -353,6 +366,6 @@
         return [row.demand.tier_rank for row in self.pool.waiting.values()]
 
 
-def body_of(arrival: Arrival) -> BodyDigest:
+def make_body_digest(arrival: Arrival) -> BodyDigest:
     """Return a stand-in for the body digest, which is the same for all retries."""
     return BodyDigest(arrival.request.rstrip("+"))
--- a/bench/queues.py
+++ b/bench/queues.py
@@ -23,7 +23,7 @@
 DRAIN_S = 200.0
 PREFIX_TOKENS = 256
 CACHED_PREFIXES = 12
-OUTSIDER = Arrival(
+EXTERNAL_REQUEST = Arrival(
     time=0.0,
     request=RequestId("outsider"),
     workspace=WorkspaceName("outside"),
@@ -43,9 +43,9 @@
     ----------
     dispatched : float
         Time of dispatch.
-    to_prefill : float
+    pending_prefill_tokens : float
         Tokens still to be prefilled before its next output token.
-    paid : float
+    prefilled_tokens : float
         Tokens prefilled for it since its dispatch or its last preemption.
     produced : float
         Output tokens so far.
@@ -55,14 +55,14 @@
 
     arrival: Arrival
     dispatched: float
-    to_prefill: float
-    paid: float = 0.0
+    pending_prefill_tokens: float
+    prefilled_tokens: float = 0.0
     produced: float = 0.0
     first_token: float = 0.0
 
 
 @dataclass
-class Queue:
+class TargetModel:
     """Model of one target: its queue, running streams and prefix cache.
 
     Attributes
@@ -89,10 +89,10 @@
     def step(self, now: float) -> list[Stream]:
         """Advance by one step and return the completed streams."""
         self.admit()
-        prefilling = [row for row in self.running if row.to_prefill > 0]
+        prefilling = [row for row in self.running if row.pending_prefill_tokens > 0]
         done = []
         for row in self.running:
-            if row.to_prefill > 0:
+            if row.pending_prefill_tokens > 0:
                 self.prefill(row, len(prefilling))
                 continue
             if not row.produced:
@@ -108,14 +108,14 @@
     def prefill(self, row: Stream, sharers: int) -> None:
         """Prefill tokens of one stream for one step."""
         speed = self.engine.prefill_tps / self.slowness / sharers
-        tokens = min(row.to_prefill, speed * STEP_S)
-        row.to_prefill -= tokens
-        row.paid += tokens
+        tokens = min(row.pending_prefill_tokens, speed * STEP_S)
+        row.pending_prefill_tokens -= tokens
+        row.prefilled_tokens += tokens
         self.prefilled += tokens
 
     def admit(self) -> None:
         """Start queued streams while slots and memory last."""
-        held = self.memory()
+        held = self.held_tokens()
         while self.queued and len(self.running) < self.engine.slots:
             row = self.queued[0]
             tokens = row.arrival.prompt + row.produced
@@ -131,7 +131,9 @@
         if not prefix:
             return
         if prefix in self.cache:
-            row.to_prefill = max(1.0, row.to_prefill - PREFIX_TOKENS)
+            row.pending_prefill_tokens = max(
+                1.0, row.pending_prefill_tokens - PREFIX_TOKENS
+            )
             del self.cache[prefix]
         self.cache[prefix] = None
         while len(self.cache) > CACHED_PREFIXES:
@@ -139,26 +141,26 @@
 
     def evict(self) -> None:
         """Preempt the newest stream while the running ones exceed the memory."""
-        while len(self.running) > 1 and self.memory() > self.engine.memory:
+        while len(self.running) > 1 and self.held_tokens() > self.engine.memory:
             newest = max(self.running, key=lambda row: row.dispatched)
             self.running.remove(newest)
             self.evictions += 1
-            self.wasted += newest.paid
-            newest.paid = 0.0
-            newest.to_prefill = newest.arrival.prompt + newest.produced
+            self.wasted += newest.prefilled_tokens
+            newest.prefilled_tokens = 0.0
+            newest.pending_prefill_tokens = newest.arrival.prompt + newest.produced
             self.queued.appendleft(newest)
 
-    def memory(self) -> float:
+    def held_tokens(self) -> float:
         """Return the memory tokens that running streams hold."""
         return sum(
             row.arrival.prompt + row.produced
             for row in self.running
-            if row.arrival is not OUTSIDER
+            if row.arrival is not EXTERNAL_REQUEST
         )
 
     def cancel(self, row: Stream) -> None:
         """Remove a stream and count its prefill as wasted."""
-        self.wasted += row.paid
+        self.wasted += row.prefilled_tokens
         if row in self.running:
             self.running.remove(row)
         elif row in self.queued:
@@ -166,7 +168,7 @@
 
 
 @dataclass(frozen=True)
-class Refused:
+class PolicyRefusal:
     """A policy's refusal of a request.
 
     Attributes
@@ -183,24 +185,24 @@
 class Policy(Protocol):
     """Dispatch policy: the scheduler's own code or a baseline."""
 
-    def arrive(self, arrival: Arrival, now: float) -> Refused | None:
+    def arrive(self, arrival: Arrival, now: float) -> PolicyRefusal | None:
         """Queue a new request, or refuse it at once."""
 
     def decide(
         self, now: float
-    ) -> tuple[list[tuple[RequestId, TargetName]], list[Refused]]:
+    ) -> tuple[list[tuple[RequestId, TargetName]], list[PolicyRefusal]]:
         """Return the dispatches and the refusals of this step."""
 
-    def finished(self, stream: Stream, target: TargetName, now: float) -> None:
+    def record_completion(self, stream: Stream, target: TargetName, now: float) -> None:
         """Handle a completed stream; its arrival has the output tokens."""
 
-    def withdrawn(self, request: RequestId, produced: int, now: float) -> None:
+    def record_withdrawal(self, request: RequestId, produced: int, now: float) -> None:
         """Handle a request whose caller hung up or whose deadline has passed.
 
         It has ``produced`` output tokens by then.
         """
 
-    def watch(self, queues: Mapping[TargetName, Queue], now: float) -> None:
+    def observe(self, targets: Mapping[TargetName, TargetModel], now: float) -> None:
         """Observe the progress of all streams, once a second."""
 
     def waiting_ranks(self) -> list[int]:
@@ -217,7 +219,7 @@
         Requests, without their retries.
     in_time, shed : int
         Requests answered in time, and requests refused for good.
-    cut, gone : int
+    timed_out, hung_up : int
         Requests that ended at their deadline, and at a hang-up of their caller.
     tokens : int
         Output tokens of the answers in time.
@@ -255,9 +257,9 @@
     ----------
     outcomes : dict of int to Outcome
         Outcomes by rank of the tier.
-    by_workspace : dict of str to list
+    workspace_counts : dict of str to list
         Requests offered and answered in time, by workspace.
-    shares : list of dict
+    load_samples : list of dict
         Requests at each target, once a second.
     first_tries : int
         Requests answered in time at the first attempt.
@@ -267,8 +269,8 @@
     wasted: float = 0.0
     evictions: int = 0
     prefilled: float = 0.0
-    by_workspace: dict[str, list[int]] = field(default_factory=dict)
-    shares: list[dict[TargetName, int]] = field(default_factory=list)
+    workspace_counts: dict[str, list[int]] = field(default_factory=dict)
+    load_samples: list[dict[TargetName, int]] = field(default_factory=list)
     first_tries: int = 0
 
 
@@ -283,7 +285,7 @@
 
 
 @dataclass(frozen=True)
-class Outsiders:
+class ExternalStreams:
     """Streams of other clients of a target, which only its load reports show."""
 
     target: TargetName
@@ -298,18 +300,18 @@
 
     Attributes
     ----------
-    repeats : int
+    max_retries : int
         Maximum number of retries after refusals.
-    heeds : float
+    retry_after_compliance : float
         Share of callers that honour Retry-After; the others retry after 0.3 s.
     """
 
     trace: Sequence[Arrival]
     engines: Sequence[Engine]
     slow: Slowdown | None = None
-    outsiders: Outsiders | None = None
-    repeats: int = 0
-    heeds: float = 1.0
+    external_streams: ExternalStreams | None = None
+    max_retries: int = 0
+    retry_after_compliance: float = 1.0
 
 
 class Player:
@@ -319,11 +321,11 @@
     ----------
     arrivals : list
         Heap of the requests to come, by time.
-    open : dict of RequestId to Arrival
+    open_requests : dict of RequestId to Arrival
         Requests that wait or run.
-    placed : dict of RequestId to tuple
+    dispatched_streams : dict of RequestId to tuple
         Stream and target of each request dispatched so far.
-    ends : list
+    withdrawals : list
         Heap of the times at which callers hang up or deadlines pass.
     """
 
@@ -331,92 +333,97 @@
         self.scenario = scenario
         self.policy = policy
         self.clock = ManualClock()
-        self.queues = {TargetName(e.name): Queue(e) for e in scenario.engines}
+        self.targets = {TargetName(e.name): TargetModel(e) for e in scenario.engines}
         self.arrivals = [(row.time, row.request, row) for row in scenario.trace]
         heapq.heapify(self.arrivals)
-        self.open: dict[RequestId, Arrival] = {}
-        self.placed: dict[RequestId, tuple[Stream, Queue]] = {}
-        self.ends: list[tuple[float, RequestId]] = []
-        self.draw = random.Random(5)
-        self.outsiders: list[Stream] = []
-        self.run_ = Run()
+        self.open_requests: dict[RequestId, Arrival] = {}
+        self.dispatched_streams: dict[RequestId, tuple[Stream, TargetModel]] = {}
+        self.withdrawals: list[tuple[float, RequestId]] = []
+        self.rng = random.Random(5)
+        self.external_streams: list[Stream] = []
+        self.results = Run()
 
     def play(self) -> Run:
         """Run the simulation and return its results."""
         start = now = self.clock.monotonic()
-        while self.arrivals or self.open:
+        while self.arrivals or self.open_requests:
             self.clock.advance(STEP_S)
             now = self.clock.monotonic() - start
             self.step(now)
             if now > self.scenario.trace[-1].time + DRAIN_S:
                 break
-        for queue in self.queues.values():
-            self.run_.wasted += queue.wasted
-            self.run_.evictions += queue.evictions
-            self.run_.prefilled += queue.prefilled
-        return self.run_
+        for model in self.targets.values():
+            self.results.wasted += model.wasted
+            self.results.evictions += model.evictions
+            self.results.prefilled += model.prefilled
+        return self.results
 
     def step(self, now: float) -> None:
         """Advance everything by one step."""
-        self.set_slowness(now)
-        for name, queue in self.queues.items():
-            for stream in queue.step(now):
+        self.apply_disturbances(now)
+        for name, model in self.targets.items():
+            for stream in model.step(now):
                 self.finish(stream, name, now)
         self.withdraw(now)
         while self.arrivals and self.arrivals[0][0] <= now:
             self.arrive(heapq.heappop(self.arrivals)[-1], now)
         if int(now) > int(now - STEP_S):
-            self.policy.watch(self.queues, now)
-            self.run_.shares.append(
+            self.policy.observe(self.targets, now)
+            self.results.load_samples.append(
                 {
-                    name: len(q.running) + len(q.queued)
-                    for name, q in self.queues.items()
+                    name: len(model.running) + len(model.queued)
+                    for name, model in self.targets.items()
                 }
             )
         dispatches, refusals = self.policy.decide(now)
         for request, target in dispatches:
             self.dispatch(request, target, now)
-        kept = self.policy.waiting_ranks() if refusals else []
+        waiting_ranks = self.policy.waiting_ranks() if refusals else []
         for refused in refusals:
-            self.refuse(refused, kept, now)
+            self.refuse(refused, waiting_ranks, now)
 
-    def set_slowness(self, now: float) -> None:
+    def apply_disturbances(self, now: float) -> None:
         """Apply the disturbances of the scenario: a slowdown and external streams."""
         slow = self.scenario.slow
         if slow:
             active = slow.start <= now < slow.end
-            self.queues[slow.target].slowness = slow.factor if active else 1.0
-        outside = self.scenario.outsiders
-        if outside:
-            self.keep_outsiders(outside, outside.start <= now < outside.end, now)
+            self.targets[slow.target].slowness = slow.factor if active else 1.0
+        external = self.scenario.external_streams
+        if external:
+            self.update_external_streams(
+                external, external.start <= now < external.end, now
+            )
 
-    def keep_outsiders(self, outside: Outsiders, active: bool, now: float) -> None:
+    def update_external_streams(
+        self, external: ExternalStreams, active: bool, now: float
+    ) -> None:
         """Add the external streams to their target, or remove them."""
-        running = self.queues[outside.target].running
-        if active == bool(self.outsiders):
+        running = self.targets[external.target].running
+        if active == bool(self.external_streams):
             return
         if active:
-            self.outsiders = [
-                Stream(OUTSIDER, now, 0.0, produced=1.0) for _ in range(outside.count)
+            self.external_streams = [
+                Stream(EXTERNAL_REQUEST, now, 0.0, produced=1.0)
+                for _ in range(external.count)
             ]
-            running.extend(self.outsiders)
+            running.extend(self.external_streams)
         else:
-            for row in self.outsiders:
+            for row in self.external_streams:
                 running.remove(row)
-            self.outsiders = []
+            self.external_streams = []
 
     def outcome(self, arrival: Arrival) -> Outcome:
         """Return the outcomes of the request's tier."""
-        return self.run_.outcomes.setdefault(arrival.rank, Outcome())
+        return self.results.outcomes.setdefault(arrival.rank, Outcome())
 
     def arrive(self, arrival: Arrival, now: float) -> None:
         """Hand a request to the policy."""
-        if arrival.tries == 0:
+        if arrival.prior_attempts == 0:
             self.outcome(arrival).offered += 1
-            self.run_.by_workspace.setdefault(arrival.workspace, [0, 0])[0] += 1
-        self.open[arrival.request] = arrival
-        end = min(arrival.deadline, max(arrival.gone, now))
-        heapq.heappush(self.ends, (end, arrival.request))
+            self.results.workspace_counts.setdefault(arrival.workspace, [0, 0])[0] += 1
+        self.open_requests[arrival.request] = arrival
+        end = min(arrival.deadline, max(arrival.hangup_time, now))
+        heapq.heappush(self.withdrawals, (end, arrival.request))
         refused = self.policy.arrive(arrival, now)
         if refused:
             self.refuse(refused, [], now)
@@ -429,66 +436,68 @@
         AssertionError
             The request was dispatched before.
         """
-        arrival = self.open[request]
-        if request in self.placed:
+        arrival = self.open_requests[request]
+        if request in self.dispatched_streams:
             raise AssertionError(f"{request} was dispatched twice")
         stream = Stream(arrival, now, arrival.prompt)
-        self.queues[target].queued.append(stream)
-        self.placed[request] = stream, self.queues[target]
+        self.targets[target].queued.append(stream)
+        self.dispatched_streams[request] = stream, self.targets[target]
 
     def finish(self, stream: Stream, target: TargetName, now: float) -> None:
         """Count a completed answer; it is in time, as late requests were withdrawn."""
         arrival = stream.arrival
-        self.open.pop(arrival.request)
+        self.open_requests.pop(arrival.request)
         outcome = self.outcome(arrival)
         outcome.in_time += 1
         outcome.tokens += arrival.output
         outcome.latencies.append(now - arrival.time)
-        self.run_.by_workspace[arrival.workspace][1] += 1
-        if arrival.tries == 0:
-            self.run_.first_tries += 1
-        self.policy.finished(stream, target, now)
+        self.results.workspace_counts[arrival.workspace][1] += 1
+        if arrival.prior_attempts == 0:
+            self.results.first_tries += 1
+        self.policy.record_completion(stream, target, now)
 
     def withdraw(self, now: float) -> None:
         """Withdraw the requests whose caller hung up or whose deadline has passed."""
-        while self.ends and self.ends[0][0] <= now:
-            _, request = heapq.heappop(self.ends)
-            arrival = self.open.get(request)
+        while self.withdrawals and self.withdrawals[0][0] <= now:
+            _, request = heapq.heappop(self.withdrawals)
+            arrival = self.open_requests.get(request)
             if arrival is None:
                 continue
             produced = 0
-            if request in self.placed:
-                stream, queue = self.placed[request]
+            if request in self.dispatched_streams:
+                stream, model = self.dispatched_streams[request]
                 produced = int(stream.produced)
-                self.outcome(arrival).wasted += stream.paid
-                queue.cancel(stream)
-            elif arrival.gone > now:
+                self.outcome(arrival).wasted += stream.prefilled_tokens
+                model.cancel(stream)
+            elif arrival.hangup_time > now:
                 # It waits past its deadline: the policy refuses it in this step.
                 continue
-            del self.open[request]
-            self.policy.withdrawn(request, produced, now)
-            if arrival.gone <= now:
+            del self.open_requests[request]
+            self.policy.record_withdrawal(request, produced, now)
+            if arrival.hangup_time <= now:
                 self.outcome(arrival).hung_up += 1
             else:
                 self.outcome(arrival).timed_out += 1
 
-    def refuse(self, refused: Refused, kept: list[int], now: float) -> None:
+    def refuse(
+        self, refused: PolicyRefusal, waiting_ranks: list[int], now: float
+    ) -> None:
         """Count a refusal, and schedule a retry if the caller has any left."""
-        arrival = self.open.pop(refused.request)
+        arrival = self.open_requests.pop(refused.request)
         outcome = self.outcome(arrival)
-        if refused.shed and any(rank > arrival.rank for rank in kept):
+        if refused.shed and any(rank > arrival.rank for rank in waiting_ranks):
             outcome.inversions += 1
-        if arrival.tries >= self.scenario.repeats:
+        if arrival.prior_attempts >= self.scenario.max_retries:
             outcome.shed += 1
             return
-        heeds = self.draw.random() < self.scenario.heeds
-        back = now + (refused.retry_after_s if heeds else 0.3)
+        complies = self.rng.random() < self.scenario.retry_after_compliance
+        retry_at = now + (refused.retry_after_s if complies else 0.3)
         timeout = arrival.deadline - arrival.time
-        again = replace(
+        retry = replace(
             arrival,
-            time=back,
+            time=retry_at,
             request=RequestId(f"{arrival.request}+"),
-            deadline=back + timeout,
-            tries=arrival.tries + 1,
+            deadline=retry_at + timeout,
+            prior_attempts=arrival.prior_attempts + 1,
         )
-        heapq.heappush(self.arrivals, (back, again.request, again))
+        heapq.heappush(self.arrivals, (retry_at, retry.request, retry))
--- a/bench/region.py
+++ b/bench/region.py
@@ -58,9 +58,10 @@
 """Patience of callers of a kind varies downwards by up to this fraction."""
 TICK_S = 0.25
 BASE_VALUE, SIZE_VALUE, MAX_RELATIVE_SIZE = 0.3, 0.7, 4.0
-"""Factors of the value of a call, by its relative size.
+"""Parameters of the factor by which the value of a call depends on its size.
 
-The value grows by ``SIZE_VALUE`` times the size from ``BASE_VALUE``. The size is capped at ``MAX_RELATIVE_SIZE``.
+The factor is ``BASE_VALUE`` plus ``SIZE_VALUE`` times the relative size, which is
+capped at ``MAX_RELATIVE_SIZE``.
 """
 
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -3,7 +3,12 @@
 import statistics
 from collections.abc import Iterable, Sequence
 
-from bench.patterns import FROM_S, TO_S, WATCHED, Compared
+from bench.patterns import (
+    DISTURBANCE_END_S,
+    DISTURBANCE_START_S,
+    DISTURBED_TARGET,
+    Comparison,
+)
 from bench.queues import Outcome, Run
 from godwitladder.ids import TargetName
 
@@ -43,7 +48,7 @@
     return "\n".join("| " + " | ".join(map(str, line)) + " |" for line in lines)
 
 
-def tier_rows(compared: Compared) -> list[list[object]]:
+def tier_rows(compared: Comparison) -> list[list[object]]:
     """Return one table row for each tier of a pattern."""
     rows = []
     for rank in sorted(compared.naive.outcomes):
@@ -70,7 +75,7 @@
     return rows
 
 
-def waste_row(compared: Compared) -> list[object]:
+def waste_row(compared: Comparison) -> list[object]:
     """Return the table row of prefill, evictions and output of a pattern, in tokens."""
     naive, ours = compared.naive, compared.ours
     return [
@@ -107,10 +112,13 @@
     return sum(outcome.tokens for outcome in run.outcomes.values())
 
 
-def shares_over_time(run: Run, target: TargetName = WATCHED) -> str:
+def requests_over_time(run: Run, target: TargetName = DISTURBED_TARGET) -> str:
     """Return the number of requests at one target, every fourth second."""
-    counts = [row[target] for row in run.shares[::4]]
-    return " ".join(str(count) for count in counts[: int(TO_S + FROM_S) // 4])
+    counts = [row[target] for row in run.load_samples[::4]]
+    return " ".join(
+        str(count)
+        for count in counts[: int(DISTURBANCE_END_S + DISTURBANCE_START_S) // 4]
+    )
 
 
 def load_variation(run: Run) -> float:
@@ -119,16 +127,17 @@
     This is the mean, over the targets, of the standard deviation of the number of
     requests at the target, sampled once a second.
     """
-    names = run.shares[0]
+    names = run.load_samples[0]
     return statistics.mean(
-        statistics.pstdev([row[name] for row in run.shares[10:100]]) for name in names
+        statistics.pstdev([row[name] for row in run.load_samples[10:100]])
+        for name in names
     )
 
 
 def flood_and_other_shares(run: Run) -> tuple[float, float]:
     """Return the shares in time of the flooding workspaces and of the others."""
     flood, rest = [0, 0], [0, 0]
-    for name, (offered, in_time) in run.by_workspace.items():
+    for name, (offered, in_time) in run.workspace_counts.items():
         counts = flood if name.startswith("flood") else rest
         counts[0] += offered
         counts[1] += in_time
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -22,9 +22,9 @@
         Output tokens that callers declare.
     timeout_s : float
         Time from arrival to the deadline.
-    work : float
+    load_share : float
         Share of the slot seconds that the trace uses.
-    keys : int
+    workspaces : int
         Number of workspaces that send such requests.
     """
 
@@ -34,8 +34,8 @@
     output: int
     declared: int
     timeout_s: float
-    work: float
-    keys: int = 8
+    load_share: float
+    workspaces: int = 8
 
 
 @dataclass(frozen=True)
@@ -44,9 +44,9 @@
 
     Attributes
     ----------
-    gone : float
+    hangup_time : float
         Time at which its caller hangs up if it has no answer by then.
-    tries : int
+    prior_attempts : int
         Number of earlier attempts.
     """
 
@@ -59,8 +59,8 @@
     declared: int
     deadline: float
     prefix: str = ""
-    gone: float = float("inf")
-    tries: int = 0
+    hangup_time: float = float("inf")
+    prior_attempts: int = 0
 
 
 MATULA = (
@@ -118,34 +118,34 @@
     seed: int = 1,
 ) -> list[Arrival]:
     """Return a trace with a load of ``load`` times the capacity of ``engines``."""
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     slots = sum(engine.slots for engine in engines)
     trace = []
     for kind in mix:
-        rate = load * slots * kind.work / slot_seconds(kind, engines)
-        now = draw.expovariate(rate)
+        rate = load * slots * kind.load_share / slot_seconds(kind, engines)
+        now = rng.expovariate(rate)
         while now < seconds:
-            trace.append(make_arrival(kind, now, draw))
-            now += draw.expovariate(rate)
-    return number(trace)
+            trace.append(make_arrival(kind, now, rng))
+            now += rng.expovariate(rate)
+    return number_requests(trace)
 
 
-def make_arrival(kind: Kind, now: float, draw: random.Random) -> Arrival:
+def make_arrival(kind: Kind, now: float, rng: random.Random) -> Arrival:
     """Return one random request of ``kind`` that arrives at ``now``."""
-    output = max(1, int(kind.output * draw.lognormvariate(0.0, SIGMA)))
+    output = max(1, int(kind.output * rng.lognormvariate(0.0, SIGMA)))
     return Arrival(
         time=now,
         request=RequestId(""),
-        workspace=WorkspaceName(f"{kind.name}-{draw.randrange(kind.keys)}"),
+        workspace=WorkspaceName(f"{kind.name}-{rng.randrange(kind.workspaces)}"),
         rank=kind.rank,
-        prompt=max(1, int(kind.prompt * draw.lognormvariate(0.0, SIGMA))),
+        prompt=max(1, int(kind.prompt * rng.lognormvariate(0.0, SIGMA))),
         output=min(output, kind.declared),
         declared=kind.declared,
         deadline=now + kind.timeout_s,
     )
 
 
-def number(trace: list[Arrival]) -> list[Arrival]:
+def number_requests(trace: list[Arrival]) -> list[Arrival]:
     """Return ``trace`` in order of arrival, with request ids."""
     trace = sorted(trace, key=lambda row: row.time)
     return [
@@ -161,11 +161,11 @@
     trace = make_trace(mix, engines, 0.7, seconds)
     for start in (0.2, 0.5, 0.8):
         burst = make_trace(mix, engines, 8.0, 4.0, seed=int(start * 10))
-        trace += [shift(row, start * seconds) for row in burst]
-    return number(trace)
+        trace += [delay(row, start * seconds) for row in burst]
+    return number_requests(trace)
 
 
-def shift(row: Arrival, seconds: float) -> Arrival:
+def delay(row: Arrival, seconds: float) -> Arrival:
     """Return ``row`` with arrival and deadline ``seconds`` later."""
     return replace(row, time=row.time + seconds, deadline=row.deadline + seconds)
 
@@ -174,11 +174,11 @@
     mix: Sequence[Kind], engines: Sequence[Engine], seconds: float
 ) -> list[Arrival]:
     """Return a load of 1.5, nine tenths of it from one workspace in each tier."""
-    draw = random.Random(2)
+    rng = random.Random(2)
     trace = make_trace(mix, engines, 1.5, seconds)
     return [
         replace(row, workspace=WorkspaceName(f"flood-{row.rank}"))
-        if draw.random() < 0.9
+        if rng.random() < 0.9
         else row
         for row in trace
     ]
@@ -193,17 +193,17 @@
     ranks = sorted({kind.rank for kind in mix})
     for index in range(2 * slots):
         kind = Kind("long", ranks[index % 2], 4000, 2500, 8192, 150.0, 0.0)
-        draw = random.Random(index)
-        trace.append(make_arrival(kind, seconds * 0.3 + draw.random() * 10, draw))
-    return number(trace)
+        rng = random.Random(index)
+        trace.append(make_arrival(kind, seconds * 0.3 + rng.random() * 10, rng))
+    return number_requests(trace)
 
 
 def add_hangups(trace: list[Arrival], share: float) -> list[Arrival]:
     """Return ``trace`` with a share of callers that hang up halfway to the deadline."""
-    draw = random.Random(3)
+    rng = random.Random(3)
     return [
-        replace(row, gone=(row.time + row.deadline) / 2)
-        if draw.random() < share
+        replace(row, hangup_time=(row.time + row.deadline) / 2)
+        if rng.random() < share
         else row
         for row in trace
     ]
@@ -211,8 +211,8 @@
 
 def add_prefixes(trace: list[Arrival], count: int) -> list[Arrival]:
     """Return ``trace`` with ``count`` prefixes, the first of them the most frequent."""
-    draw = random.Random(4)
+    rng = random.Random(4)
     return [
-        replace(row, prefix=f"prefix-{min(int(draw.expovariate(0.3)), count - 1)}")
+        replace(row, prefix=f"prefix-{min(int(rng.expovariate(0.3)), count - 1)}")
         for row in trace
     ]
