--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -32,7 +32,7 @@
     tier_rows,
     waste_row,
 )
-from bench.runs import SIZES, tick_rows
+from bench.runs import SIZES, allocator_rows
 
 PLOT = Path(__file__).parent.parent / "docs" / "goodput.png"
 
@@ -107,7 +107,7 @@
     start = time.perf_counter()
     print("# One run of the allocator: ms at the median / at the worst\n")
     head = ("case", *(f"{size} waiting" for size in SIZES), "10,000 / 1,000")
-    print(table(head, tick_rows()))
+    print(table(head, allocator_rows()))
     print_goals()
     for user in USERS:
         print_user(user)
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Use:
+class ResourceUse:
     """Resource use of one host, as totals or as averages of an interval.
 
     Attributes
@@ -64,8 +64,8 @@
 class FleetUse:
     """Mean use over all hosts, and the maximum of each resource over the hosts."""
 
-    mean: Use
-    most: Use
+    mean: ResourceUse
+    most: ResourceUse
 
 
 def measure_hosts() -> None:
@@ -114,13 +114,13 @@
 
 def measure_use(fleet: Fleet) -> FleetUse:
     """Measure the use of the hosts of ``fleet`` for ``MEASURE_S`` from now on."""
-    before = [reading(fleet, host) for host in fleet.hosts]
+    before = [read_totals(fleet, host) for host in fleet.hosts]
     start = time.monotonic()
     time.sleep(MEASURE_S)
     seconds = time.monotonic() - start
-    after = [reading(fleet, host) for host in fleet.hosts]
+    after = [read_totals(fleet, host) for host in fleet.hosts]
     uses = [
-        Use(
+        ResourceUse(
             (b.cores - a.cores) / seconds, b.resident, (b.control - a.control) / seconds
         )
         for a, b in zip(before, after, strict=True)
@@ -128,12 +128,12 @@
     names = [name for name, _, _ in UNITS]
     columns = {name: [getattr(use, name) for use in uses] for name in names}
     return FleetUse(
-        Use(*(mean(columns[name]) for name in names)),
-        Use(*(max(columns[name]) for name in names)),
+        ResourceUse(*(mean(columns[name]) for name in names)),
+        ResourceUse(*(max(columns[name]) for name in names)),
     )
 
 
-def reading(fleet: Fleet, host) -> Use:
+def read_totals(fleet: Fleet, host) -> ResourceUse:
     """Return the totals of one host so far."""
     text = fleet.http.request("GET", f"http://{host.operators}/metrics").data.decode()
     control = sum(
@@ -142,7 +142,7 @@
         if line.startswith(CONTROL_METRIC)
     )
     pid = host.process.pid
-    return Use(cpu_seconds(pid), resident_bytes(pid), control)
+    return ResourceUse(cpu_seconds(pid), resident_bytes(pid), control)
 
 
 def mean(values: list[float]) -> float:
@@ -154,7 +154,7 @@
     """Measure memory and replay time of a configuration by number of workspaces."""
     rows, memory, seconds = [], [], []
     for size in WORKSPACE_SIZES:
-        ticket = workspace_ticket(size)
+        ticket = make_workspace_ticket(size)
         tracemalloc.start()
         ledger = Ledger()
         ledger.replay(0, 0.0, ticket)
@@ -165,10 +165,10 @@
         again = Ledger()
         again.replay(0, 0.0, ticket)
         make_state(again)
-        spent = time.perf_counter() - start
-        rows.append((size, len(ticket), f"{held / 1e6:.2f}", f"{spent * 1e3:.0f}"))
+        replay_s = time.perf_counter() - start
+        rows.append((size, len(ticket), f"{held / 1e6:.2f}", f"{replay_s * 1e3:.0f}"))
         memory.append((size, held))
-        seconds.append((size, spent))
+        seconds.append((size, replay_s))
         assert len(state.workspaces) == size
     print("\nConfiguration, one ticket that creates all workspaces:\n")
     print_table(("workspaces", "ticket bytes", "MB held", "ms to replay"), rows)
@@ -178,7 +178,7 @@
     print(f"replay: {line.slope * 1e6:.1f} us for each workspace")
 
 
-def workspace_ticket(size: int) -> bytes:
+def make_workspace_ticket(size: int) -> bytes:
     """Return a ticket that creates ``size`` workspaces, two keys each."""
     lines = [
         'number = 1\noperator = "hanna"\nreason = "capacity"\n[tiers.normal]\nrank = 1'
@@ -205,7 +205,7 @@
         time.sleep(SETTLE_S)
         points = []
         for rate in LOAD_RATES:
-            with Callers(fleet, rate):
+            with ChatLoad(fleet, rate):
                 time.sleep(SETTLE_S)
                 points.append((rate, measure_use(fleet)))
     print(f"\n{LOAD_HOSTS} hosts of one zone, by requests a second at each:\n")
@@ -216,7 +216,7 @@
         print(f"control, {which}: {line.slope:.0f} B for each request at each host")
 
 
-class Callers:
+class ChatLoad:
     """Context manager that sends short chat requests to each host at a fixed rate."""
 
     def __init__(self, fleet: Fleet, rate: float) -> None:
@@ -227,7 +227,7 @@
             threading.Thread(target=self.call, args=(host,)) for host in fleet.hosts
         ]
 
-    def __enter__(self) -> "Callers":
+    def __enter__(self) -> "ChatLoad":
         for thread in self.threads if self.rate else ():
             thread.start()
         return self
@@ -266,10 +266,10 @@
         again = ClaimTable(WINDOW_S)
         for offset, record in enumerate(records):
             again.replay(offset, 1.0, record)
-        spent = time.perf_counter() - start
-        rows.append((size, f"{held / 1e6:.2f}", f"{spent * 1e3:.0f}"))
+        replay_s = time.perf_counter() - start
+        rows.append((size, f"{held / 1e6:.2f}", f"{replay_s * 1e3:.0f}"))
         memory.append((size, held))
-        seconds.append((size, spent))
+        seconds.append((size, replay_s))
     print("\nClaims of one window, beside the bytes of their records:\n")
     print_table(("claims", "MB held", "ms to replay"), rows)
     print(f"memory: {fit_line(memory).slope:.0f} B for each claim")
@@ -282,7 +282,7 @@
     return Claim(key, nonce, "host-a1", 1, b"the body", 0.0)
 
 
-PARTS: dict[str, Callable[[], None]] = {
+MEASUREMENTS: dict[str, Callable[[], None]] = {
     "hosts": measure_hosts,
     "load": measure_load,
     "workspaces": measure_workspaces,
@@ -292,8 +292,8 @@
 
 def main(names: list[str]) -> None:
     """Run the named measurements, or all."""
-    for name in names or PARTS:
-        PARTS[name]()
+    for name in names or MEASUREMENTS:
+        MEASUREMENTS[name]()
 
 
 if __name__ == "__main__":
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -34,24 +34,24 @@
 HOSTS = 4
 CLAIMS_PER_S = 200
 RUN_S = 5.0
-WINDOWS_MS = (0.1, 2, 5, 10, 20, 50)
-APPEND_MS = 5.0
-KEPT = 100_000
+BATCH_WINDOWS_MS = (0.1, 2, 5, 10, 20, 50)
+APPEND_DELAY_MS = 5.0
+MEMORY_CLAIMS = 100_000
 
 
-def offer(actor, rate: float, reply: "queue.SimpleQueue[ClaimResult]") -> dict:
+def submit_claims(actor, rate: float, reply: "queue.SimpleQueue[ClaimResult]") -> dict:
     """Submit claims at random times; return the submission time of each nonce."""
-    offered = {}
-    due = time.monotonic() + RUN_S
-    while (now := time.monotonic()) < due:
+    submitted_at = {}
+    end = time.monotonic() + RUN_S
+    while (now := time.monotonic()) < end:
         nonce = secrets.token_bytes(12)
-        offered[nonce] = now
-        wanted = ClaimRequest(
+        submitted_at[nonce] = now
+        request = ClaimRequest(
             secrets.token_bytes(16), nonce, b"12345678", 0.0, now + 10
         )
-        actor.tell(SubmitClaim(wanted, reply))
+        actor.tell(SubmitClaim(request, reply))
         time.sleep(random.expovariate(rate))
-    return offered
+    return submitted_at
 
 
 def run_host(address: str, batch_s: float, name: str) -> list[float]:
@@ -60,27 +60,27 @@
     settings = ClaimSettings(batch_s=batch_s)
     actor = Claims.start(HostId(name), Incarnation(1), settings, clock, Metrics(), work)
     client = LogClient(f"http://{address}", Zone("a"))
-    part = ClaimLogThreads(actor, client, clock, work, batch_s)
-    part.start()
+    threads = ClaimLogThreads(actor, client, clock, work, batch_s)
+    threads.start()
     while not actor.ask(HasCaughtUp()):
         time.sleep(0.01)
     reply: queue.SimpleQueue[ClaimResult] = queue.SimpleQueue()
-    settled: dict[bytes, float] = {}
+    settled_at: dict[bytes, float] = {}
 
     def receive() -> None:
         while (row := reply.get()) is not None:
-            settled[row.nonce] = time.monotonic()
+            settled_at[row.nonce] = time.monotonic()
 
     receiver = threading.Thread(target=receive)
     receiver.start()
-    offered = offer(actor, CLAIMS_PER_S / HOSTS, reply)
-    while len(settled) < len(offered):
+    submitted_at = submit_claims(actor, CLAIMS_PER_S / HOSTS, reply)
+    while len(settled_at) < len(submitted_at):
         time.sleep(0.01)
     reply.put(None)
     receiver.join()
-    part.stop()
+    threads.stop()
     actor.stop()
-    return [settled[nonce] - start for nonce, start in offered.items()]
+    return [settled_at[nonce] - start for nonce, start in submitted_at.items()]
 
 
 def measure(address: str, batch_s: float) -> tuple[float, list[float]]:
@@ -91,8 +91,10 @@
         subprocess.Popen([*command, f"host-{index}"], stdout=subprocess.PIPE)
         for index in range(HOSTS)
     ]
-    waits = [wait for host in hosts for wait in json.loads(host.communicate()[0])]
-    return (count_appends(address) - before) / RUN_S, sorted(waits)
+    latencies = [
+        latency for host in hosts for latency in json.loads(host.communicate()[0])
+    ]
+    return (count_appends(address) - before) / RUN_S, sorted(latencies)
 
 
 def count_appends(address: str) -> int:
@@ -107,20 +109,22 @@
     tracemalloc.start()
     table = ClaimTable(86_400.0)
     start = tracemalloc.get_traced_memory()[0]
-    keys = [secrets.token_bytes(16) for _ in range(KEPT)]
-    nonces = [secrets.token_bytes(12) for _ in range(KEPT)]
-    bodies = [secrets.token_bytes(8) for _ in range(KEPT)]
-    for offset in range(KEPT):
+    keys = [secrets.token_bytes(16) for _ in range(MEMORY_CLAIMS)]
+    nonces = [secrets.token_bytes(12) for _ in range(MEMORY_CLAIMS)]
+    bodies = [secrets.token_bytes(8) for _ in range(MEMORY_CLAIMS)]
+    for offset in range(MEMORY_CLAIMS):
         row = Claim(keys[offset], nonces[offset], "host-a1", 1, bodies[offset], 0.0)
         table.replay(offset, 1.0 + offset * 1e-3, row)
     held = tracemalloc.get_traced_memory()[0]
-    for offset in range(KEPT):
-        table.replay(KEPT + offset, 200.0, Release(keys[offset], nonces[offset]))
+    for offset in range(MEMORY_CLAIMS):
+        table.replay(
+            MEMORY_CLAIMS + offset, 200.0, Release(keys[offset], nonces[offset])
+        )
     del keys, bodies
     gc.collect()
     released = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return (held - start) / KEPT, (released - start) / KEPT
+    return (held - start) / MEMORY_CLAIMS, (released - start) / MEMORY_CLAIMS
 
 
 def start_platform(stack: contextlib.ExitStack) -> str:
@@ -137,24 +141,24 @@
     rows = []
     with contextlib.ExitStack() as stack:
         address = start_platform(stack)
-        knobs = json.dumps({"delay_s": APPEND_MS / 1000})
+        knobs = json.dumps({"delay_s": APPEND_DELAY_MS / 1000})
         urllib3.request("POST", f"http://{address}/knobs", body=knobs)
-        for window in WINDOWS_MS:
-            appends, waits = measure(address, window / 1000)
-            median = statistics.median(waits) * 1000
-            late = waits[int(len(waits) * 0.99)] * 1000
+        for window in BATCH_WINDOWS_MS:
+            appends, latencies = measure(address, window / 1000)
+            median = statistics.median(latencies) * 1000
+            p99 = latencies[int(len(latencies) * 0.99)] * 1000
             rows.append(
                 (
                     f"{window:g}",
-                    len(waits),
+                    len(latencies),
                     f"{appends:.0f}",
                     f"{median:.1f}",
-                    f"{late:.1f}",
+                    f"{p99:.1f}",
                 )
             )
     print(
         f"{HOSTS} hosts, {CLAIMS_PER_S} claims a second offered in all, "
-        f"the log answers after {APPEND_MS:g} ms, {RUN_S:g} s a row."
+        f"the log answers after {APPEND_DELAY_MS:g} ms, {RUN_S:g} s a row."
     )
     print_table(("window ms", "claims", "appends/s", "p50 ms", "p99 ms"), rows)
     held, released = measure_memory()
--- a/bench/endtoend.py
+++ b/bench/endtoend.py
@@ -26,7 +26,7 @@
 READ_BYTES = 65_536
 
 
-def start_one(stack: contextlib.ExitStack, extra: str = "", **knobs) -> Fleet:
+def start_fleet(stack: contextlib.ExitStack, extra: str = "", **knobs) -> Fleet:
     """Start the platform, engines and one entry host."""
     folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
     fleet = Fleet(folder, stack)
@@ -47,7 +47,7 @@
     return fleet
 
 
-def body_of(tokens: int, stream: bool) -> bytes:
+def make_body(tokens: int, stream: bool) -> bytes:
     """Return a request body that makes the stand-in produce ``tokens`` tokens."""
     raw = {
         "model": "adviser-letters",
@@ -59,7 +59,9 @@
     return json.dumps(raw).encode()
 
 
-def ask(connection: http.client.HTTPConnection, body: bytes, stream: str) -> float:
+def send_call(
+    connection: http.client.HTTPConnection, body: bytes, stream: str
+) -> float:
     """Send one call on an open connection; return the seconds to its last byte.
 
     Raises
@@ -89,13 +91,16 @@
     Each uses a persistent connection of its own. The calls alternate, so that other
     load on the machine affects both alike.
     """
-    fleet = start_one(stack, decode_tps=1e6)
+    fleet = start_fleet(stack, decode_tps=1e6)
     direct = connect(next(iter(fleet.engines.values())))
-    through = connect(fleet.hosts[0].callers)
-    body = body_of(1, stream=True)
+    relayed = connect(fleet.hosts[0].callers)
+    body = make_body(1, stream=True)
     times: dict[str, list[float]] = {"direct": [], "through the host": []}
     for number in range(LATENCY_CALLS + 20):
-        pair = (ask(direct, body, f"direct-{number}"), ask(through, body, "x"))
+        pair = (
+            send_call(direct, body, f"direct-{number}"),
+            send_call(relayed, body, "x"),
+        )
         if number >= 20:
             for name, seconds in zip(times, pair, strict=True):
                 times[name].append(seconds * 1000)
@@ -118,9 +123,9 @@
     def __init__(self, address: str, tokens: int) -> None:
         super().__init__(daemon=True)
         self.address = address
-        self.body = body_of(tokens, stream=True)
+        self.body = make_body(tokens, stream=True)
         self.events = 0
-        self.begun = threading.Event()
+        self.first_event = threading.Event()
         self.stopping = False
 
     def run(self) -> None:
@@ -142,7 +147,7 @@
                 return
             self.events += data.count(b"id: ")
             if self.events:
-                self.begun.set()
+                self.first_event.set()
 
 
 def open_streams(fleet: Fleet, count: int) -> list[Reader]:
@@ -151,7 +156,7 @@
     for reader in readers:
         reader.start()
     for reader in readers:
-        if not reader.begun.wait(60):
+        if not reader.first_event.wait(60):
             raise SystemExit("a stream had no first event within 60 s")
     return readers
 
@@ -163,9 +168,9 @@
     is high enough to keep the host busy all the time.
     """
     rows = []
-    for pace in (20.0, 100.0):
-        with contextlib.ExitStack() as own:
-            fleet = start_one(own, decode_tps=pace)
+    for token_rate in (20.0, 100.0):
+        with contextlib.ExitStack() as rate_stack:
+            fleet = start_fleet(rate_stack, decode_tps=token_rate)
             readers = open_streams(fleet, RELAY_STREAMS)
             pid = fleet.hosts[0].process.pid
             events, used = sum(r.events for r in readers), cpu_seconds(pid)
@@ -177,7 +182,7 @@
             for reader in readers:
                 reader.stopping = True
         rate, share = events / seconds, used / seconds
-        rows.append((pace, f"{rate:.0f}", f"{share:.2f}", f"{rate / share:.0f}"))
+        rows.append((token_rate, f"{rate:.0f}", f"{share:.2f}", f"{rate / share:.0f}"))
     head = ("tokens/s a stream", "events/s", "cores used", "events a core-second")
     print_table(head, rows)
 
@@ -188,7 +193,7 @@
         f'[workspaces.w{number}]\ntier = "normal"\nkey_digests = ["{number:064x}"]'
         for number in range(WORKSPACES)
     ]
-    fleet = start_one(stack, "\n".join(lines), decode_tps=20.0)
+    fleet = start_fleet(stack, "\n".join(lines), decode_tps=20.0)
     pid = fleet.hosts[0].process.pid
     time.sleep(2.0)
     rows = [(0, f"{resident_bytes(pid) / 2**20:.0f}")]
@@ -200,7 +205,7 @@
     print_table((f"streams open, {WORKSPACES} workspaces", "resident MiB"), rows)
 
 
-MEASURES = {
+MEASUREMENTS = {
     "latency": measure_latency,
     "relay": measure_relay,
     "memory": measure_memory,
@@ -209,10 +214,12 @@
 
 def main(names: list[str]) -> None:
     """Run the named measurements, or all."""
-    for name in names or MEASURES:
+    for name in names or MEASUREMENTS:
         with contextlib.ExitStack() as stack:
-            print(f"\n{name}: {MEASURES[name].__doc__.splitlines()[0]}\n", flush=True)
-            MEASURES[name](stack)
+            print(
+                f"\n{name}: {MEASUREMENTS[name].__doc__.splitlines()[0]}\n", flush=True
+            )
+            MEASUREMENTS[name](stack)
 
 
 if __name__ == "__main__":
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -46,7 +46,7 @@
     ]
 
 
-def is_seen(mutant: Mutant) -> bool:
+def is_detected(mutant: Mutant) -> bool:
     """Return whether the test fails without the safeguard.
 
     Raises
@@ -86,14 +86,14 @@
 
 def main(words: list[str]) -> int:
     """Run the mutations and return the exit code."""
-    unseen = 0
+    undetected = 0
     for mutant in read_mutants():
         if words and not any(word in mutant.safeguard for word in words):
             continue
-        seen = is_seen(mutant)
-        unseen += not seen
-        print(f"{'red  ' if seen else 'GREEN'} {mutant.safeguard}", flush=True)
-    return 1 if unseen else 0
+        detected = is_detected(mutant)
+        undetected += not detected
+        print(f"{'red  ' if detected else 'GREEN'} {mutant.safeguard}", flush=True)
+    return 1 if undetected else 0
 
 
 if __name__ == "__main__":
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 @dataclass(frozen=True)
@@ -24,12 +24,12 @@
 def cpu_seconds(pid: int) -> float:
     """Return the processor time used by the process ``pid``, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
 
 def resident_bytes(pid: int) -> int:
     """Return the resident memory of the process ``pid``, in bytes."""
-    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
+    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 def fit_line(points: Sequence[tuple[float, float]]) -> Line:
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -29,7 +29,7 @@
 
 def make_pool(waiting: int, time_to_deadline_s: float) -> PoolView:
     """Return a pool in which half of the targets have one free slot."""
-    draw = random.Random(1)
+    rng = random.Random(1)
     pool = PoolView()
     for index in range(TARGETS):
         name = TargetName(f"engine-{index:02}")
@@ -44,31 +44,31 @@
             limit=SLOTS,
         )
     for index in range(waiting):
-        add_waiting(pool, index, time_to_deadline_s, draw)
+        add_waiting(pool, index, time_to_deadline_s, rng)
     return pool
 
 
 def add_waiting(
-    pool: PoolView, index: int, time_to_deadline_s: float, draw: random.Random
+    pool: PoolView, index: int, time_to_deadline_s: float, rng: random.Random
 ) -> None:
     """Add one random waiting request."""
-    workspace = WorkspaceName(f"workspace-{draw.randrange(WORKSPACES)}")
+    workspace = WorkspaceName(f"workspace-{rng.randrange(WORKSPACES)}")
     pool.workspaces.setdefault(workspace, WorkspaceView())
-    line = RequestDemand(
+    demand = RequestDemand(
         request=RequestId(f"request-{index:05}"),
         workspace=workspace,
         service=SERVICE,
-        tier_rank=draw.randrange(4),
-        prompt_tokens=draw.randrange(50, 2000),
-        predicted_tokens=draw.randrange(10, 500),
+        tier_rank=rng.randrange(4),
+        prompt_tokens=rng.randrange(50, 2000),
+        predicted_tokens=rng.randrange(10, 500),
         time_to_deadline_s=time_to_deadline_s,
         waited_s=0.0,
     )
-    deadline = time_to_deadline_s * (1.0 + draw.random())
-    pool.waiting[line.request] = WaitingRequest(HostId("host"), line, deadline, 0.0)
+    deadline = time_to_deadline_s * (1.0 + rng.random())
+    pool.waiting[demand.request] = WaitingRequest(HostId("host"), demand, deadline, 0.0)
 
 
-def fresh_rows(pool: PoolView) -> None:
+def replace_waiting(pool: PoolView) -> None:
     """Replace each waiting request by one without a queue entry, as new reports do."""
     for request, row in list(pool.waiting.items()):
         pool.waiting[request] = WaitingRequest(
@@ -85,20 +85,20 @@
     for _ in range(RUNS):
         pool.state.last_refusal_check = float("-inf") if refuse else 0.0
         if fresh:
-            fresh_rows(pool)
+            replace_waiting(pool)
         start = time.perf_counter()
         allocate(pool, 0.1)
         times.append((time.perf_counter() - start) * 1000.0)
     return sorted(times)
 
 
-def slack_for(waiting: int, share: float) -> float:
+def deadline_for_share(waiting: int, share: float) -> float:
     """Return a time to the deadline in which about ``share`` of requests can start."""
     seconds_each = 1000 / 5600 + 250 / 55
     return share * waiting * seconds_each / (TARGETS * SLOTS)
 
 
-def tick_rows() -> list[list[str]]:
+def allocator_rows() -> list[list[str]]:
     """Return the median and the longest duration of a run, by case and size.
 
     Durations are in milliseconds. The last column is the ratio of the medians of the
@@ -115,7 +115,7 @@
         medians = []
         cells = []
         for size in SIZES:
-            times = time_runs(size, slack_for(size, share), fresh, refuse)
+            times = time_runs(size, deadline_for_share(size, share), fresh, refuse)
             medians.append(times[len(times) // 2])
             cells.append(f"{medians[-1]:.2f} / {times[-1]:.2f}")
         rows.append([name, *cells, f"{medians[-1] / medians[-2]:.1f}"])
--- a/bench/tickets.py
+++ b/bench/tickets.py
@@ -23,15 +23,15 @@
 WAIT_S = 30.0
 
 
-class Timed:
+class TimedFollower:
     """The configuration follower of one host, with the time of each offset on it."""
 
     def __init__(self, stack: contextlib.ExitStack, address: str, index: int) -> None:
         client = LogClient(f"http://{address}", Zone("a"))
         stack.callback(client.close)
         self.offset = 0
-        self.moved = threading.Condition()
-        self.times: dict[int, float] = {}
+        self.condition = threading.Condition()
+        self.effective_at: dict[int, float] = {}
         self.follower = ConfigFollower(
             client, Clock(), self.publish, HostId(f"host-{index}")
         )
@@ -41,11 +41,11 @@
     def publish(self, ledger: Ledger) -> None:
         """Record the time at which components of the host could read the new state."""
         make_state(ledger)
-        with self.moved:
+        with self.condition:
             for offset in range(self.offset, ledger.next):
-                self.times[offset] = time.perf_counter()
+                self.effective_at[offset] = time.perf_counter()
             self.offset = ledger.next
-            self.moved.notify_all()
+            self.condition.notify_all()
 
     def await_offset(self, offset: int) -> float:
         """Wait until ``offset`` is in force; return the time at which it was.
@@ -55,12 +55,12 @@
         SystemExit
             It isn't in force within ``WAIT_S``.
         """
-        with self.moved:
-            if not self.moved.wait_for(lambda: offset in self.times, WAIT_S):
+        with self.condition:
+            if not self.condition.wait_for(lambda: offset in self.effective_at, WAIT_S):
                 raise SystemExit(
                     f"offset {offset} was not in force within {WAIT_S:g} s"
                 )
-            return self.times[offset]
+            return self.effective_at[offset]
 
 
 def make_ticket(number: int, body: str) -> bytes:
@@ -86,7 +86,9 @@
         stack.callback(platform.shutdown)
         writer = LogClient(f"http://{platform.address}", Zone("a"))
         stack.callback(writer.close)
-        hosts = [Timed(stack, platform.address, index) for index in range(HOSTS)]
+        hosts = [
+            TimedFollower(stack, platform.address, index) for index in range(HOSTS)
+        ]
         writer.append(CONFIG_STREAM, [first_ticket()])
         for host in hosts:
             host.await_offset(0)
--- a/bench/ticks.py
+++ b/bench/ticks.py
@@ -89,27 +89,30 @@
             running = tables.targets["engine-0"].running
             allowance = Allowance("engine-0", running + 1, 1_000_000)
             access.allowances = {"engine-0": allowance}
-        times.append(timed(tick))
+        times.append(time_call(tick))
     return times
 
 
-def time_allocator(lines: int) -> list[float]:
-    """Return the durations of runs in seconds, with ``lines`` demands per host."""
+def time_allocator(demand_count: int) -> list[float]:
+    """Return the durations of many runs in seconds.
+
+    Each host reports ``demand_count`` demands.
+    """
     config = make_config()
     (pool,) = make_pools(config.targets).values()
     role = PoolRole(pool, HostId("h0"), 1, 0.0)
     role.configure(pool, config, frozenset())
-    ((_, report),) = due_reports(make_tables(lines), 1.0)
+    ((_, report),) = due_reports(make_tables(demand_count), 1.0)
     hosts = [f"h{index}" for index in range(HOSTS)]
     now, times = 1.0, []
     for number in range(1, ROUNDS + 1):
         now += RENEWAL_INTERVAL_S
         for host in hosts:
             rows = tuple(
-                replace(line, request=f"{host}-{line.request}")
-                for line in report.demands
+                replace(demand, request=f"{host}-{demand.request}")
+                for demand in report.demands
             )
-            news = replace(
+            host_report = replace(
                 report,
                 host=host,
                 number=number,
@@ -118,32 +121,32 @@
                 acked_offer=number - 1,
                 demands=rows,
             )
-            role.take_report(news, now)
-        times.append(timed(partial(role.run, hosts, now)))
+            role.take_report(host_report, now)
+        times.append(time_call(partial(role.run, hosts, now)))
     return times
 
 
-def timed(call: Callable[[], object]) -> float:
+def time_call(call: Callable[[], object]) -> float:
     """Return the duration of ``call`` in seconds."""
     started = time.perf_counter()
     call()
     return time.perf_counter() - started
 
 
-def show(name: str, times: list[float]) -> None:
+def print_times(name: str, times: list[float]) -> None:
     """Print the median and the longest duration, in milliseconds."""
-    middle, most = statistics.median(times) * 1e3, max(times) * 1e3
-    print(f"{name:44} median {middle:7.2f} ms  longest {most:7.2f} ms")
+    median, longest = statistics.median(times) * 1e3, max(times) * 1e3
+    print(f"{name:44} median {median:7.2f} ms  longest {longest:7.2f} ms")
 
 
 def main() -> None:
     """Run all measurements and print their results."""
     for waiting in WAITING:
-        show(f"tick, full pool, {waiting} waiting", time_ticks(waiting, False))
-        show(f"tick, a free slot, {waiting} waiting", time_ticks(waiting, True))
-    for lines in (0, 1, 8, 32):
-        name = f"allocator, {HOSTS} hosts, {lines} lines each"
-        show(name, time_allocator(lines))
+        print_times(f"tick, full pool, {waiting} waiting", time_ticks(waiting, False))
+        print_times(f"tick, a free slot, {waiting} waiting", time_ticks(waiting, True))
+    for demand_count in (0, 1, 8, 32):
+        name = f"allocator, {HOSTS} hosts, {demand_count} lines each"
+        print_times(name, time_allocator(demand_count))
 
 
 if __name__ == "__main__":
