--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Measures how resource use grows, for ``docs/CAPACITY.md``.
+"""Measures how resource use grows on this machine, for ``docs/CAPACITY.md``.
 
 ``python -m bench.capacity [PART ...]`` runs all measurements, or those named: hosts,
 load, workspaces, claims. Each prints its values at several sizes and the slope of
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -34,7 +34,7 @@
 
 
 class Naive:
-    """First come, first served, to targets in turn, by declared length, without tiers.
+    """First come, first served; round robin over targets; declared lengths; no tiers.
 
     The baseline is a fair one: it never overcommits a target, and it drops requests
     that are past their deadline before dispatch.
--- a/bench/queues.py
+++ b/bench/queues.py
@@ -470,7 +470,8 @@
                 self.outcome(arrival).wasted += stream.prefilled_tokens
                 model.cancel(stream)
             elif arrival.hangup_time > now:
-                # It waits past its deadline: the policy refuses it in this step.
+                # It waits past its deadline: the policy refuses it in this step, and
+                # `refuse` counts it.
                 continue
             del self.open_requests[request]
             self.policy.record_withdrawal(request, produced, now)
