--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,8 +1,9 @@
-"""What each mechanism of the routed decisions is worth, in the model of engines.
+"""Ablation study of the allocation policy for routed calls.
 
-``python -m bench.ablation`` plays the same bursts with each mechanism taken away
-in turn, and prints the credit of all calls and of each kind. The model knows no
-hosts, cuts or crashes: what a mechanism is worth under those it doesn't tell.
+``python -m bench.ablation`` simulates the same bursts with one mechanism disabled
+at a time, and prints the credit earned by all calls and by each kind of call. The
+simulation has no host failures, network partitions or crashes, so it doesn't show
+the value of a mechanism under those.
 """
 
 import contextlib
@@ -21,52 +22,57 @@
 from godwitladder.decisions.sizes import CallSizes
 from godwitladder.scheduler import role
 
-KEPT = "nothing"
+BASELINE = "nothing"
 
 
-def without_policy(**fields) -> contextlib.AbstractContextManager:
-    """Return the policy of routed calls with other fields."""
-    return patch.object(role, "ASKED", replace(role.ROUTED, **fields))
+def with_policy_fields(**fields) -> contextlib.AbstractContextManager:
+    """Replace fields of the policy for routed calls."""
+    return patch.object(role, "ROUTED", replace(role.ROUTED, **fields))
 
 
 def without_sizes() -> contextlib.AbstractContextManager:
-    """Take all calls of a rank for alike."""
+    """Treat all calls of a rank as calls of usual size."""
     return patch.object(CallSizes, "size", lambda *_: Size.USUAL)
 
 
-def without_late_last() -> contextlib.AbstractContextManager:
-    """Leave late calls where they stand."""
-    whole = backlog.make_entry
+def without_late_precedence() -> contextlib.AbstractContextManager:
+    """Keep the precedence of calls that are past their latest start."""
+    original = backlog.make_entry
 
     def make_entry(*args):
-        entry = whole(*args)
+        entry = original(*args)
         entry.late_precedence = entry.precedence
         return entry
 
-    return patch.object(backlog, "weigh", make_entry)
+    return patch.object(backlog, "make_entry", make_entry)
 
 
-def without_returns() -> contextlib.AbstractContextManager:
-    """Take callers that come back for new ones."""
+def without_returning_callers() -> contextlib.AbstractContextManager:
+    """Treat callers that return after a refusal as new ones."""
     return patch.object(RefusedCallers, "note", lambda *_: None)
 
 
-def without_untimely() -> contextlib.AbstractContextManager:
-    """Refuse by the time that callers wait, at the last place only."""
-    return patch.object(allocation, "refuse_untimely", refuse_early)
+def without_late_refusal() -> contextlib.AbstractContextManager:
+    """Refuse late calls of the lowest precedence only, as the strict policy does.
+
+    They are refused by the time that callers wait, not by the time to first output.
+    """
+    return patch.object(allocation, "refuse_late_starts", refuse_early)
 
 
-SWITCHES: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
-    KEPT: contextlib.nullcontext,
-    "parts for ranks and sizes": lambda: without_policy(min_share=1e-9),
+ABLATIONS: dict[str, Callable[[], contextlib.AbstractContextManager]] = {
+    BASELINE: contextlib.nullcontext,
+    "parts for ranks and sizes": lambda: with_policy_fields(min_share=1e-9),
     "sizes": without_sizes,
-    "late calls last": without_late_last,
-    "callers known again": without_returns,
-    "refusal by the aim": without_untimely,
-    "keeping pace": lambda: without_policy(enforces_latency=False),
-    "bound on unread prompts": lambda: patch.object(role, "UNREAD_S", float("inf")),
-    "flow": lambda: without_policy(uses_measured_throughput=False),
-    "no easing off": lambda: without_policy(throttles_slow_targets=True),
+    "late calls last": without_late_precedence,
+    "callers known again": without_returning_callers,
+    "refusal by the aim": without_late_refusal,
+    "keeping pace": lambda: with_policy_fields(enforces_latency=False),
+    "bound on unread prompts": lambda: patch.object(
+        role, "MAX_PENDING_PREFILL_S", float("inf")
+    ),
+    "flow": lambda: with_policy_fields(uses_measured_throughput=False),
+    "no easing off": lambda: with_policy_fields(throttles_slow_targets=True),
     "quick learning of speeds": lambda: patch.object(speeds, "PRIOR", 1e9),
     "preference of the own zone": lambda: patch.object(capacity, "FAR_FACTOR", 1.0),
     "bound on long calls": lambda: patch.object(capacity, "LONG_SHARE", 1.0),
@@ -76,45 +82,48 @@
 }
 
 
-def credits(mix: str, factor: float, seeds: int) -> dict[str, float]:
-    """Return the mean credit of all calls and of each kind."""
-    owed: dict[str, float] = {}
-    earned: dict[str, float] = {}
+def credit_shares(mix: str, factor: float, seeds: int) -> dict[str, float]:
+    """Return the share of the possible credit earned by all calls and by each kind."""
+    max_credit: dict[str, float] = {}
+    credit: dict[str, float] = {}
     for seed in range(1, seeds + 1):
         load = Load(factor=factor, seed=seed, mix=MIXES[mix])
         for name, row in tally(RegionSimulation(load).play()).items():
             for key in ("all", name):
-                owed[key] = owed.get(key, 0.0) + row.max_credit
-                earned[key] = earned.get(key, 0.0) + row.credit
-    return {key: earned[key] / owed[key] for key in owed}
+                max_credit[key] = max_credit.get(key, 0.0) + row.max_credit
+                credit[key] = credit.get(key, 0.0) + row.credit
+    return {key: credit[key] / max_credit[key] for key in max_credit}
 
 
-def rows(mix: str, factor: float, seeds: int) -> Iterator[tuple[str, ...]]:
-    """Yield one row for each mechanism that is taken away."""
-    kept: dict[str, float] = {}
+def table_rows(mix: str, factor: float, seeds: int) -> Iterator[tuple[str, ...]]:
+    """Yield one table row for each disabled mechanism."""
+    baseline: dict[str, float] = {}
     names = ("all", *(kind.name for kind in MIXES[mix].kinds))
-    for name, switch in SWITCHES.items():
-        with switch():
-            got = credits(mix, factor, seeds)
-        kept = kept or got
-        cells = (f"{got[key]:.3f} ({got[key] - kept[key]:+.3f})" for key in names)
+    for name, ablation in ABLATIONS.items():
+        with ablation():
+            measured = credit_shares(mix, factor, seeds)
+        baseline = baseline or measured
+        cells = (
+            f"{measured[key]:.3f} ({measured[key] - baseline[key]:+.3f})"
+            for key in names
+        )
         yield (name, *cells)
 
 
 def main(*, mix: str = "quotes", factor: float = 1.2, seeds: int = 5) -> None:
-    """Print the credit without each mechanism, and what that changes.
+    """Print the credit without each mechanism, and the difference to the baseline.
 
     Parameters
     ----------
     mix : str
-        letters or quotes.
+        Mix of calls: letters or quotes.
     factor : float
-        Of all rates.
+        Multiple of all arrival rates.
     seeds : int
-        Bursts that are played.
+        Number of seeds, with one burst each.
     """
     head = ("without", "all", *(kind.name for kind in MIXES[mix].kinds))
-    print(table(head, list(rows(mix, factor, seeds))))
+    print(table(head, list(table_rows(mix, factor, seeds))))
 
 
 if __name__ == "__main__":
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,9 @@
-"""Measures the slopes behind ``docs/CAPACITY.md`` on this machine.
+"""Measures how resource use grows on this machine, for ``docs/CAPACITY.md``.
 
-``python -m bench.capacity [PART ...]`` runs all parts, or those named: hosts,
-load, workspaces, claims. Each prints readings at several sizes, the line
-through them, and what the line gives at the size to design for.
+``python -m bench.capacity [PART ...]`` runs all measurements, or those named: hosts,
+load, workspaces, claims. Each prints its values at several sizes and the slope of
+the line fitted through them; hosts also prints the extrapolation to a zone of the
+designed size.
 """
 
 import contextlib
@@ -41,8 +42,18 @@
 
 
 @dataclass(frozen=True)
-class Use:
-    """What one host uses: cores, bytes, control bytes (or these a second)."""
+class ResourceUse:
+    """Resource use of one host, as totals or as averages of an interval.
+
+    Attributes
+    ----------
+    cores : float
+        Processor time in seconds, or the average number of cores in use.
+    resident : float
+        Resident memory in bytes.
+    control : float
+        Bytes of control traffic, or bytes per second.
+    """
 
     cores: float
     resident: float
@@ -51,14 +62,14 @@
 
 @dataclass(frozen=True)
 class FleetUse:
-    """The average over all hosts, and the most that any of them uses."""
+    """Mean use over all hosts, and the maximum of each resource over the hosts."""
 
-    mean: Use
-    most: Use
+    mean: ResourceUse
+    most: ResourceUse
 
 
 def measure_hosts() -> None:
-    """Measure idle hosts of one zone."""
+    """Measure the resource use of idle hosts of one availability zone."""
     points = [(size, measure_fleet(size)) for size in HOST_SIZES]
     print("\nIdle hosts of one zone; the most is that of the allocator's host:\n")
     head = ("hosts", "% of a core", "most", "MB resident", "most", "KB/s", "most")
@@ -78,7 +89,7 @@
 
 
 def use_cells(use: FleetUse) -> list[str]:
-    """Return the cells of a row on one fleet's use."""
+    """Return the table cells for the use of one fleet."""
     return [
         f"{getattr(row, name) * scale:.2f}"
         for name, _, scale in UNITS
@@ -87,7 +98,7 @@
 
 
 def measure_fleet(size: int) -> FleetUse:
-    """Return the use of each of ``size`` idle hosts."""
+    """Return the use of a fleet of ``size`` idle hosts."""
     with contextlib.ExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         fleet = make_fleet(Path(folder), stack)
@@ -102,14 +113,14 @@
 
 
 def measure_use(fleet: Fleet) -> FleetUse:
-    """Return what the hosts of ``fleet`` use from now on for some seconds."""
-    before = [reading(fleet, host) for host in fleet.hosts]
+    """Measure the use of the hosts of ``fleet`` for ``MEASURE_S`` from now on."""
+    before = [read_totals(fleet, host) for host in fleet.hosts]
     start = time.monotonic()
     time.sleep(MEASURE_S)
     seconds = time.monotonic() - start
-    after = [reading(fleet, host) for host in fleet.hosts]
+    after = [read_totals(fleet, host) for host in fleet.hosts]
     uses = [
-        Use(
+        ResourceUse(
             (b.cores - a.cores) / seconds, b.resident, (b.control - a.control) / seconds
         )
         for a, b in zip(before, after, strict=True)
@@ -117,13 +128,13 @@
     names = [name for name, _, _ in UNITS]
     columns = {name: [getattr(use, name) for use in uses] for name in names}
     return FleetUse(
-        Use(*(mean(columns[name]) for name in names)),
-        Use(*(max(columns[name]) for name in names)),
+        ResourceUse(*(mean(columns[name]) for name in names)),
+        ResourceUse(*(max(columns[name]) for name in names)),
     )
 
 
-def reading(fleet: Fleet, host) -> Use:
-    """Return the totals that one host has used so far."""
+def read_totals(fleet: Fleet, host) -> ResourceUse:
+    """Return the totals of one host so far."""
     text = fleet.http.request("GET", f"http://{host.operators}/metrics").data.decode()
     control = sum(
         float(line.rsplit(" ", 1)[1])
@@ -131,19 +142,19 @@
         if line.startswith(CONTROL_METRIC)
     )
     pid = host.process.pid
-    return Use(cpu_seconds(pid), resident_bytes(pid), control)
+    return ResourceUse(cpu_seconds(pid), resident_bytes(pid), control)
 
 
 def mean(values: list[float]) -> float:
-    """Return the average."""
+    """Return the arithmetic mean."""
     return sum(values) / len(values)
 
 
 def measure_workspaces() -> None:
-    """Measure memory and replay time of a configuration with many workspaces."""
+    """Measure memory and replay time of a configuration by number of workspaces."""
     rows, memory, seconds = [], [], []
     for size in WORKSPACE_SIZES:
-        ticket = workspace_ticket(size)
+        ticket = make_workspace_ticket(size)
         tracemalloc.start()
         ledger = Ledger()
         ledger.replay(0, 0.0, ticket)
@@ -154,10 +165,10 @@
         again = Ledger()
         again.replay(0, 0.0, ticket)
         make_state(again)
-        spent = time.perf_counter() - start
-        rows.append((size, len(ticket), f"{held / 1e6:.2f}", f"{spent * 1e3:.0f}"))
+        replay_s = time.perf_counter() - start
+        rows.append((size, len(ticket), f"{held / 1e6:.2f}", f"{replay_s * 1e3:.0f}"))
         memory.append((size, held))
-        seconds.append((size, spent))
+        seconds.append((size, replay_s))
         assert len(state.workspaces) == size
     print("\nConfiguration, one ticket that creates all workspaces:\n")
     print_table(("workspaces", "ticket bytes", "MB held", "ms to replay"), rows)
@@ -167,7 +178,7 @@
     print(f"replay: {line.slope * 1e6:.1f} us for each workspace")
 
 
-def workspace_ticket(size: int) -> bytes:
+def make_workspace_ticket(size: int) -> bytes:
     """Return a ticket that creates ``size`` workspaces, two keys each."""
     lines = [
         'number = 1\noperator = "hanna"\nreason = "capacity"\n[tiers.normal]\nrank = 1'
@@ -181,7 +192,7 @@
 
 
 def measure_load() -> None:
-    """Measure what requests add to the control traffic of one zone."""
+    """Measure the control traffic of one availability zone by request rate."""
     with contextlib.ExitStack() as stack:
         folder = stack.enter_context(tempfile.TemporaryDirectory())
         fleet = make_fleet(Path(folder), stack)
@@ -194,7 +205,7 @@
         time.sleep(SETTLE_S)
         points = []
         for rate in LOAD_RATES:
-            with Callers(fleet, rate):
+            with ChatLoad(fleet, rate):
                 time.sleep(SETTLE_S)
                 points.append((rate, measure_use(fleet)))
     print(f"\n{LOAD_HOSTS} hosts of one zone, by requests a second at each:\n")
@@ -205,8 +216,8 @@
         print(f"control, {which}: {line.slope:.0f} B for each request at each host")
 
 
-class Callers:
-    """Sends short questions to each host at a steady rate while entered."""
+class ChatLoad:
+    """Context manager that sends short chat requests to each host at a fixed rate."""
 
     def __init__(self, fleet: Fleet, rate: float) -> None:
         self.fleet = fleet
@@ -216,7 +227,7 @@
             threading.Thread(target=self.call, args=(host,)) for host in fleet.hosts
         ]
 
-    def __enter__(self) -> "Callers":
+    def __enter__(self) -> "ChatLoad":
         for thread in self.threads if self.rate else ():
             thread.start()
         return self
@@ -227,7 +238,7 @@
             thread.join()
 
     def call(self, host) -> None:
-        """Call one host until told to stop."""
+        """Send requests to one host until stopped."""
         due = time.monotonic()
         while not self.stopping.is_set():
             self.fleet.chat(host, "Is 40 right?", max_tokens=16)
@@ -236,7 +247,7 @@
 
 
 def measure_claims() -> None:
-    """Measure the memory and the replay time of the claims of a window."""
+    """Measure memory and replay time of the claims of one retention window."""
     rows, memory, seconds = [], [], []
     for size in CLAIM_SIZES:
         records = [
@@ -255,10 +266,10 @@
         again = ClaimTable(WINDOW_S)
         for offset, record in enumerate(records):
             again.replay(offset, 1.0, record)
-        spent = time.perf_counter() - start
-        rows.append((size, f"{held / 1e6:.2f}", f"{spent * 1e3:.0f}"))
+        replay_s = time.perf_counter() - start
+        rows.append((size, f"{held / 1e6:.2f}", f"{replay_s * 1e3:.0f}"))
         memory.append((size, held))
-        seconds.append((size, spent))
+        seconds.append((size, replay_s))
     print("\nClaims of one window, beside the bytes of their records:\n")
     print_table(("claims", "MB held", "ms to replay"), rows)
     print(f"memory: {fit_line(memory).slope:.0f} B for each claim")
@@ -266,12 +277,12 @@
 
 
 def make_claim() -> Claim:
-    """Return a claim of a key of its own."""
+    """Return a claim of a random key."""
     key, nonce = secrets.token_bytes(16), secrets.token_bytes(12)
     return Claim(key, nonce, "host-a1", 1, b"the body", 0.0)
 
 
-PARTS: dict[str, Callable[[], None]] = {
+MEASUREMENTS: dict[str, Callable[[], None]] = {
     "hosts": measure_hosts,
     "load": measure_load,
     "workspaces": measure_workspaces,
@@ -280,9 +291,9 @@
 
 
 def main(names: list[str]) -> None:
-    """Run the parts named, or all."""
-    for name in names or PARTS:
-        PARTS[name]()
+    """Run the named measurements, or all."""
+    for name in names or MEASUREMENTS:
+        MEASUREMENTS[name]()
 
 
 if __name__ == "__main__":
--- a/bench/endtoend.py
+++ b/bench/endtoend.py
@@ -1,7 +1,7 @@
-"""The path of a request through one entry host, with real processes.
+"""Benchmarks the path of a request through one entry host, with real processes.
 
-``python -m bench.endtoend [latency|relay|memory ...]`` starts its own
-stand-ins and host and prints what it measured, with the load beside it.
+``python -m bench.endtoend [latency|relay|memory ...]`` starts stand-ins and a host of
+its own, and prints each result with the load under which it was measured.
 """
 
 import contextlib
@@ -26,7 +26,7 @@
 READ_BYTES = 65_536
 
 
-def start_one(stack: contextlib.ExitStack, extra: str = "", **knobs) -> Fleet:
+def start_fleet(stack: contextlib.ExitStack, extra: str = "", **knobs) -> Fleet:
     """Start the platform, engines and one entry host."""
     folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
     fleet = Fleet(folder, stack)
@@ -47,8 +47,8 @@
     return fleet
 
 
-def body_of(tokens: int, stream: bool) -> bytes:
-    """Return a request that makes the stand-in produce ``tokens``."""
+def make_body(tokens: int, stream: bool) -> bytes:
+    """Return a request body that makes the stand-in produce ``tokens`` tokens."""
     raw = {
         "model": "adviser-letters",
         "messages": [{"role": "user", "content": "measure"}],
@@ -59,8 +59,16 @@
     return json.dumps(raw).encode()
 
 
-def ask(connection: http.client.HTTPConnection, body: bytes, stream: str) -> float:
-    """Send one call on an open connection; return seconds to its last byte."""
+def send_call(
+    connection: http.client.HTTPConnection, body: bytes, stream: str
+) -> float:
+    """Send one call on an open connection; return the seconds to its last byte.
+
+    Raises
+    ------
+    SystemExit
+        The status isn't 200.
+    """
     headers = {"Authorization": f"Bearer {ADVISER_KEY}", "X-Stream-Id": stream}
     start = time.perf_counter()
     connection.request("POST", "/v1/chat/completions", body, headers)
@@ -80,16 +88,19 @@
 def measure_latency(stack: contextlib.ExitStack) -> None:
     """Compare a call through the host with a direct one, one at a time.
 
-    Both go over a connection of their own that stays open, in turns, so that
-    whatever else the machine does falls on both.
+    Each uses a persistent connection of its own. The calls alternate, so that other
+    load on the machine affects both alike.
     """
-    fleet = start_one(stack, decode_tps=1e6)
+    fleet = start_fleet(stack, decode_tps=1e6)
     direct = connect(next(iter(fleet.engines.values())))
-    through = connect(fleet.hosts[0].callers)
-    body = body_of(1, stream=True)
+    relayed = connect(fleet.hosts[0].callers)
+    body = make_body(1, stream=True)
     times: dict[str, list[float]] = {"direct": [], "through the host": []}
     for number in range(LATENCY_CALLS + 20):
-        pair = (ask(direct, body, f"direct-{number}"), ask(through, body, "x"))
+        pair = (
+            send_call(direct, body, f"direct-{number}"),
+            send_call(relayed, body, "x"),
+        )
         if number >= 20:
             for name, seconds in zip(times, pair, strict=True):
                 times[name].append(seconds * 1000)
@@ -107,23 +118,23 @@
 
 
 class Reader(threading.Thread):
-    """Reads one stream and counts its events until told to stop."""
+    """Reads one stream and counts its events until stopped."""
 
     def __init__(self, address: str, tokens: int) -> None:
         super().__init__(daemon=True)
         self.address = address
-        self.body = body_of(tokens, stream=True)
+        self.body = make_body(tokens, stream=True)
         self.events = 0
-        self.begun = threading.Event()
+        self.first_event = threading.Event()
         self.stopping = False
 
     def run(self) -> None:
-        """Read; the host may be gone before the reader is."""
+        """Read the stream; the host may stop before the reader does."""
         with contextlib.suppress(OSError, http.client.HTTPException):
             self.read()
 
     def read(self) -> None:
-        """Read until the end or until told to stop."""
+        """Read until the end of the stream or until stopped."""
         connection = connect(self.address)
         headers = {"Authorization": f"Bearer {ADVISER_KEY}", "Request-Timeout": "600"}
         connection.request("POST", "/v1/chat/completions", self.body, headers)
@@ -136,7 +147,7 @@
                 return
             self.events += data.count(b"id: ")
             if self.events:
-                self.begun.set()
+                self.first_event.set()
 
 
 def open_streams(fleet: Fleet, count: int) -> list[Reader]:
@@ -145,21 +156,21 @@
     for reader in readers:
         reader.start()
     for reader in readers:
-        if not reader.begun.wait(60):
-            raise SystemExit("a stream did not begin")
+        if not reader.first_event.wait(60):
+            raise SystemExit("a stream had no first event within 60 s")
     return readers
 
 
 def measure_relay(stack: contextlib.ExitStack) -> None:
     """Relay events at two paces and divide by the host's processor time.
 
-    At 20 tokens a second for each stream, the pace of a real engine; and at
-    a pace that keeps the host busy all the time.
+    One rate is 20 tokens per second for each stream, as of a real engine; the other
+    is high enough to keep the host busy all the time.
     """
     rows = []
-    for pace in (20.0, 100.0):
-        with contextlib.ExitStack() as own:
-            fleet = start_one(own, decode_tps=pace)
+    for token_rate in (20.0, 100.0):
+        with contextlib.ExitStack() as rate_stack:
+            fleet = start_fleet(rate_stack, decode_tps=token_rate)
             readers = open_streams(fleet, RELAY_STREAMS)
             pid = fleet.hosts[0].process.pid
             events, used = sum(r.events for r in readers), cpu_seconds(pid)
@@ -171,7 +182,7 @@
             for reader in readers:
                 reader.stopping = True
         rate, share = events / seconds, used / seconds
-        rows.append((pace, f"{rate:.0f}", f"{share:.2f}", f"{rate / share:.0f}"))
+        rows.append((token_rate, f"{rate:.0f}", f"{share:.2f}", f"{rate / share:.0f}"))
     head = ("tokens/s a stream", "events/s", "cores used", "events a core-second")
     print_table(head, rows)
 
@@ -182,7 +193,7 @@
         f'[workspaces.w{number}]\ntier = "normal"\nkey_digests = ["{number:064x}"]'
         for number in range(WORKSPACES)
     ]
-    fleet = start_one(stack, "\n".join(lines), decode_tps=20.0)
+    fleet = start_fleet(stack, "\n".join(lines), decode_tps=20.0)
     pid = fleet.hosts[0].process.pid
     time.sleep(2.0)
     rows = [(0, f"{resident_bytes(pid) / 2**20:.0f}")]
@@ -194,7 +205,7 @@
     print_table((f"streams open, {WORKSPACES} workspaces", "resident MiB"), rows)
 
 
-MEASURES = {
+MEASUREMENTS = {
     "latency": measure_latency,
     "relay": measure_relay,
     "memory": measure_memory,
@@ -203,10 +214,12 @@
 
 def main(names: list[str]) -> None:
     """Run the named measurements, or all."""
-    for name in names or MEASURES:
+    for name in names or MEASUREMENTS:
         with contextlib.ExitStack() as stack:
-            print(f"\n{name}: {MEASURES[name].__doc__.splitlines()[0]}\n", flush=True)
-            MEASURES[name](stack)
+            print(
+                f"\n{name}: {MEASUREMENTS[name].__doc__.splitlines()[0]}\n", flush=True
+            )
+            MEASUREMENTS[name](stack)
 
 
 if __name__ == "__main__":
--- a/bench/tickets.py
+++ b/bench/tickets.py
@@ -1,8 +1,8 @@
-"""Measures how soon a ticket is in force: ``python -m bench.tickets``.
+"""Measures how soon tickets take effect on hosts: ``python -m bench.tickets``.
 
-Fifteen hosts' followers read the platform's stand-in over HTTP, all in this
-process, and tickets are appended one after the other. Prints the time from
-before an append until the last host, and any host, had the ticket in force.
+The configuration followers of fifteen hosts run in this process and read the platform
+stand-in over HTTP, while tickets are appended one after another. Prints the time from
+the start of an append until the ticket is in force on any one host and on the last.
 """
 
 import contextlib
@@ -23,15 +23,15 @@
 WAIT_S = 30.0
 
 
-class Timed:
-    """A host's follower and when each offset came in force on it."""
+class TimedFollower:
+    """The configuration follower of one host, with the time of each offset on it."""
 
     def __init__(self, stack: contextlib.ExitStack, address: str, index: int) -> None:
         client = LogClient(f"http://{address}", Zone("a"))
         stack.callback(client.close)
         self.offset = 0
-        self.moved = threading.Condition()
-        self.times: dict[int, float] = {}
+        self.condition = threading.Condition()
+        self.effective_at: dict[int, float] = {}
         self.follower = ConfigFollower(
             client, Clock(), self.publish, HostId(f"host-{index}")
         )
@@ -39,30 +39,38 @@
         self.follower.start()
 
     def publish(self, ledger: Ledger) -> None:
-        """Note the time once a host's parts could read the new state."""
+        """Record the time at which components of the host could read the new state."""
         make_state(ledger)
-        with self.moved:
+        with self.condition:
             for offset in range(self.offset, ledger.next):
-                self.times[offset] = time.perf_counter()
+                self.effective_at[offset] = time.perf_counter()
             self.offset = ledger.next
-            self.moved.notify_all()
+            self.condition.notify_all()
 
     def await_offset(self, offset: int) -> float:
-        """Return when ``offset`` came in force."""
-        with self.moved:
-            if not self.moved.wait_for(lambda: offset in self.times, WAIT_S):
-                raise SystemExit(f"offset {offset} did not come in force")
-            return self.times[offset]
+        """Wait until ``offset`` is in force; return the time at which it was.
+
+        Raises
+        ------
+        SystemExit
+            It isn't in force within ``WAIT_S``.
+        """
+        with self.condition:
+            if not self.condition.wait_for(lambda: offset in self.effective_at, WAIT_S):
+                raise SystemExit(
+                    f"offset {offset} was not in force within {WAIT_S:g} s"
+                )
+            return self.effective_at[offset]
 
 
 def make_ticket(number: int, body: str) -> bytes:
-    """Return a ticket."""
+    """Return a ticket with the changes in ``body``."""
     head = f'number = {number}\noperator = "bench"\nreason = "a change"\n'
     return (head + body).encode()
 
 
 def first_ticket() -> bytes:
-    """Return the ticket with all workspaces."""
+    """Return the ticket that creates all workspaces."""
     rows = [
         f'[workspaces.w{index}]\ntier = "normal"\nkey_digests = ["{index:064x}"]\n'
         for index in range(WORKSPACES)
@@ -78,7 +86,9 @@
         stack.callback(platform.shutdown)
         writer = LogClient(f"http://{platform.address}", Zone("a"))
         stack.callback(writer.close)
-        hosts = [Timed(stack, platform.address, index) for index in range(HOSTS)]
+        hosts = [
+            TimedFollower(stack, platform.address, index) for index in range(HOSTS)
+        ]
         writer.append(CONFIG_STREAM, [first_ticket()])
         for host in hosts:
             host.await_offset(0)
--- a/bench/traces.py
+++ b/bench/traces.py
@@ -1,4 +1,4 @@
-"""Seeded traces of requests: both users' mixes and the patterns of load."""
+"""Seeded random traces of requests, for the mixes and load patterns of both users."""
 
 import random
 from collections.abc import Sequence
@@ -12,18 +12,20 @@
 
 @dataclass(frozen=True)
 class Kind:
-    """One kind of request.
+    """Parameters of one kind of request.
 
     Attributes
     ----------
     prompt, output : int
-        Median tokens; lengths are spread log-normally.
+        Median tokens; lengths are log-normally distributed.
     declared : int
-        Output tokens that callers reserve.
+        Output tokens that callers declare.
     timeout_s : float
-        Deadline after arrival.
-    work : float
-        Share of the trace's slot seconds.
+        Time from arrival to the deadline.
+    load_share : float
+        Share of the slot seconds that the trace uses.
+    workspaces : int
+        Number of workspaces that send such requests.
     """
 
     name: str
@@ -32,20 +34,20 @@
     output: int
     declared: int
     timeout_s: float
-    work: float
-    keys: int = 8
+    load_share: float
+    workspaces: int = 8
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """One request of a trace; times in seconds from the trace's start.
+    """One request of a trace; times are in seconds from the start of the trace.
 
     Attributes
     ----------
-    gone : float
-        When its caller hangs up, if it has no answer by then.
-    tries : int
-        How often it was sent before.
+    hangup_time : float
+        Time at which its caller hangs up if it has no answer by then.
+    prior_attempts : int
+        Number of earlier attempts.
     """
 
     time: float
@@ -57,8 +59,8 @@
     declared: int
     deadline: float
     prefix: str = ""
-    gone: float = float("inf")
-    tries: int = 0
+    hangup_time: float = float("inf")
+    prior_attempts: int = 0
 
 
 MATULA = (
@@ -78,7 +80,7 @@
 
 @dataclass(frozen=True)
 class Engine:
-    """One target of the bench; speeds in tokens a second."""
+    """Parameters of one model target; speeds are in tokens per second."""
 
     name: str
     slots: int
@@ -88,7 +90,7 @@
 
 
 def make_engines(count: int, slots: int, memory: int) -> tuple[Engine, ...]:
-    """Return ``count`` targets of three generations."""
+    """Return ``count`` targets with three different speeds."""
     return tuple(
         Engine(f"engine-{n:02}", slots, memory, 6000.0 * g, 40.0 * g)
         for n in range(count)
@@ -101,7 +103,7 @@
 
 
 def slot_seconds(kind: Kind, engines: Sequence[Engine]) -> float:
-    """Return how long a request of ``kind`` holds a slot, on average."""
+    """Return the mean time for which a request of ``kind`` holds a slot, in seconds."""
     prefill = sum(engine.prefill_tps for engine in engines) / len(engines)
     decode = sum(engine.decode_tps for engine in engines) / len(engines)
     mean = 2.718281828 ** (SIGMA**2 / 2)
@@ -115,36 +117,36 @@
     seconds: float,
     seed: int = 1,
 ) -> list[Arrival]:
-    """Return a trace of ``load`` times what ``engines`` can run."""
-    draw = random.Random(seed)
+    """Return a trace with a load of ``load`` times the capacity of ``engines``."""
+    rng = random.Random(seed)
     slots = sum(engine.slots for engine in engines)
     trace = []
     for kind in mix:
-        rate = load * slots * kind.work / slot_seconds(kind, engines)
-        now = draw.expovariate(rate)
+        rate = load * slots * kind.load_share / slot_seconds(kind, engines)
+        now = rng.expovariate(rate)
         while now < seconds:
-            trace.append(make_arrival(kind, now, draw))
-            now += draw.expovariate(rate)
-    return number(trace)
+            trace.append(make_arrival(kind, now, rng))
+            now += rng.expovariate(rate)
+    return number_requests(trace)
 
 
-def make_arrival(kind: Kind, now: float, draw: random.Random) -> Arrival:
-    """Return one request of ``kind`` at ``now``."""
-    output = max(1, int(kind.output * draw.lognormvariate(0.0, SIGMA)))
+def make_arrival(kind: Kind, now: float, rng: random.Random) -> Arrival:
+    """Return one random request of ``kind`` that arrives at ``now``."""
+    output = max(1, int(kind.output * rng.lognormvariate(0.0, SIGMA)))
     return Arrival(
         time=now,
         request=RequestId(""),
-        workspace=WorkspaceName(f"{kind.name}-{draw.randrange(kind.keys)}"),
+        workspace=WorkspaceName(f"{kind.name}-{rng.randrange(kind.workspaces)}"),
         rank=kind.rank,
-        prompt=max(1, int(kind.prompt * draw.lognormvariate(0.0, SIGMA))),
+        prompt=max(1, int(kind.prompt * rng.lognormvariate(0.0, SIGMA))),
         output=min(output, kind.declared),
         declared=kind.declared,
         deadline=now + kind.timeout_s,
     )
 
 
-def number(trace: list[Arrival]) -> list[Arrival]:
-    """Return ``trace`` in order of time, with request ids."""
+def number_requests(trace: list[Arrival]) -> list[Arrival]:
+    """Return ``trace`` in order of arrival, with request ids."""
     trace = sorted(trace, key=lambda row: row.time)
     return [
         replace(row, request=RequestId(f"r{index:06}"))
@@ -159,24 +161,24 @@
     trace = make_trace(mix, engines, 0.7, seconds)
     for start in (0.2, 0.5, 0.8):
         burst = make_trace(mix, engines, 8.0, 4.0, seed=int(start * 10))
-        trace += [shift(row, start * seconds) for row in burst]
-    return number(trace)
+        trace += [delay(row, start * seconds) for row in burst]
+    return number_requests(trace)
 
 
-def shift(row: Arrival, seconds: float) -> Arrival:
-    """Return ``row`` later by ``seconds``."""
+def delay(row: Arrival, seconds: float) -> Arrival:
+    """Return ``row`` with arrival and deadline ``seconds`` later."""
     return replace(row, time=row.time + seconds, deadline=row.deadline + seconds)
 
 
 def add_flood(
     mix: Sequence[Kind], engines: Sequence[Engine], seconds: float
 ) -> list[Arrival]:
-    """Return a load of 1.5 of which one workspace a tier sends nine tenths."""
-    draw = random.Random(2)
+    """Return a load of 1.5, nine tenths of it from one workspace in each tier."""
+    rng = random.Random(2)
     trace = make_trace(mix, engines, 1.5, seconds)
     return [
         replace(row, workspace=WorkspaceName(f"flood-{row.rank}"))
-        if draw.random() < 0.9
+        if rng.random() < 0.9
         else row
         for row in trace
     ]
@@ -185,32 +187,32 @@
 def add_long(
     mix: Sequence[Kind], engines: Sequence[Engine], seconds: float
 ) -> list[Arrival]:
-    """Return a load of 0.6 with a wave of long requests of the same tiers."""
+    """Return a load of 0.6 with a burst of long requests in the first two tiers."""
     trace = make_trace(mix, engines, 0.6, seconds)
     slots = sum(engine.slots for engine in engines)
     ranks = sorted({kind.rank for kind in mix})
     for index in range(2 * slots):
         kind = Kind("long", ranks[index % 2], 4000, 2500, 8192, 150.0, 0.0)
-        draw = random.Random(index)
-        trace.append(make_arrival(kind, seconds * 0.3 + draw.random() * 10, draw))
-    return number(trace)
+        rng = random.Random(index)
+        trace.append(make_arrival(kind, seconds * 0.3 + rng.random() * 10, rng))
+    return number_requests(trace)
 
 
 def add_hangups(trace: list[Arrival], share: float) -> list[Arrival]:
-    """Return ``trace`` with callers that hang up half way to their deadline."""
-    draw = random.Random(3)
+    """Return ``trace`` with a share of callers that hang up halfway to the deadline."""
+    rng = random.Random(3)
     return [
-        replace(row, gone=(row.time + row.deadline) / 2)
-        if draw.random() < share
+        replace(row, hangup_time=(row.time + row.deadline) / 2)
+        if rng.random() < share
         else row
         for row in trace
     ]
 
 
 def add_prefixes(trace: list[Arrival], count: int) -> list[Arrival]:
-    """Return ``trace`` with ``count`` prefixes, the first of them popular."""
-    draw = random.Random(4)
+    """Return ``trace`` with ``count`` prefixes, the first of them the most frequent."""
+    rng = random.Random(4)
     return [
-        replace(row, prefix=f"prefix-{min(int(draw.expovariate(0.3)), count - 1)}")
+        replace(row, prefix=f"prefix-{min(int(rng.expovariate(0.3)), count - 1)}")
         for row in trace
     ]
