--- a/bench/policies.py
+++ b/bench/policies.py
@@ -260,7 +260,7 @@
             row = self.pool.waiting.pop(decision.request)
             body = BodyDigest(decision.request.rstrip("+"))
             wait = decision.retry_after_s
-            self.refused.note(row.demand.workspace, body, wait, now)
+            self.refused.record_refusal(row.demand.workspace, body, wait, now)
             feasible = row.deadline - now > 0 or row.deadline - row.arrived > 0
             shed = decision.reason is not ShedReason.QUOTA and feasible
             refusals.append(PolicyRefusal(decision.request, wait, shed))
--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -110,7 +110,7 @@
     Attributes
     ----------
     started_at : float or None
-        Time of the first call of `known_s`, in seconds. Spending before that is
+        Time of the first call of `covered_s`, in seconds. Spending before that is
         taken as unknown.
     seconds : dict
         Tokens spent by workspace and by second.
@@ -119,7 +119,9 @@
     started_at: float | None = None
     seconds: dict[WorkspaceName, dict[int, int]] = field(default_factory=dict)
 
-    def note(self, workspace: WorkspaceName, charge: int, now: float) -> None:
+    def record_spending(
+        self, workspace: WorkspaceName, charge: int, now: float
+    ) -> None:
         """Record the tokens of a request that was sent to a target."""
         spent = self.seconds.setdefault(workspace, {})
         second = int(now)
@@ -138,7 +140,7 @@
                 rows.append(WorkspaceSpending(name, tokens))
         return tuple(rows)
 
-    def known_s(self, now: float) -> float:
+    def covered_s(self, now: float) -> float:
         """Return for how many seconds back the history is complete."""
         if self.started_at is None:
             self.started_at = now
@@ -229,7 +231,7 @@
         self,
         host: HostId,
         spent: Iterable[WorkspaceSpending],
-        known_s: float,
+        covered_s: float,
         now: float,
     ) -> None:
         """Add the spending that a host reports from before these buckets existed.
@@ -242,7 +244,7 @@
             The host that reports.
         spent : iterable of WorkspaceSpending
             What it spent in the last seconds.
-        known_s : float
+        covered_s : float
             For how many seconds back ``spent`` is complete.
         now : float
             Current time, in seconds.
@@ -251,7 +253,7 @@
             return
         if not self.coverage:
             self.first_report_at = now
-        self.coverage[host] = min(1.0, max(0.0, known_s / HISTORY_S))
+        self.coverage[host] = min(1.0, max(0.0, covered_s / HISTORY_S))
         for row in spent:
             totals = self.past_spending.setdefault(row.workspace, [0] * HISTORY_S)
             for age_index, tokens in enumerate(row.tokens[:HISTORY_S]):
--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -167,12 +167,12 @@
         self._update_demands(report)
         return True
 
-    def note_grant(self, sent: SentGrant) -> None:
+    def record_grant(self, sent: SentGrant) -> None:
         """Count a grant that was sent in an offer."""
         self.grants[sent.grant.request] = sent
         self.clear_cached_usage()
 
-    def note_allowances(self, sent: SentAllowances) -> None:
+    def record_allowances(self, sent: SentAllowances) -> None:
         """Count the allowances that were sent in an offer."""
         self.allowances.append(sent)
         self.clear_cached_usage()
--- a/godwitladder/scheduler/allocator.py
+++ b/godwitladder/scheduler/allocator.py
@@ -66,9 +66,9 @@
     leaving: frozenset[str] = frozenset()
     pools: dict[PoolName, Pool] = field(default_factory=dict)
     roles: dict[PoolName, PoolRole] = field(default_factory=dict)
-    standing: bool = True
+    has_standing_grants: bool = True
     quota_slack: float = 0.0
-    seen: SeenHosts = field(default_factory=SeenHosts)
+    seen_hosts: SeenHosts = field(default_factory=SeenHosts)
 
     @property
     def allocators(self) -> tuple[HostId, ...]:
@@ -207,7 +207,7 @@
             if name not in tables.roles:
                 term = int(self.clock.wall() * 1000)
                 tables.roles[name] = PoolRole(
-                    pool, tables.host, term, now, tables.standing
+                    pool, tables.host, term, now, tables.has_standing_grants
                 )
                 log.info("Allocator role started", extra={"pool": pool_key(name)})
             role = tables.roles[name]
@@ -259,8 +259,8 @@
         their own. If both granted whole quotas, a workspace would get twice its
         quota for as long as the partition lasts.
         """
-        self.tables.seen.note(self.tables.hosts, now)
-        return len(self.tables.hosts) / self.tables.seen.count_recent(now)
+        self.tables.seen_hosts.record_alive(self.tables.hosts, now)
+        return len(self.tables.hosts) / self.tables.seen_hosts.count_recent(now)
 
     def forward(self, message: PoolReport | FloorReport, pool: PoolName) -> None:
         """Forward a message from another zone to this zone's allocator, once."""
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -158,7 +158,7 @@
     most of the allocator's time. A host that has not been answered yet keeps
     reporting what its workspaces have spent.
     """
-    if access.is_local and (tables.standing or access.holder is None):
+    if access.is_local and (tables.has_standing_grants or access.holder is None):
         return True
     if access.requested or access.grants:
         return True
@@ -234,7 +234,7 @@
         completions=completions,
         throughput_samples=take_samples(tables, access, now),
         spent=access.history.recent_spending(now) if unanswered else (),
-        known_s=access.history.known_s(now) if unanswered else 0.0,
+        covered_s=access.history.covered_s(now) if unanswered else 0.0,
         incremental=update.incremental,
         removed=update.removed,
     )
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -182,7 +182,7 @@
         """Process a host's report; return whether the role should run at once."""
         key = report.host, report.incarnation
         self.current_at = None
-        delay_s = self.delays.note(report, now)
+        delay_s = self.delays.record_report(report, now)
         account = self.accounts.get(key)
         if account is None:
             account = HostAccount(*key, next_number=self.first_offer_number)
@@ -191,7 +191,7 @@
         if not account.take(report, acked_offer, now):
             return False
         self.update_waiting(account, report, now - delay_s)
-        self.quotas.add_history(report.host, report.spent, report.known_s, now)
+        self.quotas.add_history(report.host, report.spent, report.covered_s, now)
         for row in report.completions:
             self.observe_completion(row)
         for sample in report.throughput_samples:
@@ -387,7 +387,7 @@
         expires_s = account.sent_s + OFFER_LIFETIME_S
         for grant in offer.grants:
             demand = account.demands.pop(grant.request)
-            account.note_grant(
+            account.record_grant(
                 SentGrant(
                     account.next_number,
                     expires_s,
@@ -506,7 +506,7 @@
         account.offered_at = now
         account.answered_report = account.last_report
         expires_s = account.sent_s + OFFER_LIFETIME_S
-        account.note_allowances(SentAllowances(number, expires_s, allowances))
+        account.record_allowances(SentAllowances(number, expires_s, allowances))
         return GrantOffer(
             host=account.host,
             incarnation=account.incarnation,
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -180,7 +180,7 @@
     off would give a workspace everything it requests.
     """
     quotas = tables.quotas
-    quotas.share = 1.0 / tables.seen.count_recent(now)
+    quotas.share = 1.0 / tables.seen_hosts.count_recent(now)
     quotas.discard_stale_bucket(
         row.workspace, tables.by_service[row.service][0].answered_at
     )
@@ -296,7 +296,7 @@
     mark_use_changed(tables, target)
     access = tables.pool_of.get(target.name)
     if access and row.charge:
-        access.history.note(row.workspace, row.charge, now)
+        access.history.record_spending(row.workspace, row.charge, now)
     row.decisions.put(
         Dispatch(row.request, row.stream, target.name, target.target.address)
     )
@@ -306,7 +306,7 @@
     tables: Tables,
     row: RequestRow,
     now: float,
-    repeat: bool = False,
+    may_have_run: bool = False,
     avoid: bool = True,
 ) -> None:
     """Queue a dispatched request again.
@@ -325,7 +325,7 @@
     IllegalTransition
         If the target may have run the request and it is not idempotent.
     """
-    if repeat and not row.idempotent:
+    if may_have_run and not row.idempotent:
         raise IllegalTransition(f"{row.request} may have run and is not idempotent")
     target = tables.targets.get(row.target)
     _leave_target(tables, row)
