--- a/bench/region.py
+++ b/bench/region.py
@@ -283,7 +283,7 @@
         update_targets(self.tables)
         choose_allocators(self.tables, 0.0)
         (pool,) = make_pools(config.targets).values()
-        self.role = PoolRole(pool, HOST, 1, 0.0, standing=False)
+        self.role = PoolRole(pool, HOST, 1, 0.0, has_standing_grants=False)
         self.role.configure(pool, config, frozenset())
         self.engines = {
             name: BatchEngine(
--- a/godwitladder/routing/daemon.py
+++ b/godwitladder/routing/daemon.py
@@ -117,7 +117,7 @@
             self.incarnation,
             hosts=(settings.host,),
             availability_zone=settings.zone,
-            standing=False,
+            has_standing_grants=False,
             early_fallback=True,
         )
         self.scheduler = self.start_actor(
@@ -133,7 +133,7 @@
             AllocatorTables(
                 settings.host,
                 self.span,
-                standing=False,
+                has_standing_grants=False,
                 quota_slack=settings.bounds.quota_slack,
             ),
             clock,
--- a/godwitladder/scheduler/allocator.py
+++ b/godwitladder/scheduler/allocator.py
@@ -66,7 +66,7 @@
     leaving: frozenset[str] = frozenset()
     pools: dict[PoolName, Pool] = field(default_factory=dict)
     roles: dict[PoolName, PoolRole] = field(default_factory=dict)
-    standing: bool = True
+    has_standing_grants: bool = True
     quota_slack: float = 0.0
     seen: SeenHosts = field(default_factory=SeenHosts)
 
@@ -207,7 +207,7 @@
             if name not in tables.roles:
                 term = int(self.clock.wall() * 1000)
                 tables.roles[name] = PoolRole(
-                    pool, tables.host, term, now, tables.standing
+                    pool, tables.host, term, now, tables.has_standing_grants
                 )
                 log.info("Allocator role started", extra={"pool": pool_key(name)})
             role = tables.roles[name]
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -159,7 +159,7 @@
     allocator's time. A host that the allocator has not answered yet keeps reporting
     what its workspaces have spent.
     """
-    if access.is_local and (tables.standing or access.holder is None):
+    if access.is_local and (tables.has_standing_grants or access.holder is None):
         return True
     if access.requested or access.grants:
         return True
--- a/godwitladder/scheduler/rows.py
+++ b/godwitladder/scheduler/rows.py
@@ -251,7 +251,7 @@
     quotas: TokenQuotas = field(default_factory=TokenQuotas)
     seen: SeenHosts = field(default_factory=SeenHosts)
     gate: AdmissionGate = field(default_factory=AdmissionGate)
-    standing: bool = True
+    has_standing_grants: bool = True
     early_fallback: bool = False
 
     @property
--- a/tests/scheduler/flood.py
+++ b/tests/scheduler/flood.py
@@ -68,10 +68,12 @@
         )
         self.tables = {name: make_tables(name, names, config) for name in names}
         for tables in self.tables.values():
-            tables.standing = False
+            tables.has_standing_grants = False
         (pool,) = make_pools(config.targets).values()
         (access,) = self.tables[names[0]].pools.values()
-        self.role = PoolRole(pool, access.allocator, 1, self.now, standing=False)
+        self.role = PoolRole(
+            pool, access.allocator, 1, self.now, has_standing_grants=False
+        )
         self.role.configure(pool, config, frozenset())
 
     def run(self, seconds: float, calls_per_s: float) -> None:
--- a/tests/scheduler/overload.py
+++ b/tests/scheduler/overload.py
@@ -74,10 +74,12 @@
         self.tables = [make_tables(name, names, config) for name in names]
         self.rows: list[list[RequestRow]] = [[] for _ in names]
         for tables in self.tables:
-            tables.standing, tables.early_fallback = False, True
+            tables.has_standing_grants, tables.early_fallback = False, True
         (pool,) = make_pools(config.targets).values()
         (access,) = self.tables[0].pools.values()
-        self.role = PoolRole(pool, access.allocator, 1, self.now, standing=False)
+        self.role = PoolRole(
+            pool, access.allocator, 1, self.now, has_standing_grants=False
+        )
         self.role.configure(pool, config, frozenset())
 
     def run(self, seconds: float, calls_per_s: float) -> None:
--- a/tests/scheduler/test_idle.py
+++ b/tests/scheduler/test_idle.py
@@ -21,14 +21,14 @@
 
 def make_host():
     tables = make_tables("h1", HOSTS, make_config({"e0": 2}))
-    tables.standing = False
+    tables.has_standing_grants = False
     return tables
 
 
 def make_role():
     config = make_config({"e0": 2, "e1": 2})
     (pool,) = make_pools(config.targets).values()
-    role = PoolRole(pool, HostId("h0"), 1, START, standing=False)
+    role = PoolRole(pool, HostId("h0"), 1, START, has_standing_grants=False)
     role.configure(pool, config, frozenset())
     return role
 
--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -25,7 +25,7 @@
     config = make_config({"e0": 1})
     tables = make_tables("h0", ("h0",), config)
     (pool,) = make_pools(config.targets).values()
-    role = PoolRole(pool, "h0", 1, START, standing=False)
+    role = PoolRole(pool, "h0", 1, START, has_standing_grants=False)
     role.configure(pool, config, frozenset())
     return tables, role
 
