--- a/godwitladder/scheduler/allocator.py
+++ b/godwitladder/scheduler/allocator.py
@@ -49,11 +49,11 @@
         Hosts of other zones that this host has a link to, by zone.
     leaving : frozenset of str
         Addresses of targets that are leaving.
-    standing : bool
-        Whether hosts get allowances in advance while no request waits.
+    has_standing_grants : bool
+        Whether hosts get standing grants while no request waits.
     quota_slack : float
         Tokens that a workspace may use beyond its quota in a window.
-    seen : SeenHosts
+    seen_hosts : SeenHosts
         Times at which each host was last seen alive.
     """
 
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -125,17 +125,24 @@
         Number of the term, higher than that of every earlier term of this host.
     now : float
         Time at which the term begins.
-    standing : bool
+    has_standing_grants : bool
         Whether hosts get standing grants, which are allowances in advance, while no
         request waits. If not, a host has to ask for each dispatch.
     """
 
     def __init__(
-        self, pool: Pool, host: HostId, term: int, now: float, standing: bool = True
+        self,
+        pool: Pool,
+        host: HostId,
+        term: int,
+        now: float,
+        has_standing_grants: bool = True,
     ) -> None:
-        self.has_standing_grants = standing
-        self.max_pending_prefill_s = math.inf if standing else MAX_PENDING_PREFILL_S
-        self.policy = STRICT if standing else ROUTED
+        self.has_standing_grants = has_standing_grants
+        self.max_pending_prefill_s = (
+            math.inf if has_standing_grants else MAX_PENDING_PREFILL_S
+        )
+        self.policy = STRICT if has_standing_grants else ROUTED
         self.pool = pool
         self.host = host
         self.term = term
--- a/godwitladder/scheduler/rows.py
+++ b/godwitladder/scheduler/rows.py
@@ -217,12 +217,12 @@
         Availability zone of this host; empty unless it is a part of ``zone``.
     quotas : TokenQuotas
         Token quotas that this host enforces while it has no allocator.
-    seen : SeenHosts
+    seen_hosts : SeenHosts
         Hosts with which it shares the quotas then.
     gate : AdmissionGate
         Admission shares received from allocators. May be called by any thread.
-    standing : bool
-        Whether allocators give standing allowances while nothing waits.
+    has_standing_grants : bool
+        Whether hosts get standing grants while no request waits.
     early_fallback : bool
         Whether this host uses its fixed share of targets in its availability zone
         as soon as an answer of its allocator is overdue, in addition to what the
