--- a/godwitladder/scheduler/allocator.py
+++ b/godwitladder/scheduler/allocator.py
@@ -68,7 +68,7 @@
     roles: dict[PoolName, PoolRole] = field(default_factory=dict)
     has_standing_grants: bool = True
     quota_slack: float = 0.0
-    seen: SeenHosts = field(default_factory=SeenHosts)
+    seen_hosts: SeenHosts = field(default_factory=SeenHosts)
 
     @property
     def allocators(self) -> tuple[HostId, ...]:
@@ -259,8 +259,8 @@
         their own. If both granted whole quotas, a workspace would get twice its
         quota for as long as the partition lasts.
         """
-        self.tables.seen.note(self.tables.hosts, now)
-        return len(self.tables.hosts) / self.tables.seen.count_recent(now)
+        self.tables.seen_hosts.note(self.tables.hosts, now)
+        return len(self.tables.hosts) / self.tables.seen_hosts.count_recent(now)
 
     def forward(self, message: PoolReport | FloorReport, pool: PoolName) -> None:
         """Forward a message from another zone to this zone's allocator, once."""
--- a/godwitladder/scheduler/rows.py
+++ b/godwitladder/scheduler/rows.py
@@ -249,7 +249,7 @@
     stopping: bool = False
     availability_zone: Zone = Zone("")
     quotas: TokenQuotas = field(default_factory=TokenQuotas)
-    seen: SeenHosts = field(default_factory=SeenHosts)
+    seen_hosts: SeenHosts = field(default_factory=SeenHosts)
     gate: AdmissionGate = field(default_factory=AdmissionGate)
     has_standing_grants: bool = True
     early_fallback: bool = False
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -180,7 +180,7 @@
     is cut off would admit all requests of the workspace.
     """
     quotas = tables.quotas
-    quotas.share = 1.0 / tables.seen.count_recent(now)
+    quotas.share = 1.0 / tables.seen_hosts.count_recent(now)
     quotas.discard_stale_bucket(
         row.workspace, tables.by_service[row.service][0].answered_at
     )
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -41,7 +41,7 @@
 def make_tables(hosts):
     tables = Tables("h1", "a", hosts=("h1",), config=CONFIG)
     tables.quotas.rates = token_rates(CONFIG)
-    tables.seen.note(hosts, 0.0)
+    tables.seen_hosts.note(hosts, 0.0)
     update_targets(tables)
     return tables
 
@@ -71,7 +71,7 @@
 def test_the_share_of_hosts_that_ended_returns_to_the_others():
     tables = make_tables(["h1", "h2", "h3", "h4", "h5"])
     now = HOST_EXPIRY_S + 1
-    tables.seen.note(["h1"], now)
+    tables.seen_hosts.note(["h1"], now)
     decided = [submit(tables, number, now) for number in range(10)]
     assert sum(isinstance(row, Refusal) for row in decided) < 9
 
@@ -92,7 +92,7 @@
     clock.advance(2 * HOST_EXPIRY_S)
     scheduler.take(Tick())
     scheduler.take(HostsChanged(("h1",), {}))
-    assert tables.seen.count_recent(clock.monotonic()) == 5
+    assert tables.seen_hosts.count_recent(clock.monotonic()) == 5
 
 
 PAIR = ("h0", "h1")
