--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -110,7 +110,7 @@
     Attributes
     ----------
     started_at : float or None
-        Time of the first call of `known_s`, in seconds. Spending before that is
+        Time of the first call of `covered_s`, in seconds. Spending before that is
         taken as unknown.
     seconds : dict
         Tokens spent by workspace and by second.
@@ -138,7 +138,7 @@
                 rows.append(WorkspaceSpending(name, tokens))
         return tuple(rows)
 
-    def known_s(self, now: float) -> float:
+    def covered_s(self, now: float) -> float:
         """Return for how many seconds back the history is complete."""
         if self.started_at is None:
             self.started_at = now
@@ -229,7 +229,7 @@
         self,
         host: HostId,
         spent: Iterable[WorkspaceSpending],
-        known_s: float,
+        covered_s: float,
         now: float,
     ) -> None:
         """Add the spending that a host reports from before these buckets existed.
@@ -242,7 +242,7 @@
             The host that reports.
         spent : iterable of WorkspaceSpending
             What it spent in the last seconds.
-        known_s : float
+        covered_s : float
             For how many seconds back ``spent`` is complete.
         now : float
             Current time, in seconds.
@@ -251,7 +251,7 @@
             return
         if not self.coverage:
             self.first_report_at = now
-        self.coverage[host] = min(1.0, max(0.0, known_s / HISTORY_S))
+        self.coverage[host] = min(1.0, max(0.0, covered_s / HISTORY_S))
         for row in spent:
             totals = self.past_spending.setdefault(row.workspace, [0] * HISTORY_S)
             for age_index, tokens in enumerate(row.tokens[:HISTORY_S]):
--- a/godwitladder/scheduler/exchange.py
+++ b/godwitladder/scheduler/exchange.py
@@ -153,7 +153,7 @@
     spent : tuple of WorkspaceSpending
         Tokens that workspaces spent through this host. Sent until the allocator
         answers, since it may be new.
-    known_s : float
+    covered_s : float
         Number of past seconds for which ``spent`` is complete.
     via : str
         Host that forwarded the report; empty if it came directly.
@@ -179,7 +179,7 @@
     completions: tuple[Completion, ...] = ()
     throughput_samples: tuple[ThroughputSample, ...] = ()
     spent: tuple[WorkspaceSpending, ...] = ()
-    known_s: float = 0.0
+    covered_s: float = 0.0
     via: HostId = HostId("")
     incremental: bool = False
     removed: tuple[RequestId, ...] = ()
--- a/godwitladder/scheduler/reports.py
+++ b/godwitladder/scheduler/reports.py
@@ -235,7 +235,7 @@
         completions=completions,
         throughput_samples=take_samples(tables, access, now),
         spent=access.history.recent_spending(now) if unanswered else (),
-        known_s=access.history.known_s(now) if unanswered else 0.0,
+        covered_s=access.history.covered_s(now) if unanswered else 0.0,
         incremental=update.incremental,
         removed=update.removed,
     )
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -198,7 +198,7 @@
         if not account.take(report, acked_offer, now):
             return False
         self.update_waiting(account, report, now - delay_s)
-        self.quotas.add_history(report.host, report.spent, report.known_s, now)
+        self.quotas.add_history(report.host, report.spent, report.covered_s, now)
         for row in report.completions:
             self.observe_completion(row)
         for sample in report.throughput_samples:
