--- a/godwitladder/serving/dispatching.py
+++ b/godwitladder/serving/dispatching.py
@@ -63,7 +63,7 @@
         The host's clock.
     metrics : Metrics
         The metrics to update.
-    is_crowded : callable
+    exceeds_thread_limit : callable
         Returns whether more calls are open than the host has threads for.
     """
 
@@ -73,9 +73,9 @@
         scheduler: pykka.ActorRef,
         clock: Clock,
         metrics: Metrics,
-        is_crowded: Callable[[], bool],
+        exceeds_thread_limit: Callable[[], bool],
     ) -> None:
-        self.is_crowded = is_crowded
+        self.exceeds_thread_limit = exceeds_thread_limit
         self.settings = settings
         self.scheduler = scheduler
         self.clock = clock
@@ -85,7 +85,7 @@
         """Answer one call, once the scheduler has decided on it."""
         gone = environ.get("waitress.client_disconnected", lambda: False)
         self.scheduler.tell(Submit(call.row))
-        if self.is_crowded():
+        if self.exceeds_thread_limit():
             self.scheduler.tell(NoFreeThread())
         while True:
             decision = self._await_decision(call, gone)
