--- a/godwitladder/scheduler/delays.py
+++ b/godwitladder/scheduler/delays.py
@@ -90,7 +90,7 @@
     peak_s: float = 0.0
     peak_at: float = 0.0
 
-    def note(self, report: PoolReport, now: float) -> float:
+    def record_report(self, report: PoolReport, now: float) -> float:
         """Record that ``report`` is received now; return its delay in seconds."""
         key = report.host, report.incarnation
         offset_s = now - report.sent_s
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -189,7 +189,7 @@
         """Process a host's report; return whether the role should run at once."""
         key = report.host, report.incarnation
         self.current_at = None
-        delay_s = self.delays.note(report, now)
+        delay_s = self.delays.record_report(report, now)
         account = self.accounts.get(key)
         if account is None:
             account = HostAccount(*key, next_number=self.first_offer_number)
--- a/tests/scheduler/test_delays.py
+++ b/tests/scheduler/test_delays.py
@@ -16,19 +16,19 @@
 def test_an_offset_between_the_clocks_of_two_hosts_is_no_delay():
     delays = ReportDelays()
     for number in range(5):
-        delays.note(report_of(number, 9_000.0 + number), START + number)
+        delays.record_report(report_of(number, 9_000.0 + number), START + number)
     assert delays.poll_status(START + 5) is None
 
 
 def test_late_reports_are_logged_at_once_then_each_second_and_at_the_end():
     delays = ReportDelays()
-    delays.note(report_of(1, 0.0), START)
+    delays.record_report(report_of(1, 0.0), START)
     assert delays.poll_status(START) is None
     logged = []
     for step in range(1, 13):
         now = START + step * 0.25
         late_s = 2 * LATE_REPORT_S if step <= 8 else 0.0
-        delays.note(report_of(step, step * 0.25 - late_s), now)
+        delays.record_report(report_of(step, step * 0.25 - late_s), now)
         status = delays.poll_status(now)
         if status is not None:
             logged.append((step, status.late))
