--- a/godwitladder/scheduler/actor.py
+++ b/godwitladder/scheduler/actor.py
@@ -130,7 +130,7 @@
         # hosts lost in a network partition would count as long gone when the last
         # change was a minute ago, and this host would take their share of the
         # quotas as well.
-        self.tables.seen_hosts.note(self.tables.hosts, self.clock.monotonic())
+        self.tables.seen_hosts.record_alive(self.tables.hosts, self.clock.monotonic())
 
     @take.register
     def _(self, message: Submit) -> None:
@@ -202,7 +202,7 @@
     def _(self, message: HostsChanged) -> None:
         self.tables.hosts = message.hosts
         self.tables.allocator_candidates = message.allocator_candidates
-        self.tables.seen_hosts.note(message.hosts, self.clock.monotonic())
+        self.tables.seen_hosts.record_alive(message.hosts, self.clock.monotonic())
         self.tables.linked = message.linked
         choose_allocators(self.tables, self.clock.monotonic())
 
--- a/godwitladder/scheduler/allocator.py
+++ b/godwitladder/scheduler/allocator.py
@@ -259,7 +259,7 @@
         their own. If both granted whole quotas, a workspace would get twice its
         quota for as long as the partition lasts.
         """
-        self.tables.seen_hosts.note(self.tables.hosts, now)
+        self.tables.seen_hosts.record_alive(self.tables.hosts, now)
         return len(self.tables.hosts) / self.tables.seen_hosts.count_recent(now)
 
     def forward(self, message: PoolReport | FloorReport, pool: PoolName) -> None:
--- a/godwitladder/scheduler/quotas.py
+++ b/godwitladder/scheduler/quotas.py
@@ -30,7 +30,7 @@
 
     last_seen: dict[HostId, float] = field(default_factory=dict)
 
-    def note(self, hosts: Collection[HostId], now: float) -> None:
+    def record_alive(self, hosts: Collection[HostId], now: float) -> None:
         """Record that ``hosts`` are alive."""
         self.last_seen.update(dict.fromkeys(hosts, now))
 
--- a/tests/scheduler/test_quotas.py
+++ b/tests/scheduler/test_quotas.py
@@ -41,7 +41,7 @@
 def make_tables(hosts):
     tables = Tables("h1", "a", hosts=("h1",), config=CONFIG)
     tables.quotas.rates = token_rates(CONFIG)
-    tables.seen_hosts.note(hosts, 0.0)
+    tables.seen_hosts.record_alive(hosts, 0.0)
     update_targets(tables)
     return tables
 
@@ -71,7 +71,7 @@
 def test_the_share_of_hosts_that_ended_returns_to_the_others():
     tables = make_tables(["h1", "h2", "h3", "h4", "h5"])
     now = HOST_EXPIRY_S + 1
-    tables.seen_hosts.note(["h1"], now)
+    tables.seen_hosts.record_alive(["h1"], now)
     decided = [submit(tables, number, now) for number in range(10)]
     assert sum(isinstance(row, Refusal) for row in decided) < 9
 
