--- a/godwitladder/decisions/quotas.py
+++ b/godwitladder/decisions/quotas.py
@@ -119,7 +119,9 @@
     started_at: float | None = None
     seconds: dict[WorkspaceName, dict[int, int]] = field(default_factory=dict)
 
-    def note(self, workspace: WorkspaceName, charge: int, now: float) -> None:
+    def record_spending(
+        self, workspace: WorkspaceName, charge: int, now: float
+    ) -> None:
         """Record the tokens of a request that was sent to a target."""
         spent = self.seconds.setdefault(workspace, {})
         second = int(now)
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -296,7 +296,7 @@
     mark_use_changed(tables, target)
     access = tables.pool_of.get(target.name)
     if access and row.charge:
-        access.history.note(row.workspace, row.charge, now)
+        access.history.record_spending(row.workspace, row.charge, now)
     row.decisions.put(
         Dispatch(row.request, row.stream, target.name, target.target.address)
     )
