--- a/bench/policies.py
+++ b/bench/policies.py
@@ -243,7 +243,7 @@
             row = self.pool.waiting.pop(given_up.request)
             body = BodyDigest(given_up.request.rstrip("+"))
             wait = given_up.retry_after_s
-            self.refused.note(row.demand.workspace, body, wait, now)
+            self.refused.record_refusal(row.demand.workspace, body, wait, now)
             possible = row.deadline - now > 0 or row.deadline - row.arrived > 0
             shed = given_up.reason is not ShedReason.QUOTA and possible
             refusals.append(Refused(given_up.request, wait, shed))
--- a/godwitladder/decisions/allocation.py
+++ b/godwitladder/decisions/allocation.py
@@ -307,7 +307,7 @@
                 self.record_shed_rank(demand.tier_rank)
             if reason is not ShedReason.QUOTA:
                 self.pool.state.admission.shed[flow_of(entry)] += 1
-            self.pool.state.callers.note(
+            self.pool.state.callers.record_refusal(
                 demand.body, entry.waiting.first_arrived, self.now
             )
             self.allocation.sheds.append(make_shed_decision(entry, reason, waits[key]))
--- a/godwitladder/decisions/early_retries.py
+++ b/godwitladder/decisions/early_retries.py
@@ -50,7 +50,7 @@
         self.rows: OrderedDict[tuple[WorkspaceName, BodyDigest], RefusalRecord]
         self.rows = OrderedDict()
 
-    def note(
+    def record_refusal(
         self,
         workspace: WorkspaceName,
         body: BodyDigest,
--- a/godwitladder/decisions/returning_callers.py
+++ b/godwitladder/decisions/returning_callers.py
@@ -42,7 +42,9 @@
     def __init__(self) -> None:
         self.first_arrivals: OrderedDict[BodyDigest, float] = OrderedDict()
 
-    def note(self, body: BodyDigest, first_arrived: float, now: float) -> None:
+    def record_refusal(
+        self, body: BodyDigest, first_arrived: float, now: float
+    ) -> None:
         """Record the refusal of a caller.
 
         An empty digest is ignored, since it doesn't identify a caller.
--- a/tests/decisions/test_learning.py
+++ b/tests/decisions/test_learning.py
@@ -126,7 +126,7 @@
 def test_a_retry_before_its_delay_has_passed_is_recognized():
     refused = RefusedRequests()
     assert refused.retry_wait_s("w", "body", 0.0) == 0.0
-    refused.note("w", "body", 10.0, now=0.0)
+    refused.record_refusal("w", "body", 10.0, now=0.0)
     assert refused.retry_wait_s("w", "body", 4.0) == 6.0
     assert refused.retry_wait_s("other", "body", 4.0) == 0.0
     assert refused.retry_wait_s("w", "body", 11.0) == 0.0
@@ -228,8 +228,8 @@
 
 def test_a_refused_caller_is_recognized_when_it_returns():
     callers = RefusedCallers()
-    callers.note("b1", 1.0, 1.2)
-    callers.note("b1", 4.0, 4.2)
+    callers.record_refusal("b1", 1.0, 1.2)
+    callers.record_refusal("b1", 4.0, 4.2)
     assert callers.first_arrival("b1", 5.0) == 1.0
     assert callers.first_arrival("b2", 5.0) is None
     assert callers.first_arrival("b1", 1.0 + RETENTION_S + 0.1) is None
@@ -237,14 +237,14 @@
 
 def test_calls_without_a_body_are_always_new():
     callers = RefusedCallers()
-    callers.note("", 1.0, 1.2)
+    callers.record_refusal("", 1.0, 1.2)
     assert callers.first_arrival("", 1.3) is None
 
 
 def test_the_number_of_refused_callers_is_bounded():
     callers = RefusedCallers()
     for number in range(MAX_CALLERS + 10):
-        callers.note(f"b{number}", 1.0, 1.0)
+        callers.record_refusal(f"b{number}", 1.0, 1.0)
     assert len(callers.first_arrivals) == MAX_CALLERS
-    callers.note("new", 100.0, 100.0)
+    callers.record_refusal("new", 100.0, 100.0)
     assert list(callers.first_arrivals) == ["new"]
