--- a/godwitladder/decisions/retry_budget.py
+++ b/godwitladder/decisions/retry_budget.py
@@ -60,7 +60,7 @@
         self.bounds = bounds
         self.services: dict[str, RequestTimes] = {}
 
-    def note_request(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Record a request of a caller."""
         recent = self.services.setdefault(service, RequestTimes())
         recent.requests.append(now)
--- a/godwitladder/serving/proxying.py
+++ b/godwitladder/serving/proxying.py
@@ -98,7 +98,7 @@
             The WSGI callable that takes the status and headers.
         """
         now = self.clock.monotonic()
-        self.retry_budget.note_request(call.row.service, now)
+        self.retry_budget.record_request(call.row.service, now)
         proxied_call = ProxiedCall(self, call, gone)
         self.scheduler.tell(Submit(call.row))
         return proxied_call.run(start_response)
--- a/tests/decisions/test_region.py
+++ b/tests/decisions/test_region.py
@@ -263,7 +263,7 @@
     """Guards against doubled load when targets fail every request they get."""
     budget = RetryBudget(RetryLimits(0.2, 30.0, 10.0))
     for _ in range(100):
-        budget.note_request("s", 0.0)
+        budget.record_request("s", 0.0)
     taken = sum(budget.take("s", 3, 1.0) for _ in range(100))
     assert taken == int((0.2 * 100 + 30 / 3) * USED_SHARE)
     assert budget.take("s", 3, 11.5)
