--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -167,7 +167,7 @@
         self._update_demands(report)
         return True
 
-    def note_grant(self, sent: SentGrant) -> None:
+    def record_grant(self, sent: SentGrant) -> None:
         """Count a grant that was sent in an offer."""
         self.grants[sent.grant.request] = sent
         self.clear_cached_usage()
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -394,7 +394,7 @@
         expires_s = account.sent_s + OFFER_LIFETIME_S
         for grant in offer.grants:
             demand = account.demands.pop(grant.request)
-            account.note_grant(
+            account.record_grant(
                 SentGrant(
                     account.next_number,
                     expires_s,
