--- a/godwitladder/scheduler/accounts.py
+++ b/godwitladder/scheduler/accounts.py
@@ -172,7 +172,7 @@
         self.grants[sent.grant.request] = sent
         self.clear_cached_usage()
 
-    def note_allowances(self, sent: SentAllowances) -> None:
+    def record_allowances(self, sent: SentAllowances) -> None:
         """Count the allowances that were sent in an offer."""
         self.allowances.append(sent)
         self.clear_cached_usage()
--- a/godwitladder/scheduler/role.py
+++ b/godwitladder/scheduler/role.py
@@ -513,7 +513,7 @@
         account.offered_at = now
         account.answered_report = account.last_report
         expires_s = account.sent_s + OFFER_LIFETIME_S
-        account.note_allowances(SentAllowances(number, expires_s, allowances))
+        account.record_allowances(SentAllowances(number, expires_s, allowances))
         return GrantOffer(
             host=account.host,
             incarnation=account.incarnation,
