--- a/godwitladder/scheduler/actor.py
+++ b/godwitladder/scheduler/actor.py
@@ -160,7 +160,7 @@
             self.tables,
             row,
             self.clock.monotonic(),
-            repeat=message.proof is ReturnProof.IDEMPOTENT,
+            may_have_run=message.proof is ReturnProof.IDEMPOTENT,
             avoid=message.avoid,
         )
 
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -306,7 +306,7 @@
     tables: Tables,
     row: RequestRow,
     now: float,
-    repeat: bool = False,
+    may_have_run: bool = False,
     avoid: bool = True,
 ) -> None:
     """Queue a dispatched request again.
@@ -325,7 +325,7 @@
     IllegalTransition
         If the target may have run the request and it is not idempotent.
     """
-    if repeat and not row.idempotent:
+    if may_have_run and not row.idempotent:
         raise IllegalTransition(f"{row.request} may have run and is not idempotent")
     target = tables.targets.get(row.target)
     _leave_target(tables, row)
