--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -315,7 +315,7 @@
 
     Parameters
     ----------
-    repeat : bool
+    may_have_run : bool
         Whether the target may have run it.
     avoid : bool
         Whether this host should avoid the target for a while.
