--- a/godwitladder/decisions/returning_callers.py
+++ b/godwitladder/decisions/returning_callers.py
@@ -1,9 +1,9 @@
-"""Recognizes callers that were refused and have come back.
+"""Recognizes callers that were refused and retry.
 
-Load pattern: a burst. A refused caller comes back seconds later to another
-host, as a new request whose wait seems to start only then. If it is treated as
-new, it goes before callers that can still be served in time, and its own answer
-is late in any case.
+Load pattern: a burst. A refused caller retries seconds later at another host, as
+a new request whose wait seems to start only then. If it is treated as new, it is
+served before callers that can still be served in time, and its own answer is late
+in any case.
 
 A caller sends the same body again, so the digest of the body identifies it. The
 time that callers say they have left doesn't: it differs between callers by more
@@ -16,7 +16,7 @@
 
 Thresholds
 ----------
-RETENTION_S : twice the longest time that callers wait; they come back within it.
+RETENTION_S : twice the longest time that callers wait; they retry within it.
 MAX_CALLERS : largest number of callers: those refused in that time at 1,500 requests
     per second, half of which are refused.
 """
--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -267,7 +267,7 @@
     avoided : frozenset of TargetName
         Targets to which its host recently failed to connect.
     ttft_deadline : float
-        Time after which its first output is late; infinite for no bound.
+        First output deadline; infinite for no bound.
     start_by : float
         Time by which it has to start to be of use.
     first_arrived : float
--- a/godwitladder/scheduler/rows.py
+++ b/godwitladder/scheduler/rows.py
@@ -73,7 +73,7 @@
     queued : bool
         Whether the request is in the queue of the tables.
     ttft_deadline : float
-        Deadline of the first token; 0 if it is the deadline of the request.
+        First output deadline; 0 if it is the deadline of the request.
     start_by : float
         Latest time at which a dispatch is still useful to the caller.
     gap_s : float
--- a/godwitladder/scheduler/views.py
+++ b/godwitladder/scheduler/views.py
@@ -59,7 +59,7 @@
 ) -> WaitingRequest:
     """Return a waiting request as of ``now``, with times on the allocator's clock.
 
-    The first-token deadline (``ttft_deadline``) counts from the caller's first
+    The first output deadline (``ttft_deadline``) counts from the caller's first
     attempt, even if that was refused and the caller has retried.
 
     Parameters
--- a/tests/scheduler/test_returns.py
+++ b/tests/scheduler/test_returns.py
@@ -59,7 +59,7 @@
 
 
 def test_a_retry_keeps_the_ttft_deadline_of_the_first_attempt():
-    """Guards against measuring the first-token deadline of a retry from the retry.
+    """Guards against measuring the first output deadline of a retry from the retry.
 
     A request is refused by one host and sent to another as a new request. Its
     caller has waited since the first attempt. Measured from the second, the
