--- a/godwitladder/decisions/late_refusal.py
+++ b/godwitladder/decisions/late_refusal.py
@@ -10,7 +10,7 @@
 of two rates: the measured throughput that earlier precedences leave, and the rate at
 which calls of this precedence were recently started. By the first rate alone, calls
 that are served only because of the minimum share would seem to get no service, and all
-of them would be refused although some would be dispatched in time.
+of them would be refused before they could be dispatched.
 
 Thresholds
 ----------
--- a/godwitladder/discovery/feed.py
+++ b/godwitladder/discovery/feed.py
@@ -43,8 +43,8 @@
 
 READ_INTERVAL_S = 0.6
 """Interval between reads. All hosts must know of a target that leaves, or of a changed
-document, within 2 s. This interval leaves time for one missed read and for the store's
-answer."""
+document, within 2 s. That limit covers one interval, one more if a read is missed, and
+the store's answer."""
 STEP_INTERVAL_S = 0.1
 """Interval at which a host checks whether it should read."""
 NEWS_TIMEOUT_S = 1.0
--- a/godwitladder/scheduler/systems.py
+++ b/godwitladder/scheduler/systems.py
@@ -53,8 +53,8 @@
 def expire_requests(tables: Tables, now: float) -> None:
     """Refuse requests that can no longer be answered in time.
 
-    The allocator refuses them too. If it alone did so, callers would get no answer
-    from an overloaded allocator until it is too late for them to try elsewhere.
+    The allocator refuses them too. If it alone did so and were far behind, callers
+    would get no answer until it is too late for them to try elsewhere.
     """
     for row in list(tables.waiting.values()):
         if is_too_late(row, now) and row.state is RequestState.WAITING:
