--- a/godwitladder/decisions/types.py
+++ b/godwitladder/decisions/types.py
@@ -178,7 +178,7 @@
     reserved_tokens : int
         Memory tokens that these hold.
     limit : int
-        Requests it may run at once; lowered while it is slow.
+        Requests it may run at once; lowered while the target is throttled.
     pending_prefill_tokens : int
         Prompt tokens sent to it whose requests have no output yet.
     pending_prefill_requests : int
@@ -267,7 +267,7 @@
     avoided : frozenset of TargetName
         Targets to which its host recently failed to connect.
     ttft_deadline : float
-        Time after which its first output is late; infinite for no bound.
+        First output deadline; infinite for no bound.
     start_by : float
         Time by which it has to start to be of use.
     first_arrived : float
