--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -49,7 +49,7 @@
 
 def without_returning_callers() -> contextlib.AbstractContextManager:
     """Treat callers that return after a refusal as new ones."""
-    return patch.object(RefusedCallers, "note", lambda *_: None)
+    return patch.object(RefusedCallers, "record_refusal", lambda *_: None)
 
 
 def without_late_refusal() -> contextlib.AbstractContextManager:
